--- a/src/cypresswall/node/node.cpp
+++ b/src/cypresswall/node/node.cpp
@@ -16,7 +16,7 @@
 
 NodeSettings withSharedZone(NodeSettings settings) {
   settings.membership.neighbours.mesh_limit = settings.shared_zone_nodes;
-  settings.directory.groups.shared_limit = settings.shared_zone_nodes;
+  settings.directory.groups.shared_zone_node_limit = settings.shared_zone_nodes;
   return settings;
 }
 
@@ -70,7 +70,8 @@
   engines_.setRateLimiter(rate_limits_);
   rate_limits_.setDecidingNode([this](const std::string& server) {
     const routing::EngineSlot slot = engines_.table().slotOf(server);
-    return slot == routing::kNoEngineSlot ? common::NodeId{} : engines_.groups().firstOwnerOf(slot);
+    return slot == routing::kNoEngineSlot ? common::NodeId{}
+                                          : engines_.groups().primaryOwnerOf(slot);
   });
   membership_.onChange([this] {
     if (membership_.leaving()) {
--- a/src/cypresswall/orders/drain_table.cpp
+++ b/src/cypresswall/orders/drain_table.cpp
@@ -73,8 +73,8 @@
 
 std::vector<membership::Member> DrainTable::workGivers() const {
   std::vector<membership::Member> givers = membership_.members();
-  if (!groups_.everyNodeDecides()) {
-    const auto& deciders = groups_.allDeciders();
+  if (!groups_.everyNodeRoutes()) {
+    const auto& deciders = groups_.allRoutingNodes();
     std::erase_if(givers, [&deciders](const membership::Member& member) {
       return std::find(deciders.begin(), deciders.end(), member.node) == deciders.end();
     });
--- a/src/cypresswall/routing/cost_model.cpp
+++ b/src/cypresswall/routing/cost_model.cpp
@@ -7,7 +7,7 @@
 
 /// Speed assumed of an engine that declares none.
 constexpr double kDefaultPrefillTokensPerSecond = 5000;
-/// Slack of CostInputs::slackened_lone_step.
+/// Slack of CostInputs::relaxed_single_stream_step.
 constexpr double kLoneStepSlack = 1.25;
 
 /// While streams run, each chunk of prompt shares its step with one token of every stream.
@@ -63,7 +63,7 @@
   const double step = stepSeconds(engine, streamsOn(engine) + 1.0);
   const double per_token = secondsPerPrefillToken(engine, step, chunks_per_token);
   inputs.step = static_cast<float>(step);
-  inputs.prefill_way = static_cast<float>(engine.prompt_speed.way);
+  inputs.prefill_fixed_latency = static_cast<float>(engine.prompt_speed.way);
   inputs.seconds_per_prefill_token = static_cast<float>(per_token);
   inputs.prefill_seconds_per_pair =
       static_cast<float>(engine.prefill_seconds_per_pair * engine.prompt_speed.scale);
@@ -71,7 +71,7 @@
   inputs.queue_empty_at = engine.observed_at + engine.queued_prefill_tokens * per_token;
   inputs.unreported_wait = engine.unreported_prefill_tokens * per_token;
   inputs.slot_wait = slotWait(engine, step);
-  inputs.slackened_lone_step = static_cast<float>(stepSeconds(engine, 1.0) * kLoneStepSlack);
+  inputs.relaxed_single_stream_step = static_cast<float>(stepSeconds(engine, 1.0) * kLoneStepSlack);
   inputs.role = engine.role;
   inputs.has_backlog = engine.has_backlog;
   inputs.backlog_empty_at = engine.backlog_empty_at;
--- a/src/cypresswall/routing/cost_model.h
+++ b/src/cypresswall/routing/cost_model.h
@@ -57,13 +57,13 @@
   double slot_wait = 0;
   // Spans of time and not moments: single precision is enough.
   /// Time that a prompt takes beside its computation, without occupying the engine.
-  float prefill_way = 0;
+  float prefill_fixed_latency = 0;
   float seconds_per_prefill_token = 0;
   float prefill_seconds_per_pair = 0;
   /// Time of one decode step with one more stream.
   float step = 0;
   /// Time of a decode step with a single stream, with some slack.
-  float slackened_lone_step = 0;
+  float relaxed_single_stream_step = 0;
   /// As in EngineEstimate.
   float kv_seconds_per_token = 0;
   engines::EngineRole role = engines::EngineRole::kMixed;
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -224,7 +224,7 @@
 }
 
 void CostRouter::chooseOutputHosts() {
-  if (!settings_.gathers_long_answers) {
+  if (!settings_.consolidates_long_answers) {
     return;
   }
   decode_order_.clear();
@@ -498,7 +498,7 @@
   const CostInputs& engine = estimates_.inputs(best.computing());
   const double service = work.prompt_tokens * engine.seconds_per_prefill_token;
   const double relief = reliefSeconds(best.offer, work, estimates_.estimate(best.engine));
-  promised += service * static_cast<double>(directory_.groups().decidersPerEngine()) /
+  promised += service * static_cast<double>(directory_.groups().routingNodesPerEngine()) /
               static_cast<double>(std::max<std::size_t>(narrowed_.size(), 1));
   promised = std::min(promised, now + common::toSeconds(settings_.maximum_retry_after));
   RouteRefusal refusal;
@@ -529,7 +529,7 @@
 RouteRefusal CostRouter::refuseExhausted(const common::ModelName& model) const {
   RouteRefusal refusal;
   refusal.retry_after = directory_.rateLimiter()->retryAfter(
-      model, exhausted_, directory_.groups().decidersPerEngine());
+      model, exhausted_, directory_.groups().routingNodesPerEngine());
   refusal.message = "engines of model " + model + " take no more requests for now";
   return refusal;
 }
--- a/src/cypresswall/routing/delta_exchange.cpp
+++ b/src/cypresswall/routing/delta_exchange.cpp
@@ -96,12 +96,12 @@
 }
 
 std::vector<common::NodeId> DeltaExchange::receivers() const {
-  if (groups_.everyNodeDecides()) {
-    return groups_.otherDeciders(kNoEngineSlot);
+  if (groups_.everyNodeRoutes()) {
+    return groups_.otherRoutingNodes(kNoEngineSlot);
   }
   std::set<common::NodeId> found;
   for (const EngineSlot slot : poller_->watched()) {
-    const auto& deciders = groups_.otherDeciders(slot);
+    const auto& deciders = groups_.otherRoutingNodes(slot);
     found.insert(deciders.begin(), deciders.end());
   }
   if (planning_node_ && !poller_->watched().empty()) {
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -64,7 +64,7 @@
   members_changed_ = true;
   // Where few nodes decide, the others learn who does from the next sweep: while many nodes come
   // and go, the groups are not worked out for each.
-  if (roster_changed_ || groups_.everyNodeDecides()) {
+  if (roster_changed_ || groups_.everyNodeRoutes()) {
     assignWatches();
   }
 }
@@ -75,11 +75,11 @@
 
 void EngineDirectory::forgetUndecided() {
   for (const EngineSlot slot : table_.roster()) {
-    if (!groups_.decides(slot)) {
+    if (!groups_.routesTo(slot)) {
       prefixes_.forgetEngine(slot);
     }
   }
-  prefixes_.shareAmong(groups_.enginesDecided());
+  prefixes_.shareAmong(groups_.routedEngineCount());
 }
 
 void EngineDirectory::assignWatches() {
--- a/src/cypresswall/routing/engine_ejection.cpp
+++ b/src/cypresswall/routing/engine_ejection.cpp
@@ -109,8 +109,8 @@
       ++failures;
     }
   }
-  const std::size_t needed = unreached ? settings_.witnesses : settings_.zone_broken_streams;
-  return nodes.size() >= settings_.witnesses && failures >= needed;
+  const std::size_t needed = unreached ? settings_.reporting_nodes : settings_.zone_broken_streams;
+  return nodes.size() >= settings_.reporting_nodes && failures >= needed;
 }
 
 void EngineEjection::ejectForZone(EngineSlot slot, bool unreached) {
@@ -119,7 +119,7 @@
   notice.engine = table_.record(slot).declaration.name;
   notice.unreached = unreached;
   notice.milliseconds = static_cast<std::uint32_t>(time / std::chrono::milliseconds(1));
-  context_.sendToAll(groups_.otherDeciders(slot), notice);
+  context_.sendToAll(groups_.otherRoutingNodes(slot), notice);
   by_peers_.add();
   eject(slot, time, unreached, kZone);
 }
@@ -150,7 +150,7 @@
 }
 
 bool EngineEjection::mayEject(EngineSlot slot, bool unreached) const {
-  if (!settings_.ejects) {
+  if (!settings_.ejection_enabled) {
     return false;
   }
   const EngineRecord& wanted = table_.record(slot);
--- a/src/cypresswall/routing/engine_groups.cpp
+++ b/src/cypresswall/routing/engine_groups.cpp
@@ -28,7 +28,7 @@
 
 void EngineGroups::update() {
   const auto& members = membership_.members();
-  every_node_decides_ = members.size() <= settings_.shared_limit;
+  every_node_decides_ = members.size() <= settings_.shared_zone_node_limit;
   other_members_.clear();
   for (const Member& member : members) {
     if (member.node != membership_.self() && member.state != MemberState::kDead) {
@@ -139,7 +139,7 @@
   return membership::rendezvousNode(name, groups_[group_of_[engine]].owners);
 }
 
-common::NodeId EngineGroups::firstOwnerOf(EngineSlot engine) const {
+common::NodeId EngineGroups::primaryOwnerOf(EngineSlot engine) const {
   if (every_node_decides_ || engine >= group_of_.size() || group_of_[engine] >= groups_.size()) {
     return {};
   }
@@ -147,7 +147,7 @@
   return owners.empty() ? common::NodeId{} : owners.front();
 }
 
-const std::vector<common::NodeId>& EngineGroups::otherDeciders(EngineSlot engine) const {
+const std::vector<common::NodeId>& EngineGroups::otherRoutingNodes(EngineSlot engine) const {
   static const std::vector<common::NodeId> kNone;
   if (every_node_decides_) {
     return other_members_;
@@ -157,7 +157,7 @@
              : kNone;
 }
 
-std::size_t EngineGroups::decidersPerEngine() const {
+std::size_t EngineGroups::routingNodesPerEngine() const {
   return every_node_decides_ ? other_members_.size() + 1 : 1;
 }
 
@@ -172,12 +172,12 @@
   });
 }
 
-bool EngineGroups::decides(EngineSlot engine) const {
+bool EngineGroups::routesTo(EngineSlot engine) const {
   return every_node_decides_ ||
          (engine < group_of_.size() && ownedHere(groups_[group_of_[engine]]));
 }
 
-std::size_t EngineGroups::enginesDecided() const {
+std::size_t EngineGroups::routedEngineCount() const {
   std::size_t count = 0;
   for (const EngineGroup& group : groups_) {
     count += every_node_decides_ || ownedHere(group) ? group.engines.size() : 0;
@@ -185,9 +185,9 @@
   return count;
 }
 
-std::vector<const EngineGroup*> EngineGroups::homesOf(const common::ModelName& model,
-                                                      common::PieceHash shared_part,
-                                                      common::RandomSource& random) const {
+std::vector<const EngineGroup*> EngineGroups::candidateGroupsFor(
+    const common::ModelName& model, common::PieceHash shared_part,
+    common::RandomSource& random) const {
   std::vector<const EngineGroup*> homes;
   const auto found = homes_.find(model);
   if (found == homes_.end()) {
--- a/src/cypresswall/routing/engine_groups.h
+++ b/src/cypresswall/routing/engine_groups.h
@@ -39,31 +39,31 @@
   void update();
 
   /// \return true if every node decides about every engine.
-  bool everyNodeDecides() const { return every_node_decides_; }
+  bool everyNodeRoutes() const { return every_node_decides_; }
   /// \return the node that reads an engine's reports; empty if no member is alive.
   common::NodeId watcherOf(EngineSlot engine) const;
   /// \return the node that places all requests on an engine; empty if several do
-  common::NodeId firstOwnerOf(EngineSlot engine) const;
+  common::NodeId primaryOwnerOf(EngineSlot engine) const;
   /// \return the other nodes that decide about an engine.
-  const std::vector<common::NodeId>& otherDeciders(EngineSlot engine) const;
+  const std::vector<common::NodeId>& otherRoutingNodes(EngineSlot engine) const;
   /// \return all nodes that decide about any engine.
-  const std::vector<common::NodeId>& allDeciders() const { return all_deciders_; }
+  const std::vector<common::NodeId>& allRoutingNodes() const { return all_deciders_; }
   /// \return nodes that place requests on one engine at the same time, at least 1.
-  std::size_t decidersPerEngine() const;
+  std::size_t routingNodesPerEngine() const;
   /// \return true if this node is an owner of the group.
   bool owns(const std::string& group) const;
   /// \return true if this node decides about the engine.
-  bool decides(EngineSlot engine) const;
+  bool routesTo(EngineSlot engine) const;
   /// \return engines that this node decides about.
-  std::size_t enginesDecided() const;
+  std::size_t routedEngineCount() const;
 
   /// Finds the groups to ask for a place, the best first, two at the most. Equal prompts go to
   /// equal groups: the group of the engine that hashing prefers among those that compute prompts,
   /// so that a group gets as much as it can compute. Prompts without a shared part go to random
   /// engines. \param shared_part names what the prompt shares with others, zero for nothing
-  std::vector<const EngineGroup*> homesOf(const common::ModelName& model,
-                                          common::PieceHash shared_part,
-                                          common::RandomSource& random) const;
+  std::vector<const EngineGroup*> candidateGroupsFor(const common::ModelName& model,
+                                                     common::PieceHash shared_part,
+                                                     common::RandomSource& random) const;
 
  private:
   /// An engine as a home of prompts.
--- a/src/cypresswall/routing/engine_table.cpp
+++ b/src/cypresswall/routing/engine_table.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-bool EngineTable::leaves(EngineSlot slot) const {
+bool EngineTable::isLeaving(EngineSlot slot) const {
   const Entry& entry = entries_[slot];
   return entry.machine_leaving || entry.drained_by_operator || entry.record.draining;
 }
--- a/src/cypresswall/routing/engine_table.h
+++ b/src/cypresswall/routing/engine_table.h
@@ -49,7 +49,7 @@
   common::MonotonicTime ejectedUntil(EngineSlot slot) const { return entries_[slot].ejected_until; }
   /// \return true if the engine may get no work whatever its load: its machine leaves, or operators
   ///   or the zone's controller drain it.
-  bool leaves(EngineSlot slot) const;
+  bool isLeaving(EngineSlot slot) const;
   void setReachable(EngineSlot slot, bool reachable, common::MonotonicTime now);
   void setWatched(EngineSlot slot, bool watched) { entries_[slot].record.watched_here = watched; }
   /// Finds engines that fell silent.
--- a/src/cypresswall/routing/offers.h
+++ b/src/cypresswall/routing/offers.h
@@ -98,7 +98,7 @@
   }
   /// \return seconds from sending the prompt to an engine without a queue until it is computed
   double promptSeconds(const CostInputs& engine, const PromptWork& prompt) const {
-    return engine.prefill_way + occupyingSeconds(engine, prompt);
+    return engine.prefill_fixed_latency + occupyingSeconds(engine, prompt);
   }
   /// \return seconds for which the prompt keeps the engine from others
   double occupyingSeconds(const CostInputs& engine, const PromptWork& prompt) const {
@@ -163,7 +163,8 @@
   }
 
   void price(Offer& offer, const Work& work, const CostInputs& engine) const {
-    offer.step_limit = std::max<double>(engine.slackened_lone_step, work.between_tokens_limit);
+    offer.step_limit =
+        std::max<double>(engine.relaxed_single_stream_step, work.between_tokens_limit);
     offer.late = offer.wait > negligible_wait_ && offer.first_token > work.first_token_limit;
     offer.cost = offer.first_token * work.inverse_first_token_limit +
                  between_weight_ * offer.between_tokens * work.inverse_between_tokens_limit;
--- a/src/cypresswall/routing/output_speed.cpp
+++ b/src/cypresswall/routing/output_speed.cpp
@@ -38,7 +38,7 @@
   if (found == models_.end() || found->second.promised <= 0) {
     return 1;
   }
-  return std::max(settings_.least_scale, found->second.taken / found->second.promised);
+  return std::max(settings_.minimum_scale, found->second.taken / found->second.promised);
 }
 
 double OutputSpeeds::remainingSeconds(const common::ModelName& model) const {
--- a/src/cypresswall/routing/placement_router.cpp
+++ b/src/cypresswall/routing/placement_router.cpp
@@ -43,7 +43,7 @@
 }
 
 void PlacementRouter::place(const RouteRequest& request, const PlacementCallback& done) {
-  if (directory_.groups().everyNodeDecides()) {
+  if (directory_.groups().everyNodeRoutes()) {
     local_.place(request, done);
     return;
   }
@@ -56,8 +56,8 @@
 }
 
 std::deque<PlacementRouter::Candidate> PlacementRouter::candidatesFor(const RouteRequest& request) {
-  const auto homes =
-      directory_.groups().homesOf(request.model, sharedPartOf(request.shape), context_.random);
+  const auto homes = directory_.groups().candidateGroupsFor(
+      request.model, sharedPartOf(request.shape), context_.random);
   std::deque<Candidate> candidates;
   for (const EngineGroup* home : homes) {
     for (const common::NodeId& owner : home->owners) {
@@ -77,7 +77,7 @@
 
 void PlacementRouter::askNext(const std::string& stream_id) {
   Waiting& waiting = waiting_.at(stream_id);
-  if (waiting.candidates.empty() || waiting.asks >= settings_.maximum_asks) {
+  if (waiting.candidates.empty() || waiting.asks >= settings_.maximum_owners_asked) {
     giveUp(stream_id);
     return;
   }
@@ -108,7 +108,7 @@
 common::Duration PlacementRouter::answerLimit(const RouteRequest& request) const {
   const auto share =
       common::fromSeconds(common::toSeconds(request.first_token_limit) * settings_.answer_share);
-  return std::clamp(share, settings_.least_answer_limit, settings_.answer_limit);
+  return std::clamp(share, settings_.minimum_answer_limit, settings_.answer_limit);
 }
 
 void PlacementRouter::placeHere(const std::string& stream_id) {
@@ -231,8 +231,8 @@
   if (slot == kNoEngineSlot) {
     return false;
   }
-  return directory_.groups().decides(slot) ? local_.takesWork(engine)
-                                           : !directory_.table().leaves(slot);
+  return directory_.groups().routesTo(slot) ? local_.takesWork(engine)
+                                            : !directory_.table().isLeaving(slot);
 }
 
 void PlacementRouter::abandonPlacement(const std::string& stream_id) {
--- a/src/cypresswall/routing/placement_service.cpp
+++ b/src/cypresswall/routing/placement_service.cpp
@@ -81,12 +81,12 @@
 }
 
 std::optional<RouteRefusal> PlacementService::refusalOfGroup(const std::string& group) {
-  if (!directory_.groups().everyNodeDecides() && !directory_.groups().owns(group)) {
+  if (!directory_.groups().everyNodeRoutes() && !directory_.groups().owns(group)) {
     not_owner_.add();
     return RouteRefusal{RouteFailure::kOverloaded, settings_.retry_after,
                         "this node does not decide about these engines", std::nullopt};
   }
-  if (places_.size() >= settings_.maximum_places) {
+  if (places_.size() >= settings_.maximum_placements) {
     full_.add();
     return RouteRefusal{RouteFailure::kOverloaded, settings_.retry_after,
                         "this node has given as many places as it can follow", std::nullopt};
@@ -139,7 +139,7 @@
   const auto now = context_.clock.now();
   std::vector<std::string> expired;
   for (const auto& [stream_id, place] : places_) {
-    if (now - place.given_at > settings_.place_time_limit) {
+    if (now - place.given_at > settings_.placement_time_limit) {
       expired.push_back(stream_id);
     }
   }
--- a/src/cypresswall/routing/prefix_index.cpp
+++ b/src/cypresswall/routing/prefix_index.cpp
@@ -20,7 +20,7 @@
 }
 
 void PrefixIndex::setCapacity(EngineSlot engine, std::uint64_t tokens) {
-  if (!settings_.foretells) {
+  if (!settings_.predicts_unreported) {
     return;
   }
   engineAt(engine).capacity = tokens;
@@ -95,7 +95,7 @@
 
 void PrefixIndex::foretold(EngineSlot engine, const common::PromptShape& shape,
                            common::MonotonicTime now) {
-  if (settings_.foretells) {
+  if (settings_.predicts_unreported) {
     usedBy(engine, shape, now);
   }
 }
@@ -123,7 +123,7 @@
     return false;
   }
   const bool outdated = now - known->second->used_at < settings_.event_lag;
-  if (settings_.foretells && outdated) {
+  if (settings_.predicts_unreported && outdated) {
     return false;
   }
   erase(engine, known->second);
--- a/src/cypresswall/routing/settings.h
+++ b/src/cypresswall/routing/settings.h
@@ -23,13 +23,13 @@
   double trust_recovery = 0.1;
   /// Counts what nobody told yet: pieces of prompts that were sent but not computed, and what full
   /// engines give up. Off: told pieces count until their loss is told.
-  bool foretells = true;
+  bool predicts_unreported = true;
 };
 
 /// When engines at which attempts fail get no work, and for how long.
 struct EjectionSettings {
   /// Off: failures are told to peers, which may have it on, but this node ejects no engine.
-  bool ejects = true;
+  bool ejection_enabled = true;
   /// Failures older than this don't count.
   common::Duration window = std::chrono::seconds(1);
   /// First ejection; doubled with each one that begins within `memory` of the end of the last.
@@ -39,7 +39,7 @@
   /// Streams that broke at a node in the window after which the node ejects the engine for itself.
   std::size_t own_broken_streams = 3;
   /// Nodes that have to tell of failures before an engine is ejected for the zone.
-  std::size_t witnesses = 2;
+  std::size_t reporting_nodes = 2;
   /// Streams that broke in the zone in the window, before that.
   std::size_t zone_broken_streams = 5;
   /// Share of a model's engines of one role that may be ejected at a time: those that attempts
@@ -53,7 +53,7 @@
 /// How engines are divided among the nodes that decide about them.
 struct GroupSettings {
   /// Up to so many nodes, each decides about all engines.
-  std::size_t shared_limit = 24;
+  std::size_t shared_zone_node_limit = 24;
   /// Engines of one model in a group, on average. Few enough for one small node to read and place:
   /// at the users' 6 requests a second an engine some 100 requests; enough for roles and caches to
   /// even out within a group.
@@ -67,20 +67,20 @@
   /// An owner that has not answered within this is passed over: some ten times what an answer takes
   /// between zones. Shorter where the request's own limit is short.
   common::Duration answer_limit = std::chrono::milliseconds(100);
-  common::Duration least_answer_limit = std::chrono::milliseconds(25);
+  common::Duration minimum_answer_limit = std::chrono::milliseconds(25);
   /// Share of the time to the first token that waiting for one answer may take.
   double answer_share = 0.25;
   /// An owner that did not answer is asked last for this long. Its death is known after 2.5 s.
   common::Duration unresponsive_time = std::chrono::milliseconds(500);
   /// Owners asked for one attempt.
-  std::size_t maximum_asks = 4;
+  std::size_t maximum_owners_asked = 4;
   /// Retry-After where no owner answered.
   common::Duration retry_after = std::chrono::seconds(1);
   /// An owner forgets a place that it gave after this, though its end was not told.
-  common::Duration place_time_limit = std::chrono::seconds(60);
+  common::Duration placement_time_limit = std::chrono::seconds(60);
   /// Places that an owner has given and not got back; beyond, it gives none. At 100 requests a
   /// second that last 10 s, twenty times as many as are open.
-  std::size_t maximum_places = 20000;
+  std::size_t maximum_placements = 20000;
 };
 
 /// How engines are watched and how what is learnt is passed on.
@@ -152,7 +152,7 @@
   double prior_answers = 0.5;
   /// An answer that took longer than this many times what was expected counts as that.
   double outlier_factor = 4;
-  double least_scale = 1e-3;
+  double minimum_scale = 1e-3;
   /// The output of shorter answers ends within a step or two, which tells nothing.
   std::uint32_t minimum_tokens = 16;
 };
@@ -201,7 +201,7 @@
   /// Part of the limit between tokens for which a prompt may hold up the output of a decode engine.
   double crowding_share = 0.6;
   /// Off: long answers go to any decode engine, and prompts may be computed at each.
-  bool gathers_long_answers = true;
+  bool consolidates_long_answers = true;
   /// Long answers are gathered on as few decode engines as hold them with this share of their
   /// places taken, and one more: a step takes little longer with many streams, but a prompt between
   /// their steps holds up all of them.
--- a/src/cypresswall/routing/work_exchange.cpp
+++ b/src/cypresswall/routing/work_exchange.cpp
@@ -46,7 +46,7 @@
 }
 
 void WorkExchange::send(EngineSlot engine, const WorkNotice& notice) {
-  const auto& receivers = groups_.otherDeciders(engine);
+  const auto& receivers = groups_.otherRoutingNodes(engine);
   context_.sendToAll(receivers, notice);
   sent_.add(receivers.size());
 }
--- a/src/cypresswall/settings/policy_keys.cpp
+++ b/src/cypresswall/settings/policy_keys.cpp
@@ -224,7 +224,7 @@
           "within the time limit to the first token."),
       switchKey(
           "mechanisms.foretold_caches",
-          [](auto& s) -> auto& { return s.node.directory.prefix_index.foretells; },
+          [](auto& s) -> auto& { return s.node.directory.prefix_index.predicts_unreported; },
           "Engines are taken to hold what they are sent, and to give up what was unused for "
           "longest; off: only cache events and told ends of prompts count."),
       switchKey(
@@ -234,7 +234,7 @@
           "engines."),
       switchKey(
           "mechanisms.gathered_long_answers",
-          [](auto& s) -> auto& { return s.node.router.gathers_long_answers; },
+          [](auto& s) -> auto& { return s.node.router.consolidates_long_answers; },
           "Long answers are gathered on few decode engines; off: spread over all."),
       switchKey(
           "mechanisms.remaining_stream_time",
@@ -243,7 +243,7 @@
           "reported tokens."),
       switchKey(
           "mechanisms.engine_ejection",
-          [](auto& s) -> auto& { return s.node.directory.ejection.ejects; },
+          [](auto& s) -> auto& { return s.node.directory.ejection.ejection_enabled; },
           "Engines at which attempts fail get no work for a short time; off: until load reports "
           "show it."),
       switchKey(
--- a/tests/routing/burst_placement_test.cpp
+++ b/tests/routing/burst_placement_test.cpp
@@ -166,7 +166,7 @@
   void startOwners() {
     RouterSettings settings;
     settings.kv_transfer_per_thousand_tokens = milliseconds(1);
-    for (const common::NodeId& node : groups_->allDeciders()) {
+    for (const common::NodeId& node : groups_->allRoutingNodes()) {
       auto& process = *processes_.at(node);
       auto& membership = process.emplace<testing::SettableMembership>(node, "z");
       membership.setMembers(members_);
@@ -193,7 +193,7 @@
     request.first_token_limit = common::fromSeconds(kAdmissionLimit);
     request.between_tokens_limit = milliseconds(250);
     std::optional<RouteRefusal> refusal;
-    for (const EngineGroup* home : groups_->homesOf(kModel, text, random_)) {
+    for (const EngineGroup* home : groups_->candidateGroupsFor(kModel, text, random_)) {
       CostRouter& router = *owners_.at(home->owners.front()).router;
       RouteChoice choice = router.choose(request);
       if (const Route* const route = std::get_if<Route>(&choice)) {
--- a/tests/routing/cost_router_test.cpp
+++ b/tests/routing/cost_router_test.cpp
@@ -279,7 +279,7 @@
 
   void longAnswersAreSpreadWhereGatheringIsSwitchedOff() {
     RouterSettings settings;
-    settings.gathers_long_answers = false;
+    settings.consolidates_long_answers = false;
     RouterWorld world(9, 1, settings);
     CPPUNIT_ASSERT_EQUAL(std::size_t{8}, hostsOfLongAnswers(world).size());
   }
--- a/tests/routing/engine_directory_test.cpp
+++ b/tests/routing/engine_directory_test.cpp
@@ -424,7 +424,7 @@
         for (const EngineRecord& record : node.directory->records()) {
           const EngineSlot slot = node.directory->table().slotOf(record.declaration.name);
           const bool known = record.availability == EngineAvailability::kAvailable;
-          CPPUNIT_ASSERT(known || !node.directory->groups().decides(slot));
+          CPPUNIT_ASSERT(known || !node.directory->groups().routesTo(slot));
           knowing[record.declaration.name] += known ? 1 : 0;
         }
       }
--- a/tests/routing/engine_ejection_test.cpp
+++ b/tests/routing/engine_ejection_test.cpp
@@ -135,7 +135,7 @@
   /// The same failures eject at all nodes otherwise, see twoNodesEjectForTheZone.
   void nothingIsEjectedWhereThatIsSwitchedOff() {
     EjectionSettings off;
-    off.ejects = false;
+    off.ejection_enabled = false;
     EjectionZone zone(5, 10, off);
     for (std::size_t node = 0; node < 5; ++node) {
       zone.fail(node, 3, StreamFailure::kNotSent);
@@ -266,7 +266,7 @@
     int elsewhere = 0;
     for (std::size_t node = 0; node < 60; ++node) {
       const auto& at = zone.nodes[node];
-      const bool decides = at.groups->decides(at.table->slotOf(EjectionZone::nameOf(3)));
+      const bool decides = at.groups->routesTo(at.table->slotOf(EjectionZone::nameOf(3)));
       CPPUNIT_ASSERT(!decides || zone.ejected(node, 3));
       elsewhere += !decides && node >= 5 && zone.ejected(node, 3) ? 1 : 0;
     }
--- a/tests/routing/engine_groups_test.cpp
+++ b/tests/routing/engine_groups_test.cpp
@@ -80,11 +80,11 @@
  public:
   void everyNodeDecidesInASmallZone() {
     GroupsAt at(3, membersOf(24), 22);
-    CPPUNIT_ASSERT(at.groups().everyNodeDecides());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{24}, at.groups().decidersPerEngine());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{22}, at.groups().enginesDecided());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{23}, at.groups().otherDeciders(0).size());
-    CPPUNIT_ASSERT(at.groups().decides(21));
+    CPPUNIT_ASSERT(at.groups().everyNodeRoutes());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{24}, at.groups().routingNodesPerEngine());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{22}, at.groups().routedEngineCount());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{23}, at.groups().otherRoutingNodes(0).size());
+    CPPUNIT_ASSERT(at.groups().routesTo(21));
   }
 
   void fewNodesDecideInALargeZone() {
@@ -95,11 +95,11 @@
       std::size_t most = 0;
       for (int node = 0; node < count; ++node) {
         GroupsAt at(node, membersOf(count), kEngines);
-        most = std::max(most, at.groups().enginesDecided());
+        most = std::max(most, at.groups().routedEngineCount());
         for (const EngineSlot slot : at.table().roster()) {
-          deciders[slot] += at.groups().decides(slot) ? 1 : 0;
+          deciders[slot] += at.groups().routesTo(slot) ? 1 : 0;
           watchers[slot] += at.groups().watcherOf(slot) == nodeOf(node) ? 1 : 0;
-          CPPUNIT_ASSERT(at.groups().otherDeciders(slot).size() <= 2);
+          CPPUNIT_ASSERT(at.groups().otherRoutingNodes(slot).size() <= 2);
         }
       }
       for (const auto& [slot, number] : deciders) {
@@ -116,8 +116,8 @@
     GroupsAt second(57, membersOf(80), 60);
     common::SeededRandom random(1);
     for (common::PieceHash part = 1; part < 200; ++part) {
-      const auto here = first.groups().homesOf(kModel, part, random);
-      const auto there = second.groups().homesOf(kModel, part, random);
+      const auto here = first.groups().candidateGroupsFor(kModel, part, random);
+      const auto there = second.groups().candidateGroupsFor(kModel, part, random);
       CPPUNIT_ASSERT_EQUAL(here.size(), there.size());
       for (std::size_t i = 0; i < here.size(); ++i) {
         CPPUNIT_ASSERT_EQUAL(here[i]->name, there[i]->name);
@@ -141,8 +141,8 @@
     for (const auto& [slot, watcher] : before) {
       const common::NodeId now = at.groups().watcherOf(slot);
       CPPUNIT_ASSERT(now != lost);
-      CPPUNIT_ASSERT(watcher == lost || now == watcher || at.groups().decides(slot) ||
-                     !at.groups().otherDeciders(slot).empty());
+      CPPUNIT_ASSERT(watcher == lost || now == watcher || at.groups().routesTo(slot) ||
+                     !at.groups().otherRoutingNodes(slot).empty());
     }
   }
 
@@ -153,8 +153,8 @@
     int moved = 0;
     constexpr int kParts = 1000;
     for (common::PieceHash part = 1; part <= kParts; ++part) {
-      moved += fewer.groups().homesOf(kModel, part, random).front()->name !=
-                       more.groups().homesOf(kModel, part, random).front()->name
+      moved += fewer.groups().candidateGroupsFor(kModel, part, random).front()->name !=
+                       more.groups().candidateGroupsFor(kModel, part, random).front()->name
                    ? 1
                    : 0;
     }
@@ -169,30 +169,30 @@
       at.membership().setLinkMegabits(nodeOf(node), node % 16 == 5 ? 200 : 20);
     }
     at.groups().update();
-    for (const common::NodeId& owner : at.groups().allDeciders()) {
+    for (const common::NodeId& owner : at.groups().allRoutingNodes()) {
       CPPUNIT_ASSERT(at.membership().digest(owner, membership::DigestTopic::kLinkMegabits) ==
                      std::optional<std::uint64_t>(200));
     }
-    CPPUNIT_ASSERT(at.groups().allDeciders().size() >= 8);
+    CPPUNIT_ASSERT(at.groups().allRoutingNodes().size() >= 8);
     // With too few of them, the others own as well.
     for (int node = 0; node < 295; ++node) {
       at.membership().setLinkMegabits(nodeOf(node), node == 5 ? 200 : 20);
     }
     at.groups().update();
-    CPPUNIT_ASSERT(at.groups().allDeciders().size() >= 8);
+    CPPUNIT_ASSERT(at.groups().allRoutingNodes().size() >= 8);
   }
 
   void leavingAndSuspectedNodesOwnNothing() {
     auto members = membersOf(60);
     GroupsAt at(0, members, 60);
-    const common::NodeId gone = at.groups().allDeciders().front();
+    const common::NodeId gone = at.groups().allRoutingNodes().front();
     for (const MemberState state : {MemberState::kLeaving, MemberState::kSuspect}) {
       for (Member& member : members) {
         member.state = member.node == gone ? state : MemberState::kAlive;
       }
       at.membership().setMembers(members);
       at.groups().update();
-      const auto& deciders = at.groups().allDeciders();
+      const auto& deciders = at.groups().allRoutingNodes();
       CPPUNIT_ASSERT(std::find(deciders.begin(), deciders.end(), gone) == deciders.end());
     }
   }
@@ -201,10 +201,10 @@
     GroupsAt at(0, membersOf(295), 163);
     common::SeededRandom random(1);
     for (common::PieceHash part = 1; part < 50; ++part) {
-      const auto homes = at.groups().homesOf(kModel, part, random);
+      const auto homes = at.groups().candidateGroupsFor(kModel, part, random);
       CPPUNIT_ASSERT_EQUAL(std::size_t{2}, homes.size());
       CPPUNIT_ASSERT(homes[0] != homes[1]);
-      CPPUNIT_ASSERT(homes == at.groups().homesOf(kModel, part, random));
+      CPPUNIT_ASSERT(homes == at.groups().candidateGroupsFor(kModel, part, random));
     }
   }
 
@@ -217,7 +217,7 @@
     std::map<std::string, int> prompts;
     std::map<std::string, std::set<EngineSlot>> computing;
     for (common::PieceHash part = 1; part <= kParts; ++part) {
-      const EngineGroup& home = *at.groups().homesOf(kModel, part, random).front();
+      const EngineGroup& home = *at.groups().candidateGroupsFor(kModel, part, random).front();
       ++prompts[home.name];
       for (const EngineSlot slot : home.engines) {
         if (at.table().record(slot).declaration.initial_role == engines::EngineRole::kPrefill) {
@@ -239,7 +239,7 @@
     std::map<std::string, int> prompts;
     std::map<std::string, int> outputs;
     for (int i = 0; i < kPrompts; ++i) {
-      const EngineGroup& home = *at.groups().homesOf(kModel, 0, random).front();
+      const EngineGroup& home = *at.groups().candidateGroupsFor(kModel, 0, random).front();
       ++prompts[home.name];
       outputs[home.name] = static_cast<int>(
           std::count_if(home.engines.begin(), home.engines.end(), [&at](EngineSlot slot) {
@@ -256,8 +256,8 @@
   void unknownModelsHaveNoHome() {
     GroupsAt at(0, membersOf(295), 163);
     common::SeededRandom random(1);
-    CPPUNIT_ASSERT(at.groups().homesOf("other", 7, random).empty());
-    CPPUNIT_ASSERT(at.groups().homesOf("other", 0, random).empty());
+    CPPUNIT_ASSERT(at.groups().candidateGroupsFor("other", 7, random).empty());
+    CPPUNIT_ASSERT(at.groups().candidateGroupsFor("other", 0, random).empty());
     CPPUNIT_ASSERT(!at.groups().owns("other/0"));
   }
 };
--- a/tests/routing/long_prompts_test.cpp
+++ b/tests/routing/long_prompts_test.cpp
@@ -18,10 +18,10 @@
 /// The engines copy cached prefixes from one another.
 class TwoNodes {
  public:
-  explicit TwoNodes(bool copies = true, bool foretells = true) : simulation_(1) {
+  explicit TwoNodes(bool copies = true, bool predicts_unreported = true) : simulation_(1) {
     settings_.copies_prefixes = copies;
     settings_.kv_transfer_per_thousand_tokens = milliseconds(1);
-    directory_settings_.prefix_index.foretells = foretells;
+    directory_settings_.prefix_index.predicts_unreported = predicts_unreported;
     for (const char* name : {"p0", "p1", "p2", "q0"}) {
       testing::declareEngine(fleet_, name, "m");
       const auto role = name[0] == 'p' ? EngineRole::kPrefill : EngineRole::kDecode;
@@ -179,13 +179,13 @@
   }
 
   void sentPromptsAreHeldOnceComputedUnlessForetold() {
-    for (const bool foretells : {true, false}) {
+    for (const bool predicts_unreported : {true, false}) {
       for (const std::size_t node : {0U, 1U}) {
-        TwoNodes zone(true, foretells);
+        TwoNodes zone(true, predicts_unreported);
         zone.begin(0, "a", "one");
         zone.run(milliseconds(5));
         const std::uint32_t while_computed = zone.knownHolders(node, "one");
-        CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, while_computed);
+        CPPUNIT_ASSERT_EQUAL(predicts_unreported ? 1U : 0U, while_computed);
         zone.compute(0, "a", milliseconds(320));
         // The engine that computed it, and the one that gives its output.
         CPPUNIT_ASSERT_EQUAL(2U, zone.knownHolders(node, "one"));
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -46,7 +46,7 @@
       const EngineRecord& record = directory_.table().record(slot);
       const bool excluded = std::find(request.excluded.begin(), request.excluded.end(),
                                       record.declaration.name) != request.excluded.end();
-      if (directory_.groups().decides(slot) && !excluded) {
+      if (directory_.groups().routesTo(slot) && !excluded) {
         Route route;
         route.engine = record.endpoint();
         if (wrong_address) {
@@ -181,7 +181,8 @@
   std::vector<Node*> ownersOf(common::PieceHash part = 77) {
     std::vector<Node*> owners;
     common::SeededRandom random(1);
-    for (const EngineGroup* group : nodes[0].directory->groups().homesOf(kModel, part, random)) {
+    for (const EngineGroup* group :
+         nodes[0].directory->groups().candidateGroupsFor(kModel, part, random)) {
       for (const common::NodeId& owner : group->owners) {
         owners.push_back(&nodeAt(owner.address));
       }
@@ -191,7 +192,7 @@
   /// \return a node that decides about nothing
   std::size_t asker() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (nodes[i].process->alive() && nodes[i].directory->groups().enginesDecided() == 0) {
+      if (nodes[i].process->alive() && nodes[i].directory->groups().routedEngineCount() == 0) {
         return i;
       }
     }
@@ -464,7 +465,7 @@
 
   void placesThatNobodyGivesBackExpire() {
     PlacementSettings settings;
-    settings.place_time_limit = seconds(5);
+    settings.placement_time_limit = seconds(5);
     PlacementZone zone(1, settings);
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -478,7 +479,7 @@
 
   void placesAreBounded() {
     PlacementSettings settings;
-    settings.maximum_places = 10;
+    settings.maximum_placements = 10;
     PlacementZone zone(1, settings);
     const std::size_t asker = zone.asker();
     for (int i = 0; i < 100; ++i) {
@@ -563,7 +564,7 @@
   void everyPlaceIsGivenBackUnderFaults() {
     testing::requireProperty("every place is given back", 30, [](std::uint32_t seed) {
       PlacementSettings settings;
-      settings.place_time_limit = seconds(3);
+      settings.placement_time_limit = seconds(3);
       PlacementZone zone(seed, settings);
       simulation::LinkSettings link;
       link.loss = 0.05;
--- a/tests/routing/prefix_index_test.cpp
+++ b/tests/routing/prefix_index_test.cpp
@@ -139,23 +139,23 @@
   }
 
   void onlyWhatIsToldCountsUnlessForetold() {
-    for (const bool foretells : {true, false}) {
+    for (const bool predicts_unreported : {true, false}) {
       PrefixIndexSettings settings;
-      settings.foretells = foretells;
+      settings.predicts_unreported = predicts_unreported;
       PrefixIndex index(settings);
       common::PromptShape sent;
       sent.pieces = {11};
       sent.tokens = common::kTokensPerCachePiece;
       index.foretold(1, sent, kNow);
-      CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, depthOf(index, 1, {11}));
+      CPPUNIT_ASSERT_EQUAL(predicts_unreported ? 1U : 0U, depthOf(index, 1, {11}));
       // A full engine.
       index.setCapacity(2, 10000);
       index.stored(2, 12, 6000, kNow);
       index.stored(2, 13, 6000, kNow);
-      CPPUNIT_ASSERT_EQUAL(foretells ? 0U : 1U, depthOf(index, 2, {12}));
+      CPPUNIT_ASSERT_EQUAL(predicts_unreported ? 0U : 1U, depthOf(index, 2, {12}));
       // An event as soon as the last use.
-      CPPUNIT_ASSERT_EQUAL(!foretells, index.evictionReported(2, 13, kNow));
-      CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, depthOf(index, 2, {13}));
+      CPPUNIT_ASSERT_EQUAL(!predicts_unreported, index.evictionReported(2, 13, kNow));
+      CPPUNIT_ASSERT_EQUAL(predicts_unreported ? 1U : 0U, depthOf(index, 2, {13}));
     }
   }
 
