--- a/src/cypresswall/routing/cost_model.cpp
+++ b/src/cypresswall/routing/cost_model.cpp
@@ -8,7 +8,7 @@
 /// Speed assumed of an engine that declares none.
 constexpr double kDefaultPrefillTokensPerSecond = 5000;
 /// Slack of CostInputs::relaxed_single_stream_step.
-constexpr double kLoneStepSlack = 1.25;
+constexpr double kSingleStreamStepSlack = 1.25;
 
 /// While streams run, each chunk of prompt shares its step with one token of every stream.
 double secondsPerPrefillToken(const EngineEstimate& engine, double step, double chunks_per_token) {
@@ -71,7 +71,8 @@
   inputs.queue_empty_at = engine.observed_at + engine.queued_prefill_tokens * per_token;
   inputs.unreported_wait = engine.unreported_prefill_tokens * per_token;
   inputs.slot_wait = slotWait(engine, step);
-  inputs.relaxed_single_stream_step = static_cast<float>(stepSeconds(engine, 1.0) * kLoneStepSlack);
+  inputs.relaxed_single_stream_step =
+      static_cast<float>(stepSeconds(engine, 1.0) * kSingleStreamStepSlack);
   inputs.role = engine.role;
   inputs.has_backlog = engine.has_backlog;
   inputs.backlog_empty_at = engine.backlog_empty_at;
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -17,7 +17,7 @@
 constexpr double kNoEngineRetrySeconds = 2.0;
 
 /// Cost of a long answer on an engine that hosts none: below that of a late one.
-constexpr double kAstrayPenalty = 10.0;
+constexpr double kNonHostPenalty = 10.0;
 
 /// Finalizer of splitmix64: spreads the bits of `value`.
 std::uint64_t mixBits(std::uint64_t value) {
@@ -60,7 +60,7 @@
       sent_(settings.report_slack, estimates_),
       long_prompts_(settings_, model_, context.clock, directory, estimates_),
       output_speeds_(settings.output_speed),
-      turn_salt_(context.random.next()),
+      tie_break_salt_(context.random.next()),
       routed_(
           context.counters.counter("cypresswall_routes_total", "Engines chosen", "kind", "whole")),
       routed_disaggregated_(context.counters.counter("cypresswall_routes_total", "Engines chosen",
@@ -85,7 +85,7 @@
     name_hashes_.resize(static_cast<std::size_t>(slot) + 1);
     cached_tokens_.resize(static_cast<std::size_t>(slot) + 1);
     last_attempt_.resize(static_cast<std::size_t>(slot) + 1);
-    output_places_.resize(static_cast<std::size_t>(slot) + 1);
+    output_hosting_.resize(static_cast<std::size_t>(slot) + 1);
   }
   const EngineRecord& record = table_.record(slot);
   name_hashes_[slot] = common::hash64(record.declaration.name);
@@ -151,13 +151,13 @@
     narrowed_.erase(std::unique(narrowed_.begin(), narrowed_.end()), narrowed_.end());
   }
   // Before those that refused a permit: they count where a caller is told when to return.
-  leaveOutExhausted();
+  excludeExhausted();
   for (const common::EngineName& name : request.excluded) {
     std::erase(narrowed_, table_.slotOf(name));
   }
 }
 
-void CostRouter::leaveOutExhausted() {
+void CostRouter::excludeExhausted() {
   exhausted_.clear();
   if (directory_.rateLimiter() == nullptr) {
     return;
@@ -169,7 +169,7 @@
   }
 }
 
-void CostRouter::notePrefixes(const RouteRequest& request) {
+void CostRouter::lookUpPrefixes(const RouteRequest& request) {
   prefixes_.match(request.shape.pieces, matches_);
   for (const PrefixMatch& match : matches_) {
     if (match.engine < cached_tokens_.size()) {
@@ -232,7 +232,7 @@
   double places = 1;
   for (const EngineSlot slot : narrowed_) {
     const EngineEstimate& engine = estimates_.estimate(slot);
-    output_places_[slot] = OutputPlace::kApart;
+    output_hosting_[slot] = OutputHosting::kNonHost;
     if (engine.role == engines::EngineRole::kDecode) {
       decode_order_.push_back(slot);
       outputs += engine.output_streams;
@@ -251,17 +251,17 @@
                       return name_hashes_[left] < name_hashes_[right];
                     });
   for (std::size_t i = 0; i < hosts; ++i) {
-    output_places_[decode_order_[i]] = OutputPlace::kHost;
+    output_hosting_[decode_order_[i]] = OutputHosting::kHost;
   }
 }
 
-bool CostRouter::astray(EngineSlot slot, const Work& work) const {
-  return output_places_[slot] == OutputPlace::kApart &&
+bool CostRouter::offOutputHost(EngineSlot slot, const Work& work) const {
+  return output_hosting_[slot] == OutputHosting::kNonHost &&
          work.decode_tokens >= settings_.output_speed.minimum_tokens;
 }
 
-bool CostRouter::crowdsOut(EngineSlot slot, const Work& work, const PromptWork& prompt,
-                           double now) const {
+bool CostRouter::delaysDecoding(EngineSlot slot, const Work& work, const PromptWork& prompt,
+                                double now) const {
   const CostInputs& engine = estimates_.inputs(slot);
   if (engine.role != engines::EngineRole::kDecode ||
       prompt.uncached <= settings_.prefill_chunk_tokens) {
@@ -270,9 +270,9 @@
   const double computing = OfferModel::computingSeconds(engine, prompt);
   if (hostsOutput(slot)) {
     return OfferModel::promptsWait(engine, now) + computing >
-           work.between_tokens_limit * settings_.host_crowding_share;
+           work.between_tokens_limit * settings_.host_decode_delay_share;
   }
-  return computing > work.between_tokens_limit * settings_.crowding_share;
+  return computing > work.between_tokens_limit * settings_.decode_delay_share;
 }
 
 void CostRouter::chargeOccupancy() {
@@ -301,7 +301,7 @@
     // A decode engine computes prompts as well, only slowly; a mixed one takes computed prompts.
     const Offer offer = model_.whole(engine, work, prompt, now);
     whole_engines_.push_back(
-        {offer.cost, slot, crowdsOut(slot, work, prompt, now), offer.occupancy});
+        {offer.cost, slot, delaysDecoding(slot, work, prompt, now), offer.occupancy});
     contention.count(engine, offer);
   }
   contention_ = contention.share();
@@ -311,7 +311,7 @@
   }
   for (PricedEngine& whole : whole_engines_) {
     const double cost = model_.decode(estimates_.inputs(whole.engine), work, now).cost;
-    const double penalty = astray(whole.engine, work) ? kAstrayPenalty : 0.0;
+    const double penalty = offOutputHost(whole.engine, work) ? kNonHostPenalty : 0.0;
     decode_engines_.push_back({cost + penalty, whole.engine});
     whole.cost += (whole.crowds_out ? kLatePenalty : 0.0) + penalty;
   }
@@ -340,7 +340,7 @@
   equals_.clear();
   std::copy_if(engines.begin(), engines.end(), std::back_inserter(equals_),
                [limit](const PricedEngine& engine) { return engine.cost <= limit; });
-  return work.affinity != 0 ? preferredByHash(equals_, work.affinity) : nextInTurn(equals_);
+  return work.affinity != 0 ? preferredByHash(equals_, work.affinity) : leastRecentlyUsed(equals_);
 }
 
 EngineSlot CostRouter::preferredByHash(const std::vector<PricedEngine>& equals,
@@ -357,10 +357,10 @@
   return best;
 }
 
-EngineSlot CostRouter::nextInTurn(const std::vector<PricedEngine>& equals) const {
+EngineSlot CostRouter::leastRecentlyUsed(const std::vector<PricedEngine>& equals) const {
   const auto turn = [this](EngineSlot slot) {
     const bool full = estimates_.inputs(slot).slot_wait > 0;
-    return std::tuple(full, last_attempt_[slot], mixBits(name_hashes_[slot] ^ turn_salt_));
+    return std::tuple(full, last_attempt_[slot], mixBits(name_hashes_[slot] ^ tie_break_salt_));
   };
   const auto next = std::min_element(equals.begin(), equals.end(),
                                      [&turn](const PricedEngine& a, const PricedEngine& b) {
@@ -379,7 +379,7 @@
     const PromptWork prompt = promptWork(whole.engine, work);
     whole.offer = model_.whole(engine, work, prompt, now);
     whole.offer.crowds_out =
-        !prefill_engines_.empty() && crowdsOut(whole.engine, work, prompt, now);
+        !prefill_engines_.empty() && delaysDecoding(whole.engine, work, prompt, now);
     whole.offer.cost += whole.offer.crowds_out ? kLatePenalty : 0.0;
     whole.offer.cost += contention_ * whole.offer.occupancy;
   }
@@ -442,7 +442,7 @@
     const CostInputs& decode_engine = estimates_.inputs(selection.engine);
     demand.flexible = uncached > settings_.prefill_chunk_tokens &&
                       uncached * decode_engine.seconds_per_prefill_token <
-                          work.between_tokens_limit * settings_.crowding_share;
+                          work.between_tokens_limit * settings_.decode_delay_share;
     demand.prompt_time = common::fromSeconds(model_.occupyingSeconds(engine, prompt));
   }
   demand.prefill_tokens = static_cast<std::uint64_t>(uncached);
@@ -461,7 +461,7 @@
   }
   const Work work = workOf(request);
   const auto& all = candidatesFor(request);
-  notePrefixes(request);
+  lookUpPrefixes(request);
   narrow(request, all);
   const Selection selection = select(work, toModelTime(context_.clock.now()));
   countDemand(request, work, selection);
--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -62,10 +62,10 @@
   };
 
   /// Where long answers are given.
-  enum class OutputPlace : std::uint8_t {
+  enum class OutputHosting : std::uint8_t {
     kAnywhere,  ///< they are not gathered
     kHost,      ///< gathered at this engine
-    kApart,     ///< gathered at others
+    kNonHost,   ///< gathered at others
   };
   /// An answer that has not begun.
   struct AwaitedOutput {
@@ -78,8 +78,8 @@
   const std::vector<EngineSlot>& candidatesFor(const RouteRequest& request);
   void narrow(const RouteRequest& request, const std::vector<EngineSlot>& all);
   /// Leaves out the engines that have no request left of a limit that they named.
-  void leaveOutExhausted();
-  void notePrefixes(const RouteRequest& request);
+  void excludeExhausted();
+  void lookUpPrefixes(const RouteRequest& request);
   void clearPrefixes();
   /// Finds the engine from which others may copy the cached start of the prompt.
   void findPrefixSource(const RouteRequest& request);
@@ -87,12 +87,13 @@
   PromptWork promptWork(EngineSlot slot, const Work& work) const;
   /// Finds the decode engines on which long answers are gathered, if they are.
   void chooseOutputHosts();
-  bool hostsOutput(EngineSlot slot) const { return output_places_[slot] == OutputPlace::kHost; }
+  bool hostsOutput(EngineSlot slot) const { return output_hosting_[slot] == OutputHosting::kHost; }
   /// \return true if the answer is long, and would be given apart from where long ones are gathered
-  bool astray(EngineSlot slot, const Work& work) const;
+  bool offOutputHost(EngineSlot slot, const Work& work) const;
   /// \return true if `engine` is a decode engine and the prompt takes it longer than one step, and
   ///   than its streams may be held up.
-  bool crowdsOut(EngineSlot slot, const Work& work, const PromptWork& prompt, double now) const;
+  bool delaysDecoding(EngineSlot slot, const Work& work, const PromptWork& prompt,
+                      double now) const;
   void priceEngines(const Work& work, double now);
   /// \return the cheapest engine. Among near equals a prompt with whole cache pieces gets the one
   ///   that its hash prefers, another the one whose turn it is; kNoEngineSlot if there is none.
@@ -104,7 +105,7 @@
   EngineSlot preferredByHash(const std::vector<PricedEngine>& equals,
                              common::PieceHash piece) const;
   /// \return the engine that got work longest ago, of those with a place free if there are any.
-  EngineSlot nextInTurn(const std::vector<PricedEngine>& equals) const;
+  EngineSlot leastRecentlyUsed(const std::vector<PricedEngine>& equals) const;
   /// Adds to the costs what others bear, by the share of engines at which prompts wait.
   void chargeOccupancy();
   Selection select(const Work& work, double now);
@@ -134,7 +135,7 @@
   std::vector<std::uint64_t> last_attempt_;
   std::uint64_t attempts_ = 0;
   /// Makes each node begin its turns at another engine.
-  std::uint64_t turn_salt_;
+  std::uint64_t tie_break_salt_;
   /// By model, the model time up to which refused callers were told to come back.
   std::map<common::ModelName, double> promised_until_;
   // Scratch space, kept so that a choice allocates nothing.
@@ -154,7 +155,7 @@
   std::vector<PricedEngine> equals_;
   std::vector<EngineSlot> decode_order_;
   /// By slot.
-  std::vector<OutputPlace> output_places_;
+  std::vector<OutputHosting> output_hosting_;
   common::Counter& routed_;
   common::Counter& routed_disaggregated_;
   common::Counter& refused_overloaded_;
--- a/src/cypresswall/routing/delta_exchange.cpp
+++ b/src/cypresswall/routing/delta_exchange.cpp
@@ -13,12 +13,12 @@
 constexpr double kIdentityBytes = 80;
 constexpr double kHintBytes = 14;
 /// A publication waits until the budget pays for its fixed part this many times.
-constexpr double kFixedPartShare = 2.0;
+constexpr double kFixedCostMultiple = 2.0;
 /// Unspent budget is kept for this long.
-constexpr double kBudgetSeconds = 2.0;
+constexpr double kBudgetWindowSeconds = 2.0;
 /// Whatever the budget, each peer may be told this much: one small publication a second. With less
 /// the peers of a zone of many nodes would take all engines for silent.
-constexpr double kLeastBytesPerPeerSecond = 120;
+constexpr double kMinimumBytesPerPeerSecond = 120;
 constexpr std::size_t kMaximumQueuedHints = 512;
 /// Above this many, sequence numbers of peers that are gone are forgotten.
 constexpr std::size_t kMaximumRememberedPeers = 64;
@@ -26,7 +26,7 @@
 /// An engine's identity is asked for again after this. The answer to a request takes some ten
 /// milliseconds; a peer whose answers never match (another build's, say) must not be asked at the
 /// pace of its answers.
-constexpr auto kIdentityRetry = std::chrono::seconds(1);
+constexpr auto kIdentityRetryInterval = std::chrono::seconds(1);
 /// Significance of a change of state, role or identity.
 constexpr double kUrgentSignificance = 1000.0;
 
@@ -101,8 +101,8 @@
   }
   std::set<common::NodeId> found;
   for (const EngineSlot slot : poller_->watched()) {
-    const auto& deciders = groups_.otherRoutingNodes(slot);
-    found.insert(deciders.begin(), deciders.end());
+    const auto& nodes = groups_.otherRoutingNodes(slot);
+    found.insert(nodes.begin(), nodes.end());
   }
   if (planning_node_ && !poller_->watched().empty()) {
     found.insert(planning_node_());
@@ -116,9 +116,9 @@
   const common::MonotonicTime now = context_.clock.now();
   const auto targets = receivers();
   const double rate = std::max<double>(settings_.publish_bytes_per_second,
-                                       kLeastBytesPerPeerSecond * targets.size());
+                                       kMinimumBytesPerPeerSecond * targets.size());
   budget_bytes_ += rate * common::toSeconds(now - budget_filled_at_);
-  budget_bytes_ = std::min(budget_bytes_, rate * kBudgetSeconds);
+  budget_bytes_ = std::min(budget_bytes_, rate * kBudgetWindowSeconds);
   budget_filled_at_ = now;
   if (received_.size() > kMaximumRememberedPeers) {
     std::erase_if(received_, [&](const auto& item) {
@@ -161,7 +161,7 @@
                      return left.significance > right.significance;
                    });
   std::sort(message.confirmed.begin(), message.confirmed.end());
-  message.confirmed = differencesOf(message.confirmed);
+  message.confirmed = encodeDifferences(message.confirmed);
   return changes;
 }
 
@@ -170,18 +170,18 @@
   return last != published_.end() && last->second.delta.identity_tag != change.delta.identity_tag;
 }
 
-double DeltaExchange::costOf(const PendingChange& change) const {
+double DeltaExchange::estimatedBytes(const PendingChange& change) const {
   return kDeltaBytes + (identityChanged(change) ? kIdentityBytes : 0);
 }
 
 void DeltaExchange::addChanges(EngineDeltas& message, const std::vector<PendingChange>& changes,
                                double budget) {
   for (const PendingChange& change : changes) {
-    const double cost = costOf(change);
+    const double cost = estimatedBytes(change);
     if (budget < cost) {
       deferred_changes_.add();
       if (table_.record(change.slot).reachable) {
-        message.heard.push_back(change.delta.index);
+        message.deferred.push_back(change.delta.index);
       }
       continue;
     }
@@ -193,8 +193,8 @@
     message.changed.push_back(change.delta);
     published_[change.slot] = Published{change.delta, context_.clock.now()};
   }
-  std::sort(message.heard.begin(), message.heard.end());
-  message.heard = differencesOf(message.heard);
+  std::sort(message.deferred.begin(), message.deferred.end());
+  message.deferred = encodeDifferences(message.deferred);
   addHints(message, budget);
 }
 
@@ -226,7 +226,8 @@
   const bool urgent = !changes.empty() && changes.front().significance >= kUrgentSignificance;
   // An urgent publication has to pay for its first change too, or it would spend the budget on its
   // fixed part again and again and never carry the change.
-  const double least = urgent ? fixed + costOf(changes.front()) : fixed * kFixedPartShare;
+  const double least =
+      urgent ? fixed + estimatedBytes(changes.front()) : fixed * kFixedCostMultiple;
   if (budget < least) {
     return;
   }
@@ -254,7 +255,7 @@
   }
   std::set<std::uint16_t> unknown;
   if (!answer && message.sequence != last + 1) {
-    const auto confirmed = sumsOf(message.confirmed);
+    const auto confirmed = decodeDifferences(message.confirmed);
     unknown.insert(confirmed.begin(), confirmed.end());
   }
   if (!answer) {
@@ -270,7 +271,7 @@
   }
   applyChanges(message, unknown);
   applyConfirmations(message, unknown);
-  applyHeard(message);
+  applyDeferred(message);
   applyHints(message);
   if (!unknown.empty()) {
     identity_requests_.add();
@@ -278,10 +279,10 @@
   }
 }
 
-bool DeltaExchange::mayAskFor(std::uint16_t index) {
+bool DeltaExchange::mayRequestIdentity(std::uint16_t index) {
   const common::MonotonicTime now = context_.clock.now();
   const auto [asked, first] = asked_.try_emplace(index, now);
-  if (!first && now - asked->second < kIdentityRetry) {
+  if (!first && now - asked->second < kIdentityRetryInterval) {
     return false;
   }
   asked->second = now;
@@ -303,7 +304,7 @@
     }
     if (identityTag(observation.load) != delta.identity_tag) {
       unmatched_identities_.add();
-      if (mayAskFor(delta.index)) {
+      if (mayRequestIdentity(delta.index)) {
         unknown.insert(delta.index);
       }
       continue;
@@ -319,7 +320,7 @@
                                        std::set<std::uint16_t>& unknown) {
   const common::MonotonicTime now = context_.clock.now();
   const common::MonotonicTime observed_at = now - kAgeUnit * message.confirmed_age_centiseconds;
-  for (const std::uint16_t index : sumsOf(message.confirmed)) {
+  for (const std::uint16_t index : decodeDifferences(message.confirmed)) {
     const EngineSlot slot = slotAt(index);
     if (slot == kNoEngineSlot) {
       continue;
@@ -333,12 +334,12 @@
   }
 }
 
-void DeltaExchange::applyHeard(const EngineDeltas& message) {
+void DeltaExchange::applyDeferred(const EngineDeltas& message) {
   const common::MonotonicTime now = context_.clock.now();
-  for (const std::uint16_t index : sumsOf(message.heard)) {
+  for (const std::uint16_t index : decodeDifferences(message.deferred)) {
     const EngineSlot slot = slotAt(index);
     if (slot != kNoEngineSlot) {
-      table_.hear(slot, now, now);
+      table_.noteContact(slot, now, now);
     }
   }
 }
--- a/src/cypresswall/routing/delta_exchange.h
+++ b/src/cypresswall/routing/delta_exchange.h
@@ -59,7 +59,7 @@
   /// \return true if the engine's model, version, adapters or speeds differ from those published.
   bool identityChanged(const PendingChange& change) const;
   /// \return upper estimate of the bytes that a change adds to a message.
-  double costOf(const PendingChange& change) const;
+  double estimatedBytes(const PendingChange& change) const;
   void addChanges(EngineDeltas& message, const std::vector<PendingChange>& changes, double budget);
   void addHints(EngineDeltas& message, double budget);
   common::Duration ageOf(EngineSlot slot) const;
@@ -68,10 +68,10 @@
 
   void onDeltas(const common::NodeId& sender, const EngineDeltas& message);
   /// \return true unless the identity of the engine at `index` was asked for lately
-  bool mayAskFor(std::uint16_t index);
+  bool mayRequestIdentity(std::uint16_t index);
   void applyChanges(const EngineDeltas& message, std::set<std::uint16_t>& unknown);
   void applyConfirmations(const EngineDeltas& message, std::set<std::uint16_t>& unknown);
-  void applyHeard(const EngineDeltas& message);
+  void applyDeferred(const EngineDeltas& message);
   void applyHints(const EngineDeltas& message);
   void onIdentityRequest(const common::NodeId& sender, const IdentityRequest& request);
 
--- a/src/cypresswall/routing/engine_deltas.cpp
+++ b/src/cypresswall/routing/engine_deltas.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kPicosecondsPerSecond = 1e12;
 /// Larger figures are told as this one: 4 ms a token in picoseconds, 4e9 tokens a second.
-constexpr double kMostUnits = 4e9;
+constexpr double kMaximumUnits = 4e9;
 
 constexpr std::uint64_t kTokensPerUnit = 100;
 constexpr auto kAgeUnit = std::chrono::milliseconds(10);
@@ -32,8 +32,8 @@
 /// Rounds to whole units. Cut off in place of that, what a peer takes in would at some values be
 /// one unit less when it is told again, and would never match the tag of what it was told: peers
 /// then ask for the identity again and again.
-std::uint32_t wholeUnits(double value) {
-  return static_cast<std::uint32_t>(std::llround(std::clamp(value, 0.0, kMostUnits)));
+std::uint32_t roundToUnits(double value) {
+  return static_cast<std::uint32_t>(std::llround(std::clamp(value, 0.0, kMaximumUnits)));
 }
 
 double difference(std::uint32_t left, std::uint32_t right) {
@@ -103,14 +103,14 @@
   identity.adapters = load.adapters;
   identity.maximum_streams = load.maximum_streams;
   identity.cache_pieces_total = load.cache_pieces_total;
-  identity.prefill_tokens_per_second = wholeUnits(load.prefill_tokens_per_second);
+  identity.prefill_tokens_per_second = roundToUnits(load.prefill_tokens_per_second);
   identity.decode_step_base_us = static_cast<std::uint32_t>(load.decode_step_base.count());
   identity.decode_step_per_stream_us =
       static_cast<std::uint32_t>(load.decode_step_per_stream.count());
   identity.prefill_base_us = static_cast<std::uint32_t>(load.prefill_base.count());
   identity.prefill_pair_picoseconds =
-      wholeUnits(load.prefill_seconds_per_pair * kPicosecondsPerSecond);
-  identity.kv_token_picoseconds = wholeUnits(load.kv_seconds_per_token * kPicosecondsPerSecond);
+      roundToUnits(load.prefill_seconds_per_pair * kPicosecondsPerSecond);
+  identity.kv_token_picoseconds = roundToUnits(load.kv_seconds_per_token * kPicosecondsPerSecond);
   return identity;
 }
 
@@ -157,7 +157,7 @@
   return greater < 1.0 ? 0.0 : greater;
 }
 
-std::vector<std::uint16_t> differencesOf(const std::vector<std::uint16_t>& ascending) {
+std::vector<std::uint16_t> encodeDifferences(const std::vector<std::uint16_t>& ascending) {
   std::vector<std::uint16_t> differences;
   differences.reserve(ascending.size());
   std::uint16_t previous = 0;
@@ -168,7 +168,7 @@
   return differences;
 }
 
-std::vector<std::uint16_t> sumsOf(const std::vector<std::uint16_t>& differences) {
+std::vector<std::uint16_t> decodeDifferences(const std::vector<std::uint16_t>& differences) {
   std::vector<std::uint16_t> sums;
   sums.reserve(differences.size());
   std::uint16_t sum = 0;
--- a/src/cypresswall/routing/engine_deltas.h
+++ b/src/cypresswall/routing/engine_deltas.h
@@ -76,13 +76,13 @@
   /// indexes, the first from zero.
   std::vector<std::uint16_t> confirmed;
   /// Engines polled since whose load changed but is not told for want of budget, in the same form.
-  std::vector<std::uint16_t> heard;
+  std::vector<std::uint16_t> deferred;
   /// Age of the oldest report behind `confirmed`, in units of 10 ms.
   std::uint32_t confirmed_age_centiseconds = 0;
   std::vector<EngineIdentity> identities;
   std::vector<CacheHint> cache_hints;
 
-  MSGPACK_DEFINE(roster_digest, sequence, changed, confirmed, heard, confirmed_age_centiseconds,
+  MSGPACK_DEFINE(roster_digest, sequence, changed, confirmed, deferred, confirmed_age_centiseconds,
                  identities, cache_hints)
 };
 
@@ -114,8 +114,8 @@
 double changeSignificance(const EngineDelta& published, const EngineDelta& now,
                           const engines::EngineLoad& load);
 
-std::vector<std::uint16_t> differencesOf(const std::vector<std::uint16_t>& ascending);
-/// Inverse of differencesOf().
-std::vector<std::uint16_t> sumsOf(const std::vector<std::uint16_t>& differences);
+std::vector<std::uint16_t> encodeDifferences(const std::vector<std::uint16_t>& ascending);
+/// Inverse of encodeDifferences().
+std::vector<std::uint16_t> decodeDifferences(const std::vector<std::uint16_t>& differences);
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -73,7 +73,7 @@
   return membership_.joining() && membership_.members().size() == 1;
 }
 
-void EngineDirectory::forgetUndecided() {
+void EngineDirectory::forgetUnroutedEngines() {
   for (const EngineSlot slot : table_.roster()) {
     if (!groups_.routesTo(slot)) {
       prefixes_.forgetEngine(slot);
@@ -96,7 +96,7 @@
     assigned_members_ = members;
     roster_changed_ = false;
     groups_.update();
-    forgetUndecided();
+    forgetUnroutedEngines();
   }
   std::set<EngineSlot> watched;
   for (const EngineSlot slot : table_.roster()) {
@@ -120,7 +120,7 @@
   poller_.watch(watched);
 }
 
-void EngineDirectory::notePause() {
+void EngineDirectory::detectPause() {
   const common::MonotonicTime now = context_.clock.now();
   if (now - swept_at_ > settings_.pause_limit) {
     swept_at_ = now;
@@ -130,12 +130,12 @@
 }
 
 bool EngineDirectory::catchingUp() {
-  notePause();
+  detectPause();
   return context_.clock.now() < catch_up_until_;
 }
 
 void EngineDirectory::sweep() {
-  notePause();
+  detectPause();
   swept_at_ = context_.clock.now();
   table_.sweep(context_.clock.now());
   if (!handed_over_.empty() || members_changed_ || roster_changed_) {
--- a/src/cypresswall/routing/engine_directory.h
+++ b/src/cypresswall/routing/engine_directory.h
@@ -68,9 +68,9 @@
   void assignWatches();
   /// \return true until this node knows who else may watch engines.
   bool awaitsPeers() const;
-  void forgetUndecided();
+  void forgetUnroutedEngines();
   void sweep();
-  void notePause();
+  void detectPause();
 
   DirectorySettings settings_;
   const api::ProcessContext& context_;
--- a/src/cypresswall/routing/engine_ejection.cpp
+++ b/src/cypresswall/routing/engine_ejection.cpp
@@ -24,13 +24,15 @@
       context_(context),
       groups_(groups),
       table_(table),
-      own_(context.counters.counter("cypresswall_engine_ejections_total",
-                                    "Engines taken out of routing for a while", "source", "own")),
-      by_peers_(context.counters.counter("cypresswall_engine_ejections_total",
-                                         "Engines taken out of routing for a while", "source",
-                                         "zone")),
-      kept_(context.counters.counter("cypresswall_engine_ejections_refused_total",
-                                     "Engines kept since too many are ejected already")) {
+      own_ejections_(context.counters.counter("cypresswall_engine_ejections_total",
+                                              "Engines taken out of routing for a while", "source",
+                                              "own")),
+      zone_ejections_(context.counters.counter("cypresswall_engine_ejections_total",
+                                               "Engines taken out of routing for a while", "source",
+                                               "zone")),
+      refused_ejections_(
+          context.counters.counter("cypresswall_engine_ejections_refused_total",
+                                   "Engines kept since too many are ejected already")) {
   context_.dispatcher.handle<EngineFailureReport>(
       [this](const common::NodeId& sender, const EngineFailureReport& report) {
         onReport(sender, report);
@@ -51,17 +53,17 @@
   const common::MonotonicTime now = context_.clock.now();
   const bool unreached = failure == engines::StreamFailure::kNotSent;
   Engine& engine = engines_[slot];
-  bool sick = unreached;
+  bool eject_now = unreached;
   if (!unreached) {
     std::erase_if(engine.broken, [&](auto at) { return now - at > settings_.window; });
     engine.broken.push_back(now);
-    sick = engine.broken.size() >= settings_.own_broken_streams;
+    eject_now = engine.broken.size() >= settings_.own_broken_streams;
   }
-  if (sick && now >= table_.ejectedUntil(slot) && mayEject(slot, unreached)) {
-    own_.add();
-    eject(slot, nextTime(slot), unreached, kOwnAttempts);
+  if (eject_now && now >= table_.ejectedUntil(slot) && mayEject(slot, unreached)) {
+    own_ejections_.add();
+    eject(slot, nextEjectionTime(slot), unreached, kOwnAttempts);
   }
-  tell(slot, unreached);
+  reportFailure(slot, unreached);
 }
 
 void EngineEjection::placedAttemptFailed(const common::NodeId& node, EngineSlot slot,
@@ -72,7 +74,7 @@
   }
 }
 
-void EngineEjection::tell(EngineSlot slot, bool unreached) {
+void EngineEjection::reportFailure(EngineSlot slot, bool unreached) {
   const EngineFailureReport report{table_.record(slot).declaration.name, unreached};
   const common::NodeId watcher = groups_.watcherOf(slot);
   if (watcher == context_.self) {
@@ -89,21 +91,21 @@
   }
   const common::MonotonicTime now = context_.clock.now();
   Engine& engine = engines_[slot];
-  std::erase_if(engine.told,
+  std::erase_if(engine.reports,
                 [&](const Failure& failure) { return now - failure.at > settings_.window; });
-  if (engine.told.size() < settings_.remembered_failures) {
-    engine.told.push_back({sender, report.unreached, now});
+  if (engine.reports.size() < settings_.remembered_failures) {
+    engine.reports.push_back({sender, report.unreached, now});
   }
-  if (convincing(engine, report.unreached) && mayEject(slot, report.unreached)) {
-    engine.told.clear();
+  if (enoughReports(engine, report.unreached) && mayEject(slot, report.unreached)) {
+    engine.reports.clear();
     ejectForZone(slot, report.unreached);
   }
 }
 
-bool EngineEjection::convincing(const Engine& engine, bool unreached) const {
+bool EngineEjection::enoughReports(const Engine& engine, bool unreached) const {
   std::set<common::NodeId> nodes;
   std::size_t failures = 0;
-  for (const Failure& failure : engine.told) {
+  for (const Failure& failure : engine.reports) {
     if (failure.unreached == unreached) {
       nodes.insert(failure.node);
       ++failures;
@@ -114,13 +116,13 @@
 }
 
 void EngineEjection::ejectForZone(EngineSlot slot, bool unreached) {
-  const common::Duration time = nextTime(slot);
+  const common::Duration time = nextEjectionTime(slot);
   EngineEjected notice;
   notice.engine = table_.record(slot).declaration.name;
   notice.unreached = unreached;
   notice.milliseconds = static_cast<std::uint32_t>(time / std::chrono::milliseconds(1));
   context_.sendToAll(groups_.otherRoutingNodes(slot), notice);
-  by_peers_.add();
+  zone_ejections_.add();
   eject(slot, time, unreached, kZone);
 }
 
@@ -130,17 +132,18 @@
     return;
   }
   if (!mayEject(slot, notice.unreached)) {
-    kept_.add();
+    refused_ejections_.add();
     return;
   }
-  by_peers_.add();
-  const common::Duration told = std::chrono::milliseconds(notice.milliseconds);
-  eject(slot, std::min(told, settings_.maximum_time), notice.unreached, kZone);
+  zone_ejections_.add();
+  const common::Duration announced = std::chrono::milliseconds(notice.milliseconds);
+  eject(slot, std::min(announced, settings_.maximum_time), notice.unreached, kZone);
 }
 
-common::Duration EngineEjection::nextTime(EngineSlot slot) {
+common::Duration EngineEjection::nextEjectionTime(EngineSlot slot) {
   Engine& engine = engines_[slot];
-  const bool soon = context_.clock.now() - table_.ejectedUntil(slot) <= settings_.memory;
+  const bool soon =
+      context_.clock.now() - table_.ejectedUntil(slot) <= settings_.backoff_reset_time;
   engine.in_a_row = engine.in_a_row > 0 && soon ? engine.in_a_row + 1 : 1;
   common::Duration time = settings_.base_time;
   for (std::uint32_t i = 1; i < engine.in_a_row && time < settings_.maximum_time; ++i) {
--- a/src/cypresswall/routing/engine_ejection.h
+++ b/src/cypresswall/routing/engine_ejection.h
@@ -64,7 +64,7 @@
   };
   struct Engine {
     /// Of the last window, told to this node as the watcher.
-    std::vector<Failure> told;
+    std::vector<Failure> reports;
     /// Of the last window, this node's own broken streams.
     std::vector<common::MonotonicTime> broken;
     /// Ejections in a row, each begun soon after the one before ended.
@@ -73,12 +73,12 @@
 
   void onReport(const common::NodeId& sender, const EngineFailureReport& report);
   void onEjected(const EngineEjected& notice);
-  void tell(EngineSlot slot, bool unreached);
+  void reportFailure(EngineSlot slot, bool unreached);
   /// \return true if what the nodes told of the last window is enough to eject the engine
-  bool convincing(const Engine& engine, bool unreached) const;
+  bool enoughReports(const Engine& engine, bool unreached) const;
   void ejectForZone(EngineSlot slot, bool unreached);
   /// \return for how long the engine's next ejection lasts
-  common::Duration nextTime(EngineSlot slot);
+  common::Duration nextEjectionTime(EngineSlot slot);
   /// \return true unless ejection is switched off, or as many engines of the model and role are
   ///   ejected as may be
   bool mayEject(EngineSlot slot, bool unreached) const;
@@ -89,9 +89,9 @@
   const EngineGroups& groups_;
   EngineTable& table_;
   std::unordered_map<EngineSlot, Engine> engines_;
-  common::Counter& own_;
-  common::Counter& by_peers_;
-  common::Counter& kept_;
+  common::Counter& own_ejections_;
+  common::Counter& zone_ejections_;
+  common::Counter& refused_ejections_;
 };
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/engine_groups.cpp
+++ b/src/cypresswall/routing/engine_groups.cpp
@@ -14,7 +14,7 @@
 using membership::MemberState;
 
 /// Groups that may be asked for one request.
-constexpr std::size_t kHomes = 2;
+constexpr std::size_t kMaximumCandidateGroups = 2;
 
 std::uint64_t mix(std::uint64_t first, std::uint64_t second) {
   return common::hash64("", first ^ (second * 0x9E3779B97F4A7C15ULL));
@@ -28,7 +28,7 @@
 
 void EngineGroups::update() {
   const auto& members = membership_.members();
-  every_node_decides_ = members.size() <= settings_.shared_zone_node_limit;
+  every_node_routes_ = members.size() <= settings_.shared_zone_node_limit;
   other_members_.clear();
   for (const Member& member : members) {
     if (member.node != membership_.self() && member.state != MemberState::kDead) {
@@ -37,7 +37,7 @@
   }
   divideEngines();
   findOwners();
-  noteDeciders();
+  updateRoutingNodes();
 }
 
 void EngineGroups::divideEngines() {
@@ -46,11 +46,11 @@
     by_model[table_.record(slot).declaration.model].push_back(slot);
   }
   groups_.clear();
-  homes_.clear();
+  engines_by_model_.clear();
   group_of_.assign(table_.slotCount(), 0);
   for (const auto& [model, slots] : by_model) {
     const std::size_t count =
-        every_node_decides_
+        every_node_routes_
             ? 1
             : (slots.size() + settings_.engines_per_group - 1) / settings_.engines_per_group;
     const std::size_t first = groups_.size();
@@ -67,7 +67,7 @@
       }
       groups_[best].engines.push_back(slot);
       group_of_[slot] = best;
-      homes_[model].push_back({hash, best, declaration.initial_role});
+      engines_by_model_[model].push_back({hash, best, declaration.initial_role});
     }
   }
 }
@@ -91,7 +91,7 @@
 }
 
 void EngineGroups::findOwners() {
-  if (every_node_decides_) {
+  if (every_node_routes_) {
     return;
   }
   const std::vector<Member> eligible = eligibleMembers();
@@ -110,26 +110,26 @@
   }
 }
 
-void EngineGroups::noteDeciders() {
+void EngineGroups::updateRoutingNodes() {
   other_owners_.clear();
-  all_deciders_.clear();
-  if (every_node_decides_) {
-    all_deciders_ = other_members_;
-    all_deciders_.push_back(membership_.self());
+  all_routing_nodes_.clear();
+  if (every_node_routes_) {
+    all_routing_nodes_ = other_members_;
+    all_routing_nodes_.push_back(membership_.self());
     return;
   }
-  std::set<common::NodeId> deciders;
+  std::set<common::NodeId> routing_nodes;
   for (const EngineGroup& group : groups_) {
-    deciders.insert(group.owners.begin(), group.owners.end());
+    routing_nodes.insert(group.owners.begin(), group.owners.end());
     auto& others = other_owners_.emplace_back(group.owners);
     std::erase(others, membership_.self());
   }
-  all_deciders_.assign(deciders.begin(), deciders.end());
+  all_routing_nodes_.assign(routing_nodes.begin(), routing_nodes.end());
 }
 
 common::NodeId EngineGroups::watcherOf(EngineSlot engine) const {
   const auto& name = table_.record(engine).declaration.name;
-  if (every_node_decides_) {
+  if (every_node_routes_) {
     return membership::rendezvousNode(name, membership_.members());
   }
   if (engine >= group_of_.size() || groups_.empty()) {
@@ -140,7 +140,7 @@
 }
 
 common::NodeId EngineGroups::primaryOwnerOf(EngineSlot engine) const {
-  if (every_node_decides_ || engine >= group_of_.size() || group_of_[engine] >= groups_.size()) {
+  if (every_node_routes_ || engine >= group_of_.size() || group_of_[engine] >= groups_.size()) {
     return {};
   }
   const auto& owners = groups_[group_of_[engine]].owners;
@@ -149,7 +149,7 @@
 
 const std::vector<common::NodeId>& EngineGroups::otherRoutingNodes(EngineSlot engine) const {
   static const std::vector<common::NodeId> kNone;
-  if (every_node_decides_) {
+  if (every_node_routes_) {
     return other_members_;
   }
   return engine < group_of_.size() && group_of_[engine] < other_owners_.size()
@@ -158,7 +158,7 @@
 }
 
 std::size_t EngineGroups::routingNodesPerEngine() const {
-  return every_node_decides_ ? other_members_.size() + 1 : 1;
+  return every_node_routes_ ? other_members_.size() + 1 : 1;
 }
 
 bool EngineGroups::ownedHere(const EngineGroup& group) const {
@@ -173,14 +173,13 @@
 }
 
 bool EngineGroups::routesTo(EngineSlot engine) const {
-  return every_node_decides_ ||
-         (engine < group_of_.size() && ownedHere(groups_[group_of_[engine]]));
+  return every_node_routes_ || (engine < group_of_.size() && ownedHere(groups_[group_of_[engine]]));
 }
 
 std::size_t EngineGroups::routedEngineCount() const {
   std::size_t count = 0;
   for (const EngineGroup& group : groups_) {
-    count += every_node_decides_ || ownedHere(group) ? group.engines.size() : 0;
+    count += every_node_routes_ || ownedHere(group) ? group.engines.size() : 0;
   }
   return count;
 }
@@ -188,40 +187,40 @@
 std::vector<const EngineGroup*> EngineGroups::candidateGroupsFor(
     const common::ModelName& model, common::PieceHash shared_part,
     common::RandomSource& random) const {
-  std::vector<const EngineGroup*> homes;
-  const auto found = homes_.find(model);
-  if (found == homes_.end()) {
-    return homes;
+  std::vector<const EngineGroup*> candidates;
+  const auto found = engines_by_model_.find(model);
+  if (found == engines_by_model_.end()) {
+    return candidates;
   }
-  const engines::EngineRole unsuited =
+  const engines::EngineRole excluded_role =
       shared_part != 0 ? engines::EngineRole::kDecode : engines::EngineRole::kPrefill;
-  std::vector<const HomeEngine*> engines;
-  for (const HomeEngine& engine : found->second) {
-    if (engine.role != unsuited) {
+  std::vector<const GroupedEngine*> engines;
+  for (const GroupedEngine& engine : found->second) {
+    if (engine.role != excluded_role) {
       engines.push_back(&engine);
     }
   }
   if (engines.empty()) {
-    for (const HomeEngine& engine : found->second) {
+    for (const GroupedEngine& engine : found->second) {
       engines.push_back(&engine);
     }
   }
-  const auto rank = [shared_part](const HomeEngine* engine) {
+  const auto rank = [shared_part](const GroupedEngine* engine) {
     return mix(engine->name_hash, shared_part);
   };
-  const auto add = [&](const HomeEngine* engine) {
-    homes.push_back(&groups_[engine->group]);
+  const auto add = [&](const GroupedEngine* engine) {
+    candidates.push_back(&groups_[engine->group]);
     std::erase_if(engines,
-                  [engine](const HomeEngine* other) { return other->group == engine->group; });
+                  [engine](const GroupedEngine* other) { return other->group == engine->group; });
   };
-  while (homes.size() < kHomes && !engines.empty()) {
+  while (candidates.size() < kMaximumCandidateGroups && !engines.empty()) {
     add(shared_part == 0 ? engines[random.below(engines.size())]
                          : *std::max_element(engines.begin(), engines.end(),
                                              [&rank](const auto* left, const auto* right) {
                                                return rank(left) < rank(right);
                                              }));
   }
-  return homes;
+  return candidates;
 }
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/engine_groups.h
+++ b/src/cypresswall/routing/engine_groups.h
@@ -39,7 +39,7 @@
   void update();
 
   /// \return true if every node decides about every engine.
-  bool everyNodeRoutes() const { return every_node_decides_; }
+  bool everyNodeRoutes() const { return every_node_routes_; }
   /// \return the node that reads an engine's reports; empty if no member is alive.
   common::NodeId watcherOf(EngineSlot engine) const;
   /// \return the node that places all requests on an engine; empty if several do
@@ -47,7 +47,7 @@
   /// \return the other nodes that decide about an engine.
   const std::vector<common::NodeId>& otherRoutingNodes(EngineSlot engine) const;
   /// \return all nodes that decide about any engine.
-  const std::vector<common::NodeId>& allRoutingNodes() const { return all_deciders_; }
+  const std::vector<common::NodeId>& allRoutingNodes() const { return all_routing_nodes_; }
   /// \return nodes that place requests on one engine at the same time, at least 1.
   std::size_t routingNodesPerEngine() const;
   /// \return true if this node is an owner of the group.
@@ -67,7 +67,7 @@
 
  private:
   /// An engine as a home of prompts.
-  struct HomeEngine {
+  struct GroupedEngine {
     std::uint64_t name_hash = 0;
     std::size_t group = 0;
     engines::EngineRole role = engines::EngineRole::kMixed;
@@ -77,22 +77,22 @@
   void findOwners();
   /// \return the members from which owners are taken
   std::vector<membership::Member> eligibleMembers() const;
-  void noteDeciders();
+  void updateRoutingNodes();
   bool ownedHere(const EngineGroup& group) const;
 
   GroupSettings settings_;
   const membership::MembershipView& membership_;
   const EngineTable& table_;
-  bool every_node_decides_ = true;
+  bool every_node_routes_ = true;
   std::vector<EngineGroup> groups_;
   /// By slot.
   std::vector<std::size_t> group_of_;
-  std::map<common::ModelName, std::vector<HomeEngine>> homes_;
+  std::map<common::ModelName, std::vector<GroupedEngine>> engines_by_model_;
   /// By group: its owners but this node.
   std::vector<std::vector<common::NodeId>> other_owners_;
   /// All members but this node.
   std::vector<common::NodeId> other_members_;
-  std::vector<common::NodeId> all_deciders_;
+  std::vector<common::NodeId> all_routing_nodes_;
 };
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/engine_poller.cpp
+++ b/src/cypresswall/routing/engine_poller.cpp
@@ -97,11 +97,11 @@
     return;
   }
   state.failures = 0;
-  judge(state, result.value());
+  updateSteadiness(state, result.value());
   table_.observe(slot, EngineObservation{result.value(), now - result.value().age, true}, now);
 }
 
-void EnginePoller::judge(PollState& state, const engines::EngineLoad& load) {
+void EnginePoller::updateSteadiness(PollState& state, const engines::EngineLoad& load) {
   const EngineDelta delta = makeDelta(0, load, true, common::Duration{0});
   const bool moved = !state.reference || changeSignificance(*state.reference, delta, load) > 0;
   if (moved) {
--- a/src/cypresswall/routing/engine_poller.h
+++ b/src/cypresswall/routing/engine_poller.h
@@ -52,7 +52,7 @@
 
   void tick();
   /// Notes whether a report moved so far that the next must be read soon.
-  static void judge(PollState& state, const engines::EngineLoad& load);
+  static void updateSteadiness(PollState& state, const engines::EngineLoad& load);
   void pollLoad(EngineSlot slot);
   void pollCache(EngineSlot slot);
   void onLoad(EngineSlot slot, const common::Result<engines::EngineLoad, engines::EngineFailure>&);
--- a/src/cypresswall/routing/engine_record.h
+++ b/src/cypresswall/routing/engine_record.h
@@ -36,7 +36,7 @@
   /// The moment that `load` describes, by this node's clock.
   common::MonotonicTime observed_at{};
   /// The newest moment of which anything was reported, whether its load was told or not.
-  common::MonotonicTime heard_at{};
+  common::MonotonicTime last_contact_at{};
   bool reachable = true;
   /// This node polls the engine.
   bool watched_here = false;
--- a/src/cypresswall/routing/engine_table.cpp
+++ b/src/cypresswall/routing/engine_table.cpp
@@ -119,7 +119,7 @@
   record.reported = true;
   record.load = observation.load;
   record.observed_at = observation.observed_at;
-  record.heard_at = std::max(record.heard_at, observation.observed_at);
+  record.last_contact_at = std::max(record.last_contact_at, observation.observed_at);
   record.reachable = observation.reachable;
   if (identity_changed) {
     candidate_lists_.clear();
@@ -135,14 +135,15 @@
     return;
   }
   record.observed_at = observed_at;
-  record.heard_at = std::max(record.heard_at, observed_at);
+  record.last_contact_at = std::max(record.last_contact_at, observed_at);
   refresh(slot, now);
   notify(slot, false);
 }
 
-void EngineTable::hear(EngineSlot slot, common::MonotonicTime heard_at, common::MonotonicTime now) {
+void EngineTable::noteContact(EngineSlot slot, common::MonotonicTime contact_at,
+                              common::MonotonicTime now) {
   EngineRecord& record = entries_[slot].record;
-  record.heard_at = std::max(record.heard_at, heard_at);
+  record.last_contact_at = std::max(record.last_contact_at, contact_at);
   refresh(slot, now);
 }
 
@@ -181,7 +182,7 @@
   if (!record.reachable) {
     return EngineAvailability::kUnreachable;
   }
-  if (now - record.heard_at > settings_.silence_limit) {
+  if (now - record.last_contact_at > settings_.silence_limit) {
     return EngineAvailability::kSilent;
   }
   if (now < entry.ejected_until) {
--- a/src/cypresswall/routing/engine_table.h
+++ b/src/cypresswall/routing/engine_table.h
@@ -41,8 +41,8 @@
   void observe(EngineSlot slot, const EngineObservation& observation, common::MonotonicTime now);
   /// Notes that the last reported load still held at `observed_at`.
   void confirm(EngineSlot slot, common::MonotonicTime observed_at, common::MonotonicTime now);
-  /// Notes that the engine reported of `heard_at`, though what is not known.
-  void hear(EngineSlot slot, common::MonotonicTime heard_at, common::MonotonicTime now);
+  /// Notes that the engine reported at `contact_at`, though what is not known.
+  void noteContact(EngineSlot slot, common::MonotonicTime contact_at, common::MonotonicTime now);
   /// The engine gets no work until `until`.
   void eject(EngineSlot slot, common::MonotonicTime until, common::MonotonicTime now);
   /// \return the end of its last ejection; the clock's beginning if it never was ejected.
--- a/src/cypresswall/routing/settings.h
+++ b/src/cypresswall/routing/settings.h
@@ -35,7 +35,7 @@
   /// First ejection; doubled with each one that begins within `memory` of the end of the last.
   common::Duration base_time = std::chrono::milliseconds(500);
   common::Duration maximum_time = std::chrono::seconds(4);
-  common::Duration memory = std::chrono::seconds(3);
+  common::Duration backoff_reset_time = std::chrono::seconds(3);
   /// Streams that broke at a node in the window after which the node ejects the engine for itself.
   std::size_t own_broken_streams = 3;
   /// Nodes that have to tell of failures before an engine is ejected for the zone.
@@ -199,7 +199,7 @@
   /// prefers, if that costs no more than this share of the computation.
   double affinity_share = 0.1;
   /// Part of the limit between tokens for which a prompt may hold up the output of a decode engine.
-  double crowding_share = 0.6;
+  double decode_delay_share = 0.6;
   /// Off: long answers go to any decode engine, and prompts may be computed at each.
   bool consolidates_long_answers = true;
   /// Long answers are gathered on as few decode engines as hold them with this share of their
@@ -210,7 +210,7 @@
   /// and many answers may begin between two of them.
   double minimum_host_share = 0.25;
   /// Part of the limit between tokens that prompts may wait and be computed at such an engine.
-  double host_crowding_share = 0.3;
+  double host_decode_delay_share = 0.3;
   /// A long prompt whose end was not told is forgotten when it is overdue by this.
   common::Duration backlog_expiry = std::chrono::seconds(2);
   PromptSpeedSettings prompt_speed;
--- a/tests/routing/engine_deltas_test.cpp
+++ b/tests/routing/engine_deltas_test.cpp
@@ -28,11 +28,11 @@
 
 class EngineDeltasTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineDeltasTest);
-  CPPUNIT_TEST(whatWasTakenInHasTheTagOfWhatWasTold);
+  CPPUNIT_TEST(appliedIdentityKeepsItsTag);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void whatWasTakenInHasTheTagOfWhatWasTold() {
+  void appliedIdentityKeepsItsTag() {
     testing::requireProperty("identity tag", 2000, [] {
       const engines::EngineLoad told = anyLoad();
       engines::EngineLoad taken;
--- a/tests/routing/engine_directory_test.cpp
+++ b/tests/routing/engine_directory_test.cpp
@@ -113,26 +113,26 @@
 class EngineDirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineDirectoryTest);
   CPPUNIT_TEST(everyNodeLearnsEveryEngine);
-  CPPUNIT_TEST(oneNodeWatchesAnEngine);
+  CPPUNIT_TEST(eachEngineHasOneWatcher);
   CPPUNIT_TEST(changedLoadReachesPeers);
-  CPPUNIT_TEST(lostMessagesAreMadeUpFor);
-  CPPUNIT_TEST(engineOfADeadWatcherIsTakenOver);
-  CPPUNIT_TEST(deadEngineGetsNoWork);
-  CPPUNIT_TEST(leavingMachineGetsNoWork);
-  CPPUNIT_TEST(drainedEngineGetsNoWork);
-  CPPUNIT_TEST(restartForgetsCachedPieces);
+  CPPUNIT_TEST(recoversFromLostMessages);
+  CPPUNIT_TEST(enginesOfDeadWatcherAreTakenOver);
+  CPPUNIT_TEST(unreachableEngineIsUnavailable);
+  CPPUNIT_TEST(engineOnLeavingMachineIsUnavailable);
+  CPPUNIT_TEST(drainedEngineIsUnavailable);
+  CPPUNIT_TEST(restartClearsCachedPieces);
   CPPUNIT_TEST(cacheEventsReachPeers);
-  CPPUNIT_TEST(targetZoneStaysWithinItsByteBudget);
-  CPPUNIT_TEST(newVersionIsToldThoughTheBudgetIsSpent);
-  CPPUNIT_TEST(steadyEngineIsReadLessOften);
-  CPPUNIT_TEST(quietCacheIsReadLessOften);
-  CPPUNIT_TEST(listedCacheIsKnownToAllAtOnce);
-  CPPUNIT_TEST(zoneOfManyNodesKnowsEveryEngine);
-  CPPUNIT_TEST(thePlanningNodeKnowsEveryEngine);
-  CPPUNIT_TEST(aNodeThatJoinsReadsNothingYet);
+  CPPUNIT_TEST(publicationsStayWithinByteBudget);
+  CPPUNIT_TEST(newVersionIsPublishedOnSpentBudget);
+  CPPUNIT_TEST(steadyEngineIsPolledLessOften);
+  CPPUNIT_TEST(quietCacheIsPolledLessOften);
+  CPPUNIT_TEST(cacheSnapshotReachesAllNodes);
+  CPPUNIT_TEST(largeZoneKnowsEveryEngine);
+  CPPUNIT_TEST(planningNodeKnowsEveryEngine);
+  CPPUNIT_TEST(joiningNodePollsNoEngine);
   CPPUNIT_TEST(steadyZoneIsConfirmedLessOften);
-  CPPUNIT_TEST(anEnginesSpeedIsToldOnce);
-  CPPUNIT_TEST(identityThatNeverMatchesIsAskedForSeldom);
+  CPPUNIT_TEST(engineSpeedIsPublishedOnce);
+  CPPUNIT_TEST(mismatchedIdentityRequestsAreRateLimited);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -147,7 +147,7 @@
     }
   }
 
-  void oneNodeWatchesAnEngine() {
+  void eachEngineHasOneWatcher() {
     Zone zone(2, 4, 40);
     zone.run(std::chrono::seconds(3));
     for (const auto& name : zone.nodes[0].directory->table().names()) {
@@ -165,7 +165,7 @@
   // this one, what a peer took in was one unit less when it was turned into units again. So it
   // never matched the tag of what was told, and each node asked for each engine's identity at every
   // publication; until then it took the engine for unknown.
-  void anEnginesSpeedIsToldOnce() {
+  void engineSpeedIsPublishedOnce() {
     constexpr std::size_t kNodes = 6;
     constexpr std::size_t kEngines = 24;
     Zone zone(17, kNodes, kEngines);
@@ -195,7 +195,7 @@
   }
 
   /// A peer of another build may tell what this node can't reproduce.
-  void identityThatNeverMatchesIsAskedForSeldom() {
+  void mismatchedIdentityRequestsAreRateLimited() {
     Zone zone(18, 2, 8);
     zone.run(std::chrono::seconds(2));
     const double asked = zone.identityRequests();
@@ -226,7 +226,7 @@
     }
   }
 
-  void lostMessagesAreMadeUpFor() {
+  void recoversFromLostMessages() {
     Zone zone(4, 4, 16);
     simulation::LinkSettings lossy;
     lossy.loss = 0.3;
@@ -248,7 +248,7 @@
     }
   }
 
-  void engineOfADeadWatcherIsTakenOver() {
+  void enginesOfDeadWatcherAreTakenOver() {
     Zone zone(5, 3, 12);
     zone.run(std::chrono::seconds(2));
     zone.simulation().kill(*zone.nodes[0].process);
@@ -259,7 +259,7 @@
     }
   }
 
-  void deadEngineGetsNoWork() {
+  void unreachableEngineIsUnavailable() {
     Zone zone(6, 3, 12);
     zone.run(std::chrono::seconds(2));
     zone.engines["e1005:1"].reachable = false;
@@ -274,7 +274,7 @@
     }
   }
 
-  void leavingMachineGetsNoWork() {
+  void engineOnLeavingMachineIsUnavailable() {
     Zone zone(7, 1, 4);
     zone.run(std::chrono::seconds(1));
     zone.nodes[0].membership->setLeaving("machine-e1001", true);
@@ -283,7 +283,7 @@
                          zone.nodes[0].directory->table().candidates("m", "", "").size());
   }
 
-  void drainedEngineGetsNoWork() {
+  void drainedEngineIsUnavailable() {
     Zone zone(8, 1, 4);
     zone.run(std::chrono::seconds(1));
     zone.nodes[0].directory->setDraining({"e1002"});
@@ -297,7 +297,7 @@
     CPPUNIT_ASSERT(zone.seenBy(0, "e1003") == EngineAvailability::kDrainedByOperator);
   }
 
-  void restartForgetsCachedPieces() {
+  void restartClearsCachedPieces() {
     Zone zone(9, 1, 1);
     auto& engine = zone.engines["e1000:1"];
     engine.events = {{1, engines::CacheEventKind::kStored, 77}};
@@ -323,19 +323,19 @@
     }
   }
 
-  void newVersionIsToldThoughTheBudgetIsSpent() {
+  void newVersionIsPublishedOnSpentBudget() {
     Zone zone(12, 13, 370);
     common::SeededRandom random(6);
     zone.run(std::chrono::seconds(5));
-    moveLoads(zone, random, 5);
+    randomizeLoads(zone, random, 5);
     zone.engines["e1100:1"].load.version = "2";
-    moveLoads(zone, random, 10);
+    randomizeLoads(zone, random, 10);
     for (const Node& node : zone.nodes) {
       CPPUNIT_ASSERT_EQUAL(std::string("2"), node.directory->find("e1100")->load.version);
     }
   }
 
-  void steadyEngineIsReadLessOften() {
+  void steadyEngineIsPolledLessOften() {
     Zone zone(13, 1, 3);
     auto& moving = zone.engines["e1001:1"];
     auto& changing = zone.engines["e1002:1"];
@@ -359,7 +359,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{40}, reads("e1002:1"));
   }
 
-  void quietCacheIsReadLessOften() {
+  void quietCacheIsPolledLessOften() {
     Zone zone(14, 1, 1);
     auto& engine = zone.engines["e1000:1"];
     const auto readsIn = [&](common::Duration time) {
@@ -381,7 +381,7 @@
   }
 
   /// Nodes that all restarted know again what the engines hold.
-  void listedCacheIsKnownToAllAtOnce() {
+  void cacheSnapshotReachesAllNodes() {
     Zone zone(16, 3, 2);
     auto& engine = zone.engines["e1000:1"];
     engine.lists_cache = true;
@@ -409,7 +409,7 @@
   }
 
   /// Every engine is known, and stays so, at the two nodes of a large zone that decide about it.
-  void zoneOfManyNodesKnowsEveryEngine() {
+  void largeZoneKnowsEveryEngine() {
     Zone zone(17, 60, 60);
     for (int second = 0; second < 10; ++second) {
       for (auto& [address, engine] : zone.engines) {
@@ -438,7 +438,7 @@
   }
 
   /// The node that plans roles knows every engine as well.
-  void thePlanningNodeKnowsEveryEngine() {
+  void planningNodeKnowsEveryEngine() {
     Zone zone(18, 40, 60);
     const common::NodeId planner = zone.nodes[11].process->id();
     for (const Node& node : zone.nodes) {
@@ -451,7 +451,7 @@
   }
 
   /// Until it knows others, a node of a large zone reads no engine: alone it would read all.
-  void aNodeThatJoinsReadsNothingYet() {
+  void joiningNodePollsNoEngine() {
     simulation::Simulation simulation(19);
     auto& process = simulation.start("10.0.0.1:7000", "z");
     auto& membership = process.emplace<JoiningMembership>(process.id(), "z");
@@ -484,7 +484,7 @@
     }
   }
 
-  void targetZoneStaysWithinItsByteBudget() {
+  void publicationsStayWithinByteBudget() {
     Zone zone(11, 13, 370);
     zone.run(std::chrono::seconds(5));
     common::SeededRandom random(5);
@@ -493,7 +493,7 @@
     };
     const double before = sent();
     constexpr int kSeconds = 20;
-    moveLoads(zone, random, kSeconds);
+    randomizeLoads(zone, random, kSeconds);
     const double rate = (sent() - before) / kSeconds;
     CPPUNIT_ASSERT_MESSAGE("bytes a second: " + std::to_string(rate), rate < 4500);
     int fresh = 0;
@@ -505,7 +505,7 @@
 
  private:
   /// Changes the load of every engine four times a second.
-  static void moveLoads(Zone& zone, common::SeededRandom& random, int seconds) {
+  static void randomizeLoads(Zone& zone, common::SeededRandom& random, int seconds) {
     constexpr int kChangesPerSecond = 4;
     for (int i = 0; i < seconds * kChangesPerSecond; ++i) {
       for (auto& [address, engine] : zone.engines) {
--- a/tests/routing/engine_ejection_test.cpp
+++ b/tests/routing/engine_ejection_test.cpp
@@ -81,7 +81,7 @@
     const EngineTable& table = *nodes[node].table;
     return table.record(table.slotOf(nameOf(engine))).availability == EngineAvailability::kEjected;
   }
-  int nodesWithout(int engine) const {
+  int nodesEjecting(int engine) const {
     int count = 0;
     for (std::size_t node = 0; node < nodes.size(); ++node) {
       count += ejected(node, engine) ? 1 : 0;
@@ -108,32 +108,32 @@
 
 class EngineEjectionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineEjectionTest);
-  CPPUNIT_TEST(oneFailedConnectionEjectsAtItsNodeOnly);
-  CPPUNIT_TEST(twoNodesEjectForTheZone);
-  CPPUNIT_TEST(ejectedEnginesComeBack);
+  CPPUNIT_TEST(failedConnectionEjectsLocallyOnly);
+  CPPUNIT_TEST(twoReportingNodesEjectZoneWide);
+  CPPUNIT_TEST(ejectionExpires);
   CPPUNIT_TEST(repeatedEjectionsLastLonger);
-  CPPUNIT_TEST(aLongGoodTimeIsForgiven);
-  CPPUNIT_TEST(brokenStreamsNeedSeveral);
-  CPPUNIT_TEST(refusalsEjectNothing);
-  CPPUNIT_TEST(restartedEngineIsTakenBackAtOnce);
-  CPPUNIT_TEST(aNodeCutOffFromEnginesKeepsHalfOfThem);
-  CPPUNIT_TEST(ejectionCostsOneMessageAFailureAndOneANode);
-  CPPUNIT_TEST(ejectionIsToldToTheDecidersOnly);
-  CPPUNIT_TEST(neverMoreThanTheShare);
-  CPPUNIT_TEST(nothingIsEjectedWhereThatIsSwitchedOff);
+  CPPUNIT_TEST(backoffResetsAfterHealthyPeriod);
+  CPPUNIT_TEST(ejectionNeedsSeveralBrokenStreams);
+  CPPUNIT_TEST(refusalsDoNotEject);
+  CPPUNIT_TEST(restartEndsEjection);
+  CPPUNIT_TEST(isolatedNodeKeepsHalfOfTheEngines);
+  CPPUNIT_TEST(ejectionReachesZoneAfterFewFailures);
+  CPPUNIT_TEST(ejectionIsSentToRoutingNodesOnly);
+  CPPUNIT_TEST(ejectedShareIsLimited);
+  CPPUNIT_TEST(disabledEjectionEjectsNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void oneFailedConnectionEjectsAtItsNodeOnly() {
+  void failedConnectionEjectsLocallyOnly() {
     EjectionZone zone(5, 10);
     zone.fail(0, 3, StreamFailure::kNotSent);
     CPPUNIT_ASSERT(zone.ejected(0, 3));
     zone.run(100ms);
-    CPPUNIT_ASSERT_EQUAL(1, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(1, zone.nodesEjecting(3));
   }
 
-  /// The same failures eject at all nodes otherwise, see twoNodesEjectForTheZone.
-  void nothingIsEjectedWhereThatIsSwitchedOff() {
+  /// The same failures eject at all nodes otherwise, see twoReportingNodesEjectZoneWide.
+  void disabledEjectionEjectsNothing() {
     EjectionSettings off;
     off.ejection_enabled = false;
     EjectionZone zone(5, 10, off);
@@ -141,25 +141,25 @@
       zone.fail(node, 3, StreamFailure::kNotSent);
     }
     zone.run(100ms);
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesEjecting(3));
   }
 
-  void twoNodesEjectForTheZone() {
+  void twoReportingNodesEjectZoneWide() {
     EjectionZone zone(5, 10);
     zone.fail(0, 3, StreamFailure::kNotSent);
     zone.fail(1, 3, StreamFailure::kNotSent);
     zone.run(100ms);
-    CPPUNIT_ASSERT_EQUAL(5, zone.nodesWithout(3));
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithout(4));
+    CPPUNIT_ASSERT_EQUAL(5, zone.nodesEjecting(3));
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesEjecting(4));
   }
 
-  void ejectedEnginesComeBack() {
+  void ejectionExpires() {
     EjectionZone zone(3, 10);
     zone.fail(0, 3, StreamFailure::kNotSent);
     zone.fail(1, 3, StreamFailure::kNotSent);
     zone.run(100ms);
     zone.run(600ms);
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesEjecting(3));
   }
 
   void repeatedEjectionsLastLonger() {
@@ -177,7 +177,7 @@
     }
   }
 
-  void aLongGoodTimeIsForgiven() {
+  void backoffResetsAfterHealthyPeriod() {
     EjectionZone zone(1, 10);
     for (int round = 0; round < 3; ++round) {
       zone.fail(0, 3, StreamFailure::kNotSent);
@@ -189,32 +189,32 @@
     }
   }
 
-  void brokenStreamsNeedSeveral() {
+  void ejectionNeedsSeveralBrokenStreams() {
     EjectionZone zone(4, 10);
     zone.fail(0, 3, StreamFailure::kBroken);
     zone.fail(0, 3, StreamFailure::kBroken);
     zone.run(10ms);
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesEjecting(3));
     zone.fail(0, 3, StreamFailure::kBroken);
     zone.run(10ms);
-    CPPUNIT_ASSERT_EQUAL(1, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(1, zone.nodesEjecting(3));
     zone.fail(1, 3, StreamFailure::kBroken);
     zone.fail(1, 3, StreamFailure::kBroken);
     zone.run(10ms);
-    CPPUNIT_ASSERT_EQUAL(4, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(4, zone.nodesEjecting(3));
   }
 
-  void refusalsEjectNothing() {
+  void refusalsDoNotEject() {
     EjectionZone zone(3, 10);
     for (int i = 0; i < 50; ++i) {
       zone.fail(0, 3, StreamFailure::kRefused);
       zone.fail(1, 3, StreamFailure::kNotTried);
     }
     zone.run(10ms);
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesEjecting(3));
   }
 
-  void restartedEngineIsTakenBackAtOnce() {
+  void restartEndsEjection() {
     EjectionZone zone(1, 10);
     zone.fail(0, 3, StreamFailure::kNotSent);
     auto& node = zone.nodes[0];
@@ -226,7 +226,7 @@
   }
 
   /// Its own link is at fault, not all engines: it goes on trying, and convinces nobody.
-  void aNodeCutOffFromEnginesKeepsHalfOfThem() {
+  void isolatedNodeKeepsHalfOfTheEngines() {
     EjectionZone zone(4, 10);
     for (int engine = 0; engine < 10; ++engine) {
       zone.fail(2, engine, StreamFailure::kNotSent);
@@ -237,7 +237,7 @@
     CPPUNIT_ASSERT_EQUAL(0, zone.ejectedAt(0));
   }
 
-  void ejectionCostsOneMessageAFailureAndOneANode() {
+  void ejectionReachesZoneAfterFewFailures() {
     constexpr int kNodes = 24;
     EjectionZone zone(kNodes, 10);
     for (std::size_t node = 0; node < kNodes; ++node) {
@@ -246,7 +246,7 @@
       }
       zone.run(2ms);
     }
-    CPPUNIT_ASSERT_EQUAL(kNodes, zone.nodesWithout(3));
+    CPPUNIT_ASSERT_EQUAL(kNodes, zone.nodesEjecting(3));
     std::uint64_t failures = 0;
     for (const auto& node : zone.nodes) {
       failures += static_cast<std::uint64_t>(
@@ -257,7 +257,7 @@
   }
 
   /// In a large zone those that decide about the engine learn of it, and nobody else.
-  void ejectionIsToldToTheDecidersOnly() {
+  void ejectionIsSentToRoutingNodesOnly() {
     EjectionZone zone(60, 10);
     for (std::size_t node = 0; node < 5; ++node) {
       zone.fail(node, 3, StreamFailure::kNotSent);
@@ -266,14 +266,14 @@
     int elsewhere = 0;
     for (std::size_t node = 0; node < 60; ++node) {
       const auto& at = zone.nodes[node];
-      const bool decides = at.groups->routesTo(at.table->slotOf(EjectionZone::nameOf(3)));
-      CPPUNIT_ASSERT(!decides || zone.ejected(node, 3));
-      elsewhere += !decides && node >= 5 && zone.ejected(node, 3) ? 1 : 0;
+      const bool routes = at.groups->routesTo(at.table->slotOf(EjectionZone::nameOf(3)));
+      CPPUNIT_ASSERT(!routes || zone.ejected(node, 3));
+      elsewhere += !routes && node >= 5 && zone.ejected(node, 3) ? 1 : 0;
     }
     CPPUNIT_ASSERT_EQUAL(0, elsewhere);
   }
 
-  void neverMoreThanTheShare() {
+  void ejectedShareIsLimited() {
     testing::requireProperty("no more engines are ejected than may be", 100, [] {
       EjectionZone zone(3, *rc::gen::inRange(1, 12));
       const int engines = static_cast<int>(zone.nodes[0].table->roster().size());
--- a/tests/routing/engine_groups_test.cpp
+++ b/tests/routing/engine_groups_test.cpp
@@ -21,9 +21,9 @@
 }
 
 /// The groups as one node of a zone works them out.
-class GroupsAt {
+class GroupsOfNode {
  public:
-  GroupsAt(int self, const std::vector<Member>& members, int engines)
+  GroupsOfNode(int self, const std::vector<Member>& members, int engines)
       : membership_(nodeOf(self), "z"), table_(DirectorySettings{}) {
     membership_.setMembers(members);
     declare(engines);
@@ -64,22 +64,22 @@
 
 class EngineGroupsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineGroupsTest);
-  CPPUNIT_TEST(everyNodeDecidesInASmallZone);
-  CPPUNIT_TEST(fewNodesDecideInALargeZone);
-  CPPUNIT_TEST(allNodesWorkOutTheSame);
-  CPPUNIT_TEST(aLostNodeMovesItsShareOnly);
-  CPPUNIT_TEST(anEngineMoreMovesFew);
-  CPPUNIT_TEST(nodesWithRoomOnTheirLinksOwn);
-  CPPUNIT_TEST(leavingAndSuspectedNodesOwnNothing);
-  CPPUNIT_TEST(equalPromptsHaveEqualHomes);
-  CPPUNIT_TEST(homesGetAsMuchAsTheyCanCompute);
-  CPPUNIT_TEST(promptsWithoutASharedPartSpreadOverTheOutputEngines);
-  CPPUNIT_TEST(unknownModelsHaveNoHome);
+  CPPUNIT_TEST(everyNodeRoutesInSmallZone);
+  CPPUNIT_TEST(twoNodesRouteToEachEngineInLargeZone);
+  CPPUNIT_TEST(allNodesComputeSameGroups);
+  CPPUNIT_TEST(lostNodeMovesOnlyItsShare);
+  CPPUNIT_TEST(addedEngineMovesFewPrompts);
+  CPPUNIT_TEST(nodesWithFastLinksAreOwners);
+  CPPUNIT_TEST(leavingAndSuspectNodesOwnNothing);
+  CPPUNIT_TEST(equalPromptsGetEqualGroups);
+  CPPUNIT_TEST(promptsFollowPrefillCapacity);
+  CPPUNIT_TEST(promptsWithoutSharedPartFollowDecodeCapacity);
+  CPPUNIT_TEST(unknownModelHasNoGroup);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void everyNodeDecidesInASmallZone() {
-    GroupsAt at(3, membersOf(24), 22);
+  void everyNodeRoutesInSmallZone() {
+    GroupsOfNode at(3, membersOf(24), 22);
     CPPUNIT_ASSERT(at.groups().everyNodeRoutes());
     CPPUNIT_ASSERT_EQUAL(std::size_t{24}, at.groups().routingNodesPerEngine());
     CPPUNIT_ASSERT_EQUAL(std::size_t{22}, at.groups().routedEngineCount());
@@ -87,22 +87,22 @@
     CPPUNIT_ASSERT(at.groups().routesTo(21));
   }
 
-  void fewNodesDecideInALargeZone() {
+  void twoNodesRouteToEachEngineInLargeZone() {
     constexpr int kEngines = 163;
     for (const int count : {25, 59, 295, 1000}) {
-      std::map<EngineSlot, int> deciders;
+      std::map<EngineSlot, int> routing_nodes;
       std::map<EngineSlot, int> watchers;
       std::size_t most = 0;
       for (int node = 0; node < count; ++node) {
-        GroupsAt at(node, membersOf(count), kEngines);
+        GroupsOfNode at(node, membersOf(count), kEngines);
         most = std::max(most, at.groups().routedEngineCount());
         for (const EngineSlot slot : at.table().roster()) {
-          deciders[slot] += at.groups().routesTo(slot) ? 1 : 0;
+          routing_nodes[slot] += at.groups().routesTo(slot) ? 1 : 0;
           watchers[slot] += at.groups().watcherOf(slot) == nodeOf(node) ? 1 : 0;
           CPPUNIT_ASSERT(at.groups().otherRoutingNodes(slot).size() <= 2);
         }
       }
-      for (const auto& [slot, number] : deciders) {
+      for (const auto& [slot, number] : routing_nodes) {
         CPPUNIT_ASSERT_EQUAL(2, number);
         CPPUNIT_ASSERT_EQUAL(1, watchers[slot]);
       }
@@ -111,9 +111,9 @@
     }
   }
 
-  void allNodesWorkOutTheSame() {
-    GroupsAt first(0, membersOf(80), 60);
-    GroupsAt second(57, membersOf(80), 60);
+  void allNodesComputeSameGroups() {
+    GroupsOfNode first(0, membersOf(80), 60);
+    GroupsOfNode second(57, membersOf(80), 60);
     common::SeededRandom random(1);
     for (common::PieceHash part = 1; part < 200; ++part) {
       const auto here = first.groups().candidateGroupsFor(kModel, part, random);
@@ -126,9 +126,9 @@
     }
   }
 
-  void aLostNodeMovesItsShareOnly() {
+  void lostNodeMovesOnlyItsShare() {
     const auto members = membersOf(100);
-    GroupsAt at(0, members, 160);
+    GroupsOfNode at(0, members, 160);
     std::map<EngineSlot, common::NodeId> before;
     for (const EngineSlot slot : at.table().roster()) {
       before[slot] = at.groups().watcherOf(slot);
@@ -146,9 +146,9 @@
     }
   }
 
-  void anEngineMoreMovesFew() {
-    GroupsAt fewer(0, membersOf(100), 160);
-    GroupsAt more(0, membersOf(100), 161);
+  void addedEngineMovesFewPrompts() {
+    GroupsOfNode fewer(0, membersOf(100), 160);
+    GroupsOfNode more(0, membersOf(100), 161);
     common::SeededRandom random(1);
     int moved = 0;
     constexpr int kParts = 1000;
@@ -162,9 +162,9 @@
     CPPUNIT_ASSERT_MESSAGE(std::to_string(moved), moved < kParts / 5);
   }
 
-  void nodesWithRoomOnTheirLinksOwn() {
+  void nodesWithFastLinksAreOwners() {
     const auto members = membersOf(295);
-    GroupsAt at(0, members, 163);
+    GroupsOfNode at(0, members, 163);
     for (int node = 0; node < 295; ++node) {
       at.membership().setLinkMegabits(nodeOf(node), node % 16 == 5 ? 200 : 20);
     }
@@ -182,9 +182,9 @@
     CPPUNIT_ASSERT(at.groups().allRoutingNodes().size() >= 8);
   }
 
-  void leavingAndSuspectedNodesOwnNothing() {
+  void leavingAndSuspectNodesOwnNothing() {
     auto members = membersOf(60);
-    GroupsAt at(0, members, 60);
+    GroupsOfNode at(0, members, 60);
     const common::NodeId gone = at.groups().allRoutingNodes().front();
     for (const MemberState state : {MemberState::kLeaving, MemberState::kSuspect}) {
       for (Member& member : members) {
@@ -192,36 +192,37 @@
       }
       at.membership().setMembers(members);
       at.groups().update();
-      const auto& deciders = at.groups().allRoutingNodes();
-      CPPUNIT_ASSERT(std::find(deciders.begin(), deciders.end(), gone) == deciders.end());
+      const auto& routing_nodes = at.groups().allRoutingNodes();
+      CPPUNIT_ASSERT(std::find(routing_nodes.begin(), routing_nodes.end(), gone) ==
+                     routing_nodes.end());
     }
   }
 
-  void equalPromptsHaveEqualHomes() {
-    GroupsAt at(0, membersOf(295), 163);
+  void equalPromptsGetEqualGroups() {
+    GroupsOfNode at(0, membersOf(295), 163);
     common::SeededRandom random(1);
     for (common::PieceHash part = 1; part < 50; ++part) {
-      const auto homes = at.groups().candidateGroupsFor(kModel, part, random);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{2}, homes.size());
-      CPPUNIT_ASSERT(homes[0] != homes[1]);
-      CPPUNIT_ASSERT(homes == at.groups().candidateGroupsFor(kModel, part, random));
+      const auto candidates = at.groups().candidateGroupsFor(kModel, part, random);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{2}, candidates.size());
+      CPPUNIT_ASSERT(candidates[0] != candidates[1]);
+      CPPUNIT_ASSERT(candidates == at.groups().candidateGroupsFor(kModel, part, random));
     }
   }
 
   /// Groups differ in the engines that compute prompts, by chance: each is to get prompts for what
   /// it has, so that none is busier than the rest.
-  void homesGetAsMuchAsTheyCanCompute() {
-    GroupsAt at(0, membersOf(295), 163);
+  void promptsFollowPrefillCapacity() {
+    GroupsOfNode at(0, membersOf(295), 163);
     common::SeededRandom random(1);
     constexpr int kParts = 20000;
     std::map<std::string, int> prompts;
     std::map<std::string, std::set<EngineSlot>> computing;
     for (common::PieceHash part = 1; part <= kParts; ++part) {
-      const EngineGroup& home = *at.groups().candidateGroupsFor(kModel, part, random).front();
-      ++prompts[home.name];
-      for (const EngineSlot slot : home.engines) {
+      const EngineGroup& group = *at.groups().candidateGroupsFor(kModel, part, random).front();
+      ++prompts[group.name];
+      for (const EngineSlot slot : group.engines) {
         if (at.table().record(slot).declaration.initial_role == engines::EngineRole::kPrefill) {
-          computing[home.name].insert(slot);
+          computing[group.name].insert(slot);
         }
       }
     }
@@ -232,17 +233,17 @@
     }
   }
 
-  void promptsWithoutASharedPartSpreadOverTheOutputEngines() {
-    GroupsAt at(0, membersOf(295), 163);
+  void promptsWithoutSharedPartFollowDecodeCapacity() {
+    GroupsOfNode at(0, membersOf(295), 163);
     common::SeededRandom random(1);
     constexpr int kPrompts = 20000;
     std::map<std::string, int> prompts;
     std::map<std::string, int> outputs;
     for (int i = 0; i < kPrompts; ++i) {
-      const EngineGroup& home = *at.groups().candidateGroupsFor(kModel, 0, random).front();
-      ++prompts[home.name];
-      outputs[home.name] = static_cast<int>(
-          std::count_if(home.engines.begin(), home.engines.end(), [&at](EngineSlot slot) {
+      const EngineGroup& group = *at.groups().candidateGroupsFor(kModel, 0, random).front();
+      ++prompts[group.name];
+      outputs[group.name] = static_cast<int>(
+          std::count_if(group.engines.begin(), group.engines.end(), [&at](EngineSlot slot) {
             return at.table().record(slot).declaration.initial_role == engines::EngineRole::kDecode;
           }));
     }
@@ -253,8 +254,8 @@
     }
   }
 
-  void unknownModelsHaveNoHome() {
-    GroupsAt at(0, membersOf(295), 163);
+  void unknownModelHasNoGroup() {
+    GroupsOfNode at(0, membersOf(295), 163);
     common::SeededRandom random(1);
     CPPUNIT_ASSERT(at.groups().candidateGroupsFor("other", 7, random).empty());
     CPPUNIT_ASSERT(at.groups().candidateGroupsFor("other", 0, random).empty());
--- a/tests/routing/engine_identity_test.cpp
+++ b/tests/routing/engine_identity_test.cpp
@@ -22,9 +22,9 @@
 }
 
 /// Nodes of one zone before engines that all declare the time of a copied token.
-class ZoneThatCopies {
+class ZoneWithKvCopies {
  public:
-  ZoneThatCopies() : simulation_(1) {
+  ZoneWithKvCopies() : simulation_(1) {
     for (int i = 0; i < kEngines; ++i) {
       const std::string name = "e" + std::to_string(100 + i);
       testing::declareEngine(fleet_, name, "m");
@@ -83,9 +83,9 @@
 
 /// A node, and a peer whose identities never have the tags of its deltas, as that of a build with
 /// other fields in the report.
-class PeerOfAnotherBuild {
+class PeerWithOtherBuild {
  public:
-  PeerOfAnotherBuild() : simulation_(2) {
+  PeerWithOtherBuild() : simulation_(2) {
     testing::declareEngine(fleet_, "e", "m");
     auto& node = simulation_.start("10.0.0.1:7000", "z");
     auto& peer = simulation_.start("10.0.0.2:7000", "z");
@@ -138,14 +138,14 @@
 
 class EngineIdentityTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineIdentityTest);
-  CPPUNIT_TEST(anIdentityThatWasToldHasTheTagOfTheReport);
-  CPPUNIT_TEST(everyNodeLearnsEnginesThatDeclareCopies);
-  CPPUNIT_TEST(anIdentityIsAskedForOnce);
-  CPPUNIT_TEST(anAnswerThatDoesNotFitIsNotAskedForAgain);
+  CPPUNIT_TEST(publishedIdentityKeepsTagOfReport);
+  CPPUNIT_TEST(everyNodeLearnsEnginesWithKvCopySpeed);
+  CPPUNIT_TEST(identityIsRequestedOnce);
+  CPPUNIT_TEST(mismatchedAnswerIsNotRequestedAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void anIdentityThatWasToldHasTheTagOfTheReport() {
+  void publishedIdentityKeepsTagOfReport() {
     constexpr std::uint32_t kMostPicoseconds = 4'000'000'000;
     constexpr std::uint32_t kStep = 7919;
     for (std::uint32_t picoseconds = 1; picoseconds < kMostPicoseconds - kStep;
@@ -163,22 +163,22 @@
     CPPUNIT_ASSERT_EQUAL(identityTag(load), identityTag(told));
   }
 
-  void everyNodeLearnsEnginesThatDeclareCopies() {
-    ZoneThatCopies zone;
+  void everyNodeLearnsEnginesWithKvCopySpeed() {
+    ZoneWithKvCopies zone;
     zone.run(kTime);
     CPPUNIT_ASSERT_EQUAL(0, zone.unavailable());
   }
 
-  void anIdentityIsAskedForOnce() {
-    ZoneThatCopies zone;
+  void identityIsRequestedOnce() {
+    ZoneWithKvCopies zone;
     zone.run(kTime);
     // Each node asks at most once for each engine that another one watches.
     CPPUNIT_ASSERT_LESSEQUAL(static_cast<double>((kNodes - 1) * kEngines), zone.identityRequests());
   }
 
-  void anAnswerThatDoesNotFitIsNotAskedForAgain() {
+  void mismatchedAnswerIsNotRequestedAgain() {
     constexpr int kPublications = 4;
-    PeerOfAnotherBuild zone;
+    PeerWithOtherBuild zone;
     for (int i = 0; i < kPublications; ++i) {
       zone.publish();
     }
