--- a/src/cypresswall/routing/cost_model.cpp
+++ b/src/cypresswall/routing/cost_model.cpp
@@ -5,12 +5,12 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Speed assumed of an engine that declares none.
+/// Speed assumed for an engine that declares none.
 constexpr double kDefaultPrefillTokensPerSecond = 5000;
 /// Slack of CostInputs::relaxed_single_stream_step.
 constexpr double kSingleStreamStepSlack = 1.25;
 
-/// While streams run, each chunk of prompt shares its step with one token of every stream.
+/// While streams run, each prompt chunk shares its step with one token of every stream.
 double secondsPerPrefillToken(const EngineEstimate& engine, double step, double chunks_per_token) {
   const bool shared = engine.role != engines::EngineRole::kPrefill && streamsOn(engine) > 0;
   const double promised =
@@ -33,7 +33,7 @@
   }
   const double remaining = streamRemaining(engine, step);
   const double places_needed = streams - engine.maximum_streams + 1.0;
-  // Streams end one after the other, spread over the time that one takes.
+  // Assumes that the ends of running streams are spread evenly over their remaining time.
   return remaining * places_needed / engine.maximum_streams;
 }
 
--- a/src/cypresswall/routing/cost_model.h
+++ b/src/cypresswall/routing/cost_model.h
@@ -1,5 +1,5 @@
-/// Formulas that turn an engine's last report, and the work sent to it since, into the time that a
-/// request would wait and run there.
+/// Cost model: estimates how long a request would wait and run on an engine from the engine's last
+/// load report and the work sent to it since.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace cypresswall::routing {
 
-/// What is known of one engine, in plain numbers. Times are in seconds on this node's clock.
+/// Load and speed of one engine as plain numbers. Times are in seconds on this node's clock.
 struct EngineEstimate {
   double observed_at = 0;
   double seconds_per_prefill_token = 0;
@@ -22,47 +22,48 @@
   double prefill_seconds_per_pair = 0;
   double queued_prefill_tokens = 0;
   double queued_decode_tokens = 0;
-  /// Work sent by this node that the report can't show yet.
+  /// Work sent by this node that the report does not include yet.
   double unreported_prefill_tokens = 0;
   double unreported_decode_tokens = 0;
   std::uint32_t streams = 0;
   std::uint32_t unreported_streams = 0;
   std::uint32_t maximum_streams = 0;
-  /// Streams that are well into their output.
+  /// Streams that are generating output.
   std::uint32_t output_streams = 0;
   engines::EngineRole role = engines::EngineRole::kMixed;
-  /// Seconds that the KV cache of a token takes to another engine; zero if not declared.
+  /// Seconds to transfer the KV cache of one token to another engine; zero if not declared.
   double kv_seconds_per_token = 0;
-  /// What prompts were seen to take, beside what the report promises.
+  /// Observed prompt speed relative to the reported speed.
   PromptSpeed prompt_speed;
-  /// Factor on the reported times of a decode step.
+  /// Correction factor for the reported decode step times.
   double step_scale = 1;
-  /// Seconds for which a running stream goes on, in the mean; zero if not known.
+  /// Mean remaining seconds of a running stream; zero if unknown.
   double stream_remaining = 0;
-  /// Whether long prompts are under way to it or on it, and when they will all be computed.
+  /// Whether long prompts are in flight to the engine or queued on it, and when all of them will
+  /// have been computed.
   bool has_backlog = false;
   double backlog_empty_at = 0;
 };
 
-/// The part of an estimate that every choice reads, worked out when the estimate changes. One
-/// cache line, so that weighing all engines of a zone stays within microseconds.
+/// The values of an estimate that every routing decision reads, precomputed when the estimate
+/// changes. Fits into one cache line, so that all engines of a zone are evaluated in microseconds.
 struct alignas(64) CostInputs {
-  /// When the reported prompts will be computed.
+  /// When the reported prompts will have been computed.
   double queue_empty_at = 0;
-  /// When the long prompts that all nodes sent will be computed.
+  /// When the long prompts sent by all nodes will have been computed.
   double backlog_empty_at = 0;
-  /// Time that the unreported prompts take.
+  /// Time to compute the unreported prompts.
   double unreported_wait = 0;
-  /// Time until a place for one more stream is free; zero while the engine has one.
+  /// Time until a stream slot is free; zero if the engine has a free one.
   double slot_wait = 0;
-  // Spans of time and not moments: single precision is enough.
-  /// Time that a prompt takes beside its computation, without occupying the engine.
+  // Durations rather than points in time: single precision is sufficient.
+  /// Latency of a prompt on top of its computation, during which the engine is not occupied.
   float prefill_fixed_latency = 0;
   float seconds_per_prefill_token = 0;
   float prefill_seconds_per_pair = 0;
-  /// Time of one decode step with one more stream.
+  /// Duration of a decode step with one additional stream.
   float step = 0;
-  /// Time of a decode step with a single stream, with some slack.
+  /// Duration of a decode step with a single stream, plus some slack.
   float relaxed_single_stream_step = 0;
   /// As in EngineEstimate.
   float kv_seconds_per_token = 0;
@@ -75,40 +76,40 @@
   return common::toSeconds(time.time_since_epoch());
 }
 
-/// Rebuilds the reported part of an estimate; the unreported part stays.
+/// Replaces the reported part of an estimate; the unreported part is kept.
 void applyReport(EngineEstimate& estimate, const engines::EngineLoad& load,
                  common::MonotonicTime observed_at);
 
-/// \return seconds of a decode step with so many streams
+/// \return seconds of a decode step with `streams` streams
 inline double stepSeconds(const EngineEstimate& engine, double streams) {
   return engine.step_scale * (engine.decode_step_base + engine.decode_step_per_stream * streams);
 }
 
-/// \return streams that the engine has now, as far as known.
+/// \return streams on the engine, both reported and sent since.
 inline std::uint32_t streamsOn(const EngineEstimate& engine) {
   return engine.streams + engine.unreported_streams;
 }
 
-/// \param chunks_per_token inverse of the prompt tokens that are computed in one step beside the
-///   output of running streams
+/// \param chunks_per_token inverse of the number of prompt tokens computed in one step together
+///   with the output of running streams
 CostInputs costInputs(const EngineEstimate& engine, double chunks_per_token);
 
-/// Estimates of all engines by slot, with the inputs that follow from them.
+/// Estimates of all engines by slot, with the cost inputs derived from them.
 class EstimateTable {
  public:
   explicit EstimateTable(double prefill_chunk_tokens)
       : chunks_per_token_(1.0 / prefill_chunk_tokens) {}
 
-  /// Makes room for `slot`.
+  /// Ensures that the table has an entry for `slot`.
   void reserve(EngineSlot slot);
-  /// \return the estimate for changing; call refresh() afterwards.
+  /// \return the estimate for modification; call refresh() afterwards.
   EngineEstimate& edit(EngineSlot slot) { return estimates_[slot]; }
-  /// Works the inputs of an engine out anew.
+  /// Recomputes the cost inputs of an engine.
   void refresh(EngineSlot slot) {
     ++refreshed_;
     inputs_[slot] = costInputs(estimates_[slot], chunks_per_token_);
   }
-  /// \return how often inputs were worked out anew, of all engines together.
+  /// \return number of recomputations of cost inputs, over all engines.
   std::uint64_t refreshed() const { return refreshed_; }
   const EngineEstimate& estimate(EngineSlot slot) const { return estimates_[slot]; }
   const CostInputs& inputs(EngineSlot slot) const { return inputs_[slot]; }
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -11,22 +11,23 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Retry-After is stretched by up to this share at random, so that callers don't return together.
+/// Retry-After is extended at random by up to this share, so that callers don't retry in lockstep.
 constexpr double kRetryJitter = 0.25;
-/// Wait told to callers when no engine of a model is available.
+/// Retry-After when no engine of a model is available.
 constexpr double kNoEngineRetrySeconds = 2.0;
 
-/// Cost of a long answer on an engine that hosts none: below that of a late one.
+/// Added cost of a long answer on an engine that is not a host of long answers; lower than that of
+/// missing a limit.
 constexpr double kNonHostPenalty = 10.0;
 
-/// Finalizer of splitmix64: spreads the bits of `value`.
+/// Finalizer of splitmix64, to mix the bits of `value`.
 std::uint64_t mixBits(std::uint64_t value) {
   value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
   value = (value ^ (value >> 27)) * 0x94D049BB133111EBULL;
   return value ^ (value >> 31);
 }
 
-/// How many of the engines that compute prompts have prompts waiting.
+/// Counts the engines that compute prompts and those among them with queued prompts.
 class Contention {
  public:
   void count(const CostInputs& engine, const Offer& offer) {
@@ -125,7 +126,7 @@
 
 const std::vector<EngineSlot>& CostRouter::candidatesFor(const RouteRequest& request) {
   const auto& exact = table_.candidates(request.model, request.version, request.adapter);
-  // An answer that has begun goes on with the version that began it.
+  // An answer that has begun must be continued by the same version.
   if (!exact.empty() || request.version.empty() || request.resume_from > 0) {
     return exact;
   }
@@ -150,7 +151,7 @@
     std::sort(narrowed_.begin(), narrowed_.end());
     narrowed_.erase(std::unique(narrowed_.begin(), narrowed_.end()), narrowed_.end());
   }
-  // Before those that refused a permit: they count where a caller is told when to return.
+  // Before the exclusion of engines that refused a permit: exhausted engines determine Retry-After.
   excludeExhausted();
   for (const common::EngineName& name : request.excluded) {
     std::erase(narrowed_, table_.slotOf(name));
@@ -244,7 +245,7 @@
       std::ceil(settings_.minimum_host_share * static_cast<double>(decode_order_.size()));
   const auto hosts =
       std::min(decode_order_.size(), static_cast<std::size_t>(std::max(needed, least)));
-  // The same order at every node, without a word exchanged.
+  // Ordered by name hash, so that all nodes select the same hosts without communication.
   std::partial_sort(decode_order_.begin(),
                     decode_order_.begin() + static_cast<std::ptrdiff_t>(hosts), decode_order_.end(),
                     [this](EngineSlot left, EngineSlot right) {
@@ -298,7 +299,7 @@
       contention.count(engine, offer);
       continue;
     }
-    // A decode engine computes prompts as well, only slowly; a mixed one takes computed prompts.
+    // Decode engines also compute prompts, but slowly; mixed ones also accept computed prompts.
     const Offer offer = model_.whole(engine, work, prompt, now);
     whole_engines_.push_back(
         {offer.cost, slot, delaysDecoding(slot, work, prompt, now), offer.occupancy});
@@ -321,7 +322,7 @@
   if (work.affinity == 0 || !settings_.copies_prefixes || !matches_.empty()) {
     return settings_.cost_tolerance;
   }
-  // Nobody holds the shared part yet: who computes it again elsewhere loses all of its time.
+  // No engine holds the shared part yet: each further engine would compute all of it again.
   double least = std::numeric_limits<double>::infinity();
   for (const EngineSlot slot : narrowed_) {
     least = std::min<double>(least, estimates_.inputs(slot).seconds_per_prefill_token);
@@ -423,7 +424,7 @@
 
 void CostRouter::countDemand(const RouteRequest& request, const Work& work,
                              const Selection& selection) {
-  // Further attempts at a request ask for nothing new.
+  // Retries and continuations of a request are no new demand.
   if (request.resume_from > 0 || !request.excluded.empty()) {
     return;
   }
@@ -489,8 +490,8 @@
 
 RouteRefusal CostRouter::refuse(const Selection& best, const Work& work,
                                 const common::ModelName& model) {
-  // Callers told earlier to come back take the next places; this one comes after them. The other
-  // nodes that decide refuse about as many as this one.
+  // Callers refused earlier take up capacity first, so this one is told to retry after them. The
+  // engines' other routing nodes are assumed to refuse as many callers as this one.
   const double now = toModelTime(context_.clock.now());
   double& promised = promised_until_[model];
   promised = std::max(promised, now);
@@ -577,7 +578,7 @@
   }
   const EngineSlot slot = awaited.mapped().engine;
   const EngineEstimate& engine = estimates_.estimate(slot);
-  // Prompts between the output's steps would count as time of these.
+  // Prompts computed between the output's steps would be counted as step time.
   const bool tells =
       !engine.has_backlog && awaited.mapped().tokens >= settings_.output_speed.minimum_tokens;
   const double step = stepSeconds(engine, streamsOn(engine)) / engine.step_scale;
--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -1,4 +1,4 @@
-/// Chooses engines by expected time to the first token and between tokens.
+/// Selects engines by expected time to first token and expected time between tokens.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,11 @@
 
 namespace cypresswall::routing {
 
-/// Weighs all candidates of the zone (a sample of them above RouterSettings::full_scan_limit) and
-/// takes the least cost. Among engines of equal cost it takes the one that rendezvous hashing of
-/// the prompt's first piece prefers, so that nodes that don't talk send equal prefixes to one
-/// place; a prompt without a whole piece can't be found in a cache, and such prompts take turns.
+/// Computes the cost of all candidates of the zone (of a sample above
+/// RouterSettings::full_scan_limit) and chooses the cheapest. Ties are broken by rendezvous hashing
+/// of the prompt's first cache piece, so that nodes send prompts with equal prefixes to the same
+/// engine without coordination. A prompt without a whole piece can't be found in a cache; ties are
+/// then broken by least recent use.
 class CostRouter final : public Router {
  public:
   CostRouter(const RouterSettings& settings, const api::ProcessContext& context,
@@ -37,11 +38,11 @@
   void attemptFailed(const std::string& stream_id, const common::EngineName& engine,
                      engines::StreamFailure failure) override;
 
-  /// \return how often what is known of an engine was worked out anew, of all engines together.
+  /// \return number of recomputations of engine estimates, over all engines.
   std::uint64_t estimatesRefreshed() const { return estimates_.refreshed(); }
 
  private:
-  /// One engine with the cost of its offer.
+  /// An engine with the cost of its offer.
   struct PricedEngine {
     double cost = 0;
     EngineSlot engine = kNoEngineSlot;
@@ -49,7 +50,7 @@
     /// As in Offer.
     double occupancy = 0;
   };
-  /// The engines chosen for a request, not yet judged against its limits.
+  /// The engines selected for a request, before the check against its limits.
   struct Selection {
     EngineSlot engine = kNoEngineSlot;
     /// kNoEngineSlot unless another engine computes the prompt.
@@ -61,13 +62,13 @@
     EngineSlot computing() const { return split() ? prefill : engine; }
   };
 
-  /// Where long answers are given.
+  /// Whether an engine generates long answers.
   enum class OutputHosting : std::uint8_t {
-    kAnywhere,  ///< they are not gathered
-    kHost,      ///< gathered at this engine
-    kNonHost,   ///< gathered at others
+    kAnywhere,  ///< long answers are not consolidated
+    kHost,      ///< long answers are consolidated on this engine
+    kNonHost,   ///< long answers are consolidated on other engines
   };
-  /// An answer that has not begun.
+  /// An answer whose first token was not received yet.
   struct AwaitedOutput {
     EngineSlot engine = kNoEngineSlot;
     /// Tokens after the first.
@@ -77,43 +78,44 @@
   Work workOf(const RouteRequest& request) const;
   const std::vector<EngineSlot>& candidatesFor(const RouteRequest& request);
   void narrow(const RouteRequest& request, const std::vector<EngineSlot>& all);
-  /// Leaves out the engines that have no request left of a limit that they named.
+  /// Excludes engines that have used up the rate limit they declared.
   void excludeExhausted();
   void lookUpPrefixes(const RouteRequest& request);
   void clearPrefixes();
-  /// Finds the engine from which others may copy the cached start of the prompt.
+  /// Finds the engine from which others may copy the cached prefix of the prompt.
   void findPrefixSource(const RouteRequest& request);
-  /// \return what the engine would have to do for the prompt, copying what it lacks if it can
+  /// \return the work that the prompt causes on the engine, with missing cache pieces copied from
+  ///   the prefix source where that is possible
   PromptWork promptWork(EngineSlot slot, const Work& work) const;
-  /// Finds the decode engines on which long answers are gathered, if they are.
+  /// Selects the decode engines on which long answers are consolidated, if that is enabled.
   void chooseOutputHosts();
   bool hostsOutput(EngineSlot slot) const { return output_hosting_[slot] == OutputHosting::kHost; }
-  /// \return true if the answer is long, and would be given apart from where long ones are gathered
+  /// \return true if the answer is long and the engine is not a host of long answers
   bool offOutputHost(EngineSlot slot, const Work& work) const;
-  /// \return true if `engine` is a decode engine and the prompt takes it longer than one step, and
-  ///   than its streams may be held up.
+  /// \return true if the engine is a decode engine, and the prompt takes more than one step and
+  ///   would delay the engine's running streams for longer than permitted.
   bool delaysDecoding(EngineSlot slot, const Work& work, const PromptWork& prompt,
                       double now) const;
   void priceEngines(const Work& work, double now);
-  /// \return the cheapest engine. Among near equals a prompt with whole cache pieces gets the one
-  ///   that its hash prefers, another the one whose turn it is; kNoEngineSlot if there is none.
-  /// \param tolerance how much dearer than the cheapest an equal may be
+  /// \return the cheapest engine, kNoEngineSlot if there is none. Ties are broken by rendezvous
+  ///   hashing for a prompt with whole cache pieces, by least recent use otherwise.
+  /// \param tolerance cost difference to the cheapest engine up to which engines are tied
   EngineSlot cheapest(const std::vector<PricedEngine>& engines, const Work& work, double tolerance);
-  /// \return the tolerance among engines that would compute the prompt
+  /// \return the cost tolerance among engines that would compute the prompt
   double computingTolerance(const Work& work) const;
-  /// \return the highest rank by the hash of the prompt's first piece.
+  /// \return the engine with the highest rendezvous rank for `piece`.
   EngineSlot preferredByHash(const std::vector<PricedEngine>& equals,
                              common::PieceHash piece) const;
-  /// \return the engine that got work longest ago, of those with a place free if there are any.
+  /// \return the engine that received work least recently; engines with a free stream slot first.
   EngineSlot leastRecentlyUsed(const std::vector<PricedEngine>& equals) const;
-  /// Adds to the costs what others bear, by the share of engines at which prompts wait.
+  /// Adds the cost of delaying other requests, scaled by the share of engines with queued prompts.
   void chargeOccupancy();
   Selection select(const Work& work, double now);
   void countDemand(const RouteRequest& request, const Work& work, const Selection& selection);
   Route makeRoute(const Selection& selection, const Work& work) const;
   RouteRefusal refuse(const Selection& best, const Work& work, const common::ModelName& model);
   RouteRefusal refuseWithoutEngine(const common::ModelName& model) const;
-  /// For when engines are there, but all that they take is used up.
+  /// Refusal for the case that every candidate has used up its rate limit.
   RouteRefusal refuseExhausted(const common::ModelName& model) const;
   common::Duration boundedRetry(double seconds) const;
   void onEngineChange(EngineSlot slot, bool restarted);
@@ -129,25 +131,26 @@
   SentWork sent_;
   LongPrompts long_prompts_;
   OutputSpeeds output_speeds_;
-  /// Answers whose first token was not received yet.
+  /// By stream.
   std::unordered_map<std::string, AwaitedOutput> awaited_outputs_;
-  /// Number of the last attempt sent to each engine, zero before the first.
+  /// By slot, the sequence number of the last attempt; zero if there was none.
   std::vector<std::uint64_t> last_attempt_;
   std::uint64_t attempts_ = 0;
-  /// Makes each node begin its turns at another engine.
+  /// Randomizes ties, so that nodes do not all start with the same engine.
   std::uint64_t tie_break_salt_;
-  /// By model, the model time up to which refused callers were told to come back.
+  /// By model, the model time up to which capacity is promised to refused callers by Retry-After.
   std::map<common::ModelName, double> promised_until_;
-  // Scratch space, kept so that a choice allocates nothing.
+  // Scratch buffers, reused to avoid allocations per decision.
+  /// Candidates that are evaluated.
   std::vector<EngineSlot> narrowed_;
-  /// Engines left out of it since they are exhausted.
+  /// Engines excluded from `narrowed_` because their rate limit is used up.
   std::vector<common::EngineName> exhausted_;
   std::vector<PrefixMatch> matches_;
   std::vector<std::uint32_t> cached_tokens_;
-  /// Engine from which others can copy cached tokens of the prompt, and how many.
+  /// Engine from which others can copy cached tokens of the prompt, and the number of tokens.
   EngineSlot prefix_source_ = kNoEngineSlot;
   std::uint32_t source_tokens_ = 0;
-  /// Share of the engines that compute prompts at which prompts wait, for the request weighed.
+  /// Share of the candidates that compute prompts on which prompts are queued.
   double contention_ = 0;
   std::vector<PricedEngine> whole_engines_;
   std::vector<PricedEngine> prefill_engines_;
--- a/src/cypresswall/routing/delta_exchange.cpp
+++ b/src/cypresswall/routing/delta_exchange.cpp
@@ -6,28 +6,28 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Bytes of one message beside its lists: envelope, sender, receiver, digest, sequence.
+/// Bytes of one message without its lists: envelope, sender, receiver, digest, sequence.
 constexpr double kEnvelopeBytes = 80;
-/// Upper estimates of one list entry.
+/// Upper estimates of the bytes of one list entry.
 constexpr double kDeltaBytes = 16;
 constexpr double kIdentityBytes = 80;
 constexpr double kHintBytes = 14;
-/// A publication waits until the budget pays for its fixed part this many times.
+/// A publication is delayed until the budget covers this multiple of its fixed part.
 constexpr double kFixedCostMultiple = 2.0;
-/// Unspent budget is kept for this long.
+/// Unspent budget accumulates for up to this long.
 constexpr double kBudgetWindowSeconds = 2.0;
-/// Whatever the budget, each peer may be told this much: one small publication a second. With less
-/// the peers of a zone of many nodes would take all engines for silent.
+/// Lower bound of the budget per peer: one small publication a second. With less, the peers in a
+/// zone of many nodes would consider all engines silent.
 constexpr double kMinimumBytesPerPeerSecond = 120;
 constexpr std::size_t kMaximumQueuedHints = 512;
-/// Above this many, sequence numbers of peers that are gone are forgotten.
+/// Above this many, sequence numbers of former peers are dropped.
 constexpr std::size_t kMaximumRememberedPeers = 64;
 constexpr auto kAgeUnit = std::chrono::milliseconds(10);
-/// An engine's identity is asked for again after this. The answer to a request takes some ten
-/// milliseconds; a peer whose answers never match (another build's, say) must not be asked at the
-/// pace of its answers.
+/// Minimum interval between two requests for an engine's identity. An answer takes about ten
+/// milliseconds; without the interval, a peer whose answers never match (such as one of another
+/// build) would be asked again at once after each answer.
 constexpr auto kIdentityRetryInterval = std::chrono::seconds(1);
-/// Significance of a change of state, role or identity.
+/// Significance of a change of state, role, reachability or identity.
 constexpr double kUrgentSignificance = 1000.0;
 
 }  // namespace
@@ -144,7 +144,7 @@
     const auto last = published_.find(slot);
     double significance = kUrgentSignificance;
     if (last != published_.end()) {
-      // A change that was kept back gains weight, so that none is kept back for good.
+      // The priority of a deferred change grows with time, so that none is starved.
       const double waited = common::toSeconds(context_.clock.now() - last->second.at);
       significance = changeSignificance(last->second.delta, delta, record.load) * (1.0 + waited);
     }
@@ -224,8 +224,8 @@
   const double fixed =
       kEnvelopeBytes + static_cast<double>(message.confirmed.size() + changes.size());
   const bool urgent = !changes.empty() && changes.front().significance >= kUrgentSignificance;
-  // An urgent publication has to pay for its first change too, or it would spend the budget on its
-  // fixed part again and again and never carry the change.
+  // The budget of an urgent publication must also cover its first change; otherwise its fixed part
+  // would use up the budget every time, and the change would never be sent.
   const double least =
       urgent ? fixed + estimatedBytes(changes.front()) : fixed * kFixedCostMultiple;
   if (budget < least) {
--- a/src/cypresswall/routing/delta_exchange.h
+++ b/src/cypresswall/routing/delta_exchange.h
@@ -1,5 +1,5 @@
-/// Passes on what this node learnt by watching engines to the other nodes that decide about them,
-/// within a budget of bytes, and takes in what they publish.
+/// Publishes the state of the engines that this node polls to the other nodes that route to them,
+/// within a byte budget, and applies what those nodes publish.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +24,24 @@
   DeltaExchange(const DirectorySettings& settings, const api::ProcessContext& context,
                 const EngineGroups& groups, EngineTable& table, PrefixIndex& prefixes);
 
-  /// Begins to publish what `poller` learns; called once.
+  /// Starts publishing the state of the engines that `poller` watches; called once.
   void start(EnginePoller& poller);
-  /// Sets how to find the node that plans roles, which is told of every engine.
+  /// Sets how to find the node that plans roles, which receives the state of every engine.
   void setPlanningNode(std::function<common::NodeId()> find) { planning_node_ = std::move(find); }
-  /// Queues a change of a watched engine's cache for the peers.
+  /// Queues a cache change of a watched engine for publication.
   void addCacheHint(EngineSlot slot, bool stored, common::PieceHash piece);
-  /// Forgets what was published of an engine, as its slot has another engine now.
+  /// Forgets the last publication of a slot that is now used by another engine or incarnation.
   void forget(EngineSlot slot) { published_.erase(slot); }
 
  private:
-  /// An engine whose load is to be published, and how soon.
+  /// A load change to publish, with its priority.
   struct PendingChange {
     double significance = 0;
     EngineSlot slot = kNoEngineSlot;
     EngineDelta delta;
   };
 
-  /// What the peers were last told of an engine.
+  /// The last publication of an engine.
   struct Published {
     EngineDelta delta;
     common::MonotonicTime at{};
@@ -49,17 +49,17 @@
 
   void tick();
   void publish(const std::vector<common::NodeId>& peers);
-  /// \return true if peers were told nothing for as long as steady engines go unread.
+  /// \return true if the last publication is at least one poll interval of steady engines ago.
   bool confirmationDue() const;
-  /// \return the nodes that need what this one learns: those that decide about the engines that it
-  ///   watches, and the one that plans roles.
+  /// \return the receivers of publications: the nodes that route to the engines watched by this
+  ///   node, and the node that plans roles.
   std::vector<common::NodeId> receivers() const;
   std::vector<PendingChange> collectChanges(EngineDeltas& message);
-  /// \param budget bytes left for this message
   /// \return true if the engine's model, version, adapters or speeds differ from those published.
   bool identityChanged(const PendingChange& change) const;
   /// \return upper estimate of the bytes that a change adds to a message.
   double estimatedBytes(const PendingChange& change) const;
+  /// \param budget bytes left for this message
   void addChanges(EngineDeltas& message, const std::vector<PendingChange>& changes, double budget);
   void addHints(EngineDeltas& message, double budget);
   common::Duration ageOf(EngineSlot slot) const;
@@ -67,7 +67,7 @@
   EngineSlot slotAt(std::uint16_t index) const;
 
   void onDeltas(const common::NodeId& sender, const EngineDeltas& message);
-  /// \return true unless the identity of the engine at `index` was asked for lately
+  /// \return false if the identity of the engine at `index` was requested recently
   bool mayRequestIdentity(std::uint16_t index);
   void applyChanges(const EngineDeltas& message, std::set<std::uint16_t>& unknown);
   void applyConfirmations(const EngineDeltas& message, std::set<std::uint16_t>& unknown);
@@ -87,11 +87,11 @@
   common::MonotonicTime budget_filled_at_{};
   common::MonotonicTime last_sent_at_{};
   std::map<EngineSlot, Published> published_;
-  /// Highest sequence number taken from each peer's life.
+  /// Highest sequence number received from each peer incarnation.
   std::map<common::NodeId, std::uint64_t> received_;
   std::map<std::uint16_t, EngineIdentity> identities_;
   std::uint32_t identities_digest_ = 0;
-  /// When an engine's identity was last asked for since it didn't match.
+  /// When the identity of an engine was last requested because it did not match its tag.
   std::map<std::uint16_t, common::MonotonicTime> asked_;
   std::deque<CacheHint> hints_;
   common::Counter& sent_bytes_;
--- a/src/cypresswall/routing/engine_deltas.cpp
+++ b/src/cypresswall/routing/engine_deltas.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kPicosecondsPerSecond = 1e12;
-/// Larger figures are told as this one: 4 ms a token in picoseconds, 4e9 tokens a second.
+/// Larger values are clamped to this one: 4 ms per token in picoseconds, 4e9 tokens per second.
 constexpr double kMaximumUnits = 4e9;
 
 constexpr std::uint64_t kTokensPerUnit = 100;
@@ -17,21 +17,22 @@
 constexpr unsigned kRoleShift = 2;
 constexpr std::uint8_t kTwoBits = 3;
 constexpr std::uint8_t kUnreachableFlag = 1U << 4;
-/// A change of queued prompt work that is worth publishing.
+/// Significant change of the time to compute the queued prompts.
 constexpr double kSignificantWaitSeconds = 0.025;
-/// A change of the running streams that is worth publishing, as a share of those published.
+/// Significant change of the number of streams, as a share of the published number, and at least
+/// kSignificantStreams.
 constexpr double kSignificantStreamShare = 0.125;
 constexpr double kSignificantStreams = 2.0;
-/// Ranks changes of state and identity before all changes of load.
+/// Ranks changes of state, role, reachability and identity above all changes of load.
 constexpr double kUrgent = 1000.0;
 
 std::uint32_t tokensToUnits(std::uint64_t tokens) {
   return static_cast<std::uint32_t>((tokens + kTokensPerUnit / 2) / kTokensPerUnit);
 }
 
-/// Rounds to whole units. Cut off in place of that, what a peer takes in would at some values be
-/// one unit less when it is told again, and would never match the tag of what it was told: peers
-/// then ask for the identity again and again.
+/// Rounds to whole units. With truncation, some values would lose a unit when a peer encodes the
+/// decoded value again, so that its tag would never match the published one, and peers would
+/// request the identity over and over.
 std::uint32_t roundToUnits(double value) {
   return static_cast<std::uint32_t>(std::llround(std::clamp(value, 0.0, kMaximumUnits)));
 }
--- a/src/cypresswall/routing/engine_deltas.h
+++ b/src/cypresswall/routing/engine_deltas.h
@@ -1,6 +1,6 @@
-/// Messages by which the watcher of an engine tells the zone's other nodes what changed, and the
-/// rule for what is worth telling. A steady engine costs one byte a publication, a changed one
-/// about a dozen.
+/// Messages by which the watcher of an engine publishes load changes to other nodes of the zone,
+/// and the rule which changes are significant. An unchanged engine takes one byte per publication,
+/// a changed one about twelve.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,9 @@
 
 namespace cypresswall::routing {
 
-/// The often changing part of a load report, in coarse units.
+/// The frequently changing part of a load report, in coarse units.
 struct EngineDelta {
-  /// Position of the engine among the zone's engine names in order.
+  /// Position of the engine in the sorted list of the zone's engine names.
   std::uint16_t index = 0;
   /// Bits 0-1 state, 2-3 role, 4 unreachable.
   std::uint8_t flags = 0;
@@ -24,9 +24,9 @@
   std::uint32_t output_streams = 0;
   std::uint32_t prefill_hundreds = 0;
   std::uint32_t decode_hundreds = 0;
-  /// How long before sending the described moment was, in units of 10 ms.
+  /// Age of the report when the message is sent, in units of 10 ms.
   std::uint32_t age_centiseconds = 0;
-  /// Tag of the rarely changing part that belongs to this load.
+  /// Tag of the identity (the rarely changing part) that belongs to this load.
   std::uint16_t identity_tag = 0;
 
   MSGPACK_DEFINE(index, flags, running_streams, waiting_streams, output_streams, prefill_hundreds,
@@ -54,7 +54,7 @@
                  prefill_base_us, prefill_pair_picoseconds, kv_token_picoseconds)
 };
 
-/// A change of an engine's prefix cache, passed on as far as the byte budget allows.
+/// A change of an engine's prefix cache, published as far as the byte budget permits.
 struct CacheHint {
   std::uint16_t index = 0;
   bool stored = true;
@@ -63,21 +63,22 @@
   MSGPACK_DEFINE(index, stored, piece)
 };
 
-/// One publication of a watcher to one peer.
+/// One publication from a watcher to a peer.
 struct EngineDeltas {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 0);
 
-  /// Digest of the zone's engine names; indexes mean nothing under another roster.
+  /// Digest of the zone's engine names; indexes are only valid for the same list.
   std::uint32_t roster_digest = 0;
-  /// Counts up per sender, so that late and doubled messages are dropped.
+  /// Increases per sender, so that late and duplicate messages are dropped; zero in answers to
+  /// IdentityRequest.
   std::uint64_t sequence = 0;
   std::vector<EngineDelta> changed;
-  /// Engines polled since, whose last published load still holds; differences of ascending
-  /// indexes, the first from zero.
+  /// Engines polled since the last publication whose published load is still valid; delta-encoded
+  /// ascending indexes, the first relative to zero.
   std::vector<std::uint16_t> confirmed;
-  /// Engines polled since whose load changed but is not told for want of budget, in the same form.
+  /// Engines polled since whose load changed but was deferred by the byte budget; same encoding.
   std::vector<std::uint16_t> deferred;
-  /// Age of the oldest report behind `confirmed`, in units of 10 ms.
+  /// Age of the oldest report among `confirmed`, in units of 10 ms.
   std::uint32_t confirmed_age_centiseconds = 0;
   std::vector<EngineIdentity> identities;
   std::vector<CacheHint> cache_hints;
@@ -86,7 +87,7 @@
                  identities, cache_hints)
 };
 
-/// Asks the watcher for the rarely changing parts that the sender lacks.
+/// Requests from the watcher the identities that the sender lacks.
 struct IdentityRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 1);
 
@@ -96,24 +97,25 @@
   MSGPACK_DEFINE(roster_digest, indexes)
 };
 
-/// \return the digest that goes with a zone's ordered engine names.
+/// \return the digest of a zone's sorted engine names.
 std::uint32_t rosterDigest(const std::vector<common::EngineName>& names);
 
 EngineDelta makeDelta(std::uint16_t index, const engines::EngineLoad& load, bool reachable,
                       common::Duration age);
 EngineIdentity makeIdentity(std::uint16_t index, const engines::EngineLoad& load);
-/// \return a tag that changes whenever any field of the identity but its index does.
+/// \return a tag that changes with any field of the identity except its index.
 std::uint16_t identityTag(const engines::EngineLoad& load);
 
-/// Writes a delta's fields into a load. \return false if the engine can't be reached.
+/// Writes a delta's fields into a load. \return false if the engine is unreachable.
 bool applyDelta(const EngineDelta& delta, engines::EngineLoad& load);
 void applyIdentity(const EngineIdentity& identity, engines::EngineLoad& load);
 
-/// Judges how much the change since the last publication would alter choices.
-/// \return zero if not at all; from 1 up it is worth publishing, the greater the sooner
+/// Estimates how much the change since the last publication affects routing decisions.
+/// \return zero if it does not; otherwise at least 1, and larger for changes to publish sooner
 double changeSignificance(const EngineDelta& published, const EngineDelta& now,
                           const engines::EngineLoad& load);
 
+/// Delta-encodes ascending values, the first relative to zero.
 std::vector<std::uint16_t> encodeDifferences(const std::vector<std::uint16_t>& ascending);
 /// Inverse of encodeDifferences().
 std::vector<std::uint16_t> decodeDifferences(const std::vector<std::uint16_t>& differences);
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -62,8 +62,8 @@
       },
       context_.clock.now());
   members_changed_ = true;
-  // Where few nodes decide, the others learn who does from the next sweep: while many nodes come
-  // and go, the groups are not worked out for each.
+  // In a zone divided into groups, the next sweep applies membership changes, so that groups are
+  // not recomputed for each change while many nodes come and go.
   if (roster_changed_ || groups_.everyNodeRoutes()) {
     assignWatches();
   }
--- a/src/cypresswall/routing/engine_directory.h
+++ b/src/cypresswall/routing/engine_directory.h
@@ -1,7 +1,7 @@
-/// What this node knows of the engines that it decides about: their load, kept fresh by watching a
-/// share of them and by the publications of the others that decide; the pieces of KV cache they are
-/// believed to hold; and which of them may be given work. Of the zone's other engines it knows
-/// where they are and which are leaving.
+/// This node's view of the engines that it routes to: their load, kept up to date by polling some
+/// of them and by the publications of the other routing nodes; the KV cache pieces that they
+/// probably hold; and their availability for new work. Of the zone's other engines it knows only
+/// the addresses and which ones are leaving.
 #pragma once
 
 #include <functional>
@@ -33,29 +33,31 @@
                   engines::EngineClient& client, configuration::ConfigurationView& configuration,
                   membership::MembershipView& membership);
 
-  /// Begins to watch and to publish; called once.
+  /// Starts polling and publishing; called once.
   void start();
 
   /// \return all engines of the zone, ordered by name.
   std::vector<EngineRecord> records() const;
   /// \return the record of a declared engine, or nullptr; valid until the table next changes.
   const EngineRecord* find(const common::EngineName& name) const;
-  /// Replaces the set of engines that get no new work because a planned change needs them idle.
+  /// Replaces the set of engines that receive no new work because a planned change requires them to
+  /// be idle.
   void setDraining(const std::set<common::EngineName>& engines);
 
-  /// \return true for a while after the process was paused: what it knows of engines and machines
-  ///   is old, and messages that waited for it look newer than they are.
+  /// \return true for DirectorySettings::catch_up_time after a pause of the process: its view of
+  ///   engines and machines is stale, and messages queued meanwhile appear newer than they are.
   bool catchingUp();
 
   const EngineGroups& groups() const { return groups_; }
-  /// Sets how to find the node that plans roles, which is told of every engine.
+  /// Sets how to find the node that plans roles, which receives the state of every engine.
   void setPlanningNode(std::function<common::NodeId()> find) {
     exchange_.setPlanningNode(std::move(find));
   }
-  /// Sets who knows the limits that engines name on requests; without, no engine has one.
+  /// Sets the provider of the request rate limits that engines declare; without it, no engine has
+  /// a rate limit.
   void setRateLimiter(fleet_limits::RateLimiter& limiter) { rate_limiter_ = &limiter; }
   fleet_limits::RateLimiter* rateLimiter() const { return rate_limiter_; }
-  /// What callers asked of each model at this node.
+  /// Demand for each model at this node.
   planning::DemandLedger& demand() { return demand_; }
   EngineTable& table() { return table_; }
   PrefixIndex& prefixes() { return prefixes_; }
@@ -66,7 +68,7 @@
   void onConfiguration(const configuration::FleetConfiguration& fleet);
   void onMembership();
   void assignWatches();
-  /// \return true until this node knows who else may watch engines.
+  /// \return true if this node is joining and knows no other member that could watch engines yet.
   bool awaitsPeers() const;
   void forgetUnroutedEngines();
   void sweep();
@@ -79,7 +81,7 @@
   common::MonotonicTime swept_at_;
   common::MonotonicTime catch_up_until_;
   planning::DemandLedger demand_;
-  /// Members for which the watches were last assigned.
+  /// Members at the last assignment of watched engines.
   std::vector<membership::Member> assigned_members_;
   bool roster_changed_ = true;
   bool members_changed_ = false;
@@ -91,7 +93,7 @@
   EngineEjection ejection_;
   EnginePoller poller_;
   fleet_limits::RateLimiter* rate_limiter_ = nullptr;
-  /// Engines that another node took over, and until when this node goes on watching them.
+  /// Engines taken over by another node, and until when this node keeps watching them.
   std::map<EngineSlot, common::MonotonicTime> handed_over_;
   common::Counter& pauses_;
 };
--- a/src/cypresswall/routing/engine_ejection.cpp
+++ b/src/cypresswall/routing/engine_ejection.cpp
@@ -9,7 +9,7 @@
 constexpr const char* kOwnAttempts = "own attempts";
 constexpr const char* kZone = "zone";
 
-/// \return true if the failure says something of the engine's health.
+/// \return true if the failure indicates that the engine is unhealthy.
 bool unhealthy(engines::StreamFailure failure) {
   return failure == engines::StreamFailure::kNotSent ||
          failure == engines::StreamFailure::kBroken ||
--- a/src/cypresswall/routing/engine_ejection.h
+++ b/src/cypresswall/routing/engine_ejection.h
@@ -1,8 +1,8 @@
-/// Takes engines at which attempts fail out of routing for a short time, before load reports show
-/// what is wrong (outlier ejection). A node acts at once on its own attempts that reached nothing;
-/// what it sees it also tells the node that watches the engine, which ejects the engine for the
-/// whole zone once several nodes say so. That costs one message a failure and one a node for each
-/// ejection, however many nodes send to the engine.
+/// Outlier ejection: removes engines on which attempts fail from routing for a short time, before
+/// load reports show the fault. A node ejects an engine at once if its own attempts can't reach it.
+/// It also reports failures to the engine's watcher, which ejects the engine for the whole zone
+/// once several nodes have reported. This takes one message per failure and one per node for each
+/// ejection, regardless of how many nodes use the engine.
 #pragma once
 
 #include <cstdint>
@@ -17,18 +17,18 @@
 
 namespace cypresswall::routing {
 
-/// Told to the node that watches the engine: an attempt failed there.
+/// Sent to the engine's watcher: an attempt failed on the engine.
 struct EngineFailureReport {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 3);
 
   common::EngineName engine;
-  /// Nothing reached the engine; otherwise the stream broke.
+  /// True if the engine could not be reached, false if the stream broke.
   bool unreached = false;
 
   MSGPACK_DEFINE(engine, unreached)
 };
 
-/// Told by the watcher to its zone: the engine gets no work for a while.
+/// Sent by the watcher to the engine's other routing nodes: the engine is ejected.
 struct EngineEjected {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 4);
 
@@ -47,40 +47,42 @@
   EngineEjection(const EngineEjection&) = delete;
   EngineEjection& operator=(const EngineEjection&) = delete;
 
-  /// An attempt of this node failed at the engine. Refusals and attempts
-  /// that were not tried say nothing of its health.
+  /// Records a failed attempt of this node. Refusals and attempts that were not tried are ignored,
+  /// as they do not indicate the engine's health.
   void attemptFailed(EngineSlot slot, engines::StreamFailure failure);
-  /// An attempt that this node placed for another one failed at the engine: a word of that node's,
-  /// which alone ejects nothing.
+  /// Records a failed attempt that this node placed for `node`. Counts as a report from that node,
+  /// which alone does not eject the engine.
   void placedAttemptFailed(const common::NodeId& node, EngineSlot slot,
                            engines::StreamFailure failure);
 
  private:
-  /// One failure that was told.
+  /// One reported failure.
   struct Failure {
     common::NodeId node;
     bool unreached = false;
     common::MonotonicTime at{};
   };
   struct Engine {
-    /// Of the last window, told to this node as the watcher.
+    /// Failures within the window that were reported to this node as the watcher.
     std::vector<Failure> reports;
-    /// Of the last window, this node's own broken streams.
+    /// This node's own broken streams within the window.
     std::vector<common::MonotonicTime> broken;
-    /// Ejections in a row, each begun soon after the one before ended.
+    /// Consecutive ejections, each begun within EjectionSettings::backoff_reset_time of the end of
+    /// the previous one.
     std::uint32_t in_a_row = 0;
   };
 
   void onReport(const common::NodeId& sender, const EngineFailureReport& report);
   void onEjected(const EngineEjected& notice);
   void reportFailure(EngineSlot slot, bool unreached);
-  /// \return true if what the nodes told of the last window is enough to eject the engine
+  /// \return true if the reports within the window suffice to eject the engine
   bool enoughReports(const Engine& engine, bool unreached) const;
   void ejectForZone(EngineSlot slot, bool unreached);
-  /// \return for how long the engine's next ejection lasts
+  /// \return the duration of the engine's next ejection
   common::Duration nextEjectionTime(EngineSlot slot);
-  /// \return true unless ejection is switched off, or as many engines of the model and role are
-  ///   ejected as may be
+  /// \return false if ejection is disabled, or if the maximum share of the engines of the same
+  /// model
+  ///   and role is ejected already
   bool mayEject(EngineSlot slot, bool unreached) const;
   void eject(EngineSlot slot, common::Duration time, bool unreached, const char* source);
 
--- a/src/cypresswall/routing/engine_groups.cpp
+++ b/src/cypresswall/routing/engine_groups.cpp
@@ -13,7 +13,7 @@
 using membership::Member;
 using membership::MemberState;
 
-/// Groups that may be asked for one request.
+/// Maximum number of groups from which a placement is requested for one request.
 constexpr std::size_t kMaximumCandidateGroups = 2;
 
 std::uint64_t mix(std::uint64_t first, std::uint64_t second) {
@@ -60,7 +60,7 @@
     for (const EngineSlot slot : slots) {
       const auto& declaration = table_.record(slot).declaration;
       const std::uint64_t hash = common::hash64(declaration.name);
-      // Rendezvous hashing: one group more or less moves that group's share of the engines only.
+      // Rendezvous hashing: adding or removing a group moves only that group's share of engines.
       std::size_t best = first;
       for (std::size_t group = first; group < groups_.size(); ++group) {
         best = mix(hash, group - first) > mix(hash, best - first) ? group : best;
@@ -135,7 +135,7 @@
   if (engine >= group_of_.size() || groups_.empty()) {
     return {};
   }
-  // The owners share the reading, as it is the most of their work.
+  // Polling is most of the owners' work, so the engines of a group are divided among its owners.
   return membership::rendezvousNode(name, groups_[group_of_[engine]].owners);
 }
 
--- a/src/cypresswall/routing/engine_groups.h
+++ b/src/cypresswall/routing/engine_groups.h
@@ -1,9 +1,9 @@
-/// Which nodes decide about which engines. In a small zone every node decides about every engine
-/// and tells all others what it did. In a large one the engines of each model are divided into
-/// groups, and each group has two owners: the first places all requests on the group's engines and
-/// knows their queues exactly, the second is told of what the first does and takes over when the
-/// first is away. Other nodes ask the owners. All of it follows from the lists of engines and of
-/// members, so every node works it out alike, without a word exchanged.
+/// Assigns engines to routing nodes. In a small zone every node routes to every engine and informs
+/// all others of the work that it sends. In a large zone the engines of each model are divided into
+/// groups with two owners each: the primary places all requests on the group's engines and knows
+/// their queues exactly; the secondary is informed of these placements and takes over when the
+/// primary is away. Other nodes request placements from the owners. The assignment is a function of
+/// the lists of engines and members, so all nodes compute the same one without communication.
 #pragma once
 
 #include <cstdint>
@@ -20,12 +20,12 @@
 
 namespace cypresswall::routing {
 
-/// Engines of one model that the same nodes decide about.
+/// Engines of one model that have the same owners.
 struct EngineGroup {
   /// "MODEL/NUMBER".
   std::string name;
   std::vector<EngineSlot> engines;
-  /// The nodes that decide, the first in place first.
+  /// Routing nodes of the group, the primary first.
   std::vector<common::NodeId> owners;
 };
 
@@ -35,38 +35,39 @@
   EngineGroups(const GroupSettings& settings, const membership::MembershipView& membership,
                const EngineTable& table);
 
-  /// Works everything out anew, after a change of the engines declared or of the members.
+  /// Recomputes the assignment after a change of the declared engines or the members.
   void update();
 
-  /// \return true if every node decides about every engine.
+  /// \return true if every node routes to every engine.
   bool everyNodeRoutes() const { return every_node_routes_; }
-  /// \return the node that reads an engine's reports; empty if no member is alive.
+  /// \return the node that polls an engine; empty if no member is alive.
   common::NodeId watcherOf(EngineSlot engine) const;
-  /// \return the node that places all requests on an engine; empty if several do
+  /// \return the node that places all requests on an engine; empty if several nodes do
   common::NodeId primaryOwnerOf(EngineSlot engine) const;
-  /// \return the other nodes that decide about an engine.
+  /// \return the routing nodes of an engine except this node.
   const std::vector<common::NodeId>& otherRoutingNodes(EngineSlot engine) const;
-  /// \return all nodes that decide about any engine.
+  /// \return the routing nodes of all engines.
   const std::vector<common::NodeId>& allRoutingNodes() const { return all_routing_nodes_; }
-  /// \return nodes that place requests on one engine at the same time, at least 1.
+  /// \return number of nodes that place requests on one engine concurrently, at least 1.
   std::size_t routingNodesPerEngine() const;
   /// \return true if this node is an owner of the group.
   bool owns(const std::string& group) const;
-  /// \return true if this node decides about the engine.
+  /// \return true if this node routes to the engine.
   bool routesTo(EngineSlot engine) const;
-  /// \return engines that this node decides about.
+  /// \return number of engines that this node routes to.
   std::size_t routedEngineCount() const;
 
-  /// Finds the groups to ask for a place, the best first, two at the most. Equal prompts go to
-  /// equal groups: the group of the engine that hashing prefers among those that compute prompts,
-  /// so that a group gets as much as it can compute. Prompts without a shared part go to random
-  /// engines. \param shared_part names what the prompt shares with others, zero for nothing
+  /// Returns at most two groups to request a placement from, in order of preference. Prompts with
+  /// the same shared part get the same groups: rendezvous hashing ranks the engines that compute
+  /// prompts, and the groups of the highest ranked are taken, so that a group receives prompts in
+  /// proportion to its prefill capacity. Prompts without a shared part get the groups of random
+  /// engines. \param shared_part hash of the part shared with other prompts, zero if there is none
   std::vector<const EngineGroup*> candidateGroupsFor(const common::ModelName& model,
                                                      common::PieceHash shared_part,
                                                      common::RandomSource& random) const;
 
  private:
-  /// An engine as a home of prompts.
+  /// An engine with its group, for the choice of candidate groups.
   struct GroupedEngine {
     std::uint64_t name_hash = 0;
     std::size_t group = 0;
@@ -75,7 +76,7 @@
 
   void divideEngines();
   void findOwners();
-  /// \return the members from which owners are taken
+  /// \return the members eligible as owners: alive ones with the fastest links
   std::vector<membership::Member> eligibleMembers() const;
   void updateRoutingNodes();
   bool ownedHere(const EngineGroup& group) const;
@@ -88,9 +89,9 @@
   /// By slot.
   std::vector<std::size_t> group_of_;
   std::map<common::ModelName, std::vector<GroupedEngine>> engines_by_model_;
-  /// By group: its owners but this node.
+  /// By group: its owners except this node.
   std::vector<std::vector<common::NodeId>> other_owners_;
-  /// All members but this node.
+  /// All members that are not dead, except this node.
   std::vector<common::NodeId> other_members_;
   std::vector<common::NodeId> all_routing_nodes_;
 };
--- a/src/cypresswall/routing/engine_poller.cpp
+++ b/src/cypresswall/routing/engine_poller.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Polls are spread over this many turns of one poll period.
+/// Polls are spread over this many ticks per poll period.
 constexpr std::uint32_t kPhases = 5;
 
 }  // namespace
@@ -47,7 +47,7 @@
 void EnginePoller::tick() {
   phase_ = (phase_ + 1) % kPhases;
   turn_ += phase_ == 0 ? 1 : 0;
-  // Steady engines are read in the same turns, so that one publication confirms them all.
+  // Steady engines are polled in the same periods, so that one publication confirms all of them.
   const bool steady_turn = turn_ % std::max(settings_.steady_poll_factor, 1U) == 0;
   const common::MonotonicTime now = context_.clock.now();
   for (const EngineSlot slot : watched_) {
@@ -153,7 +153,7 @@
           : 1;
   bool gap = events.gap.value_or(false);
   for (const engines::CacheEvent& event : events.events) {
-    // One change of the engine may concern several pieces.
+    // Events of several pieces affected by one change have the same sequence number.
     const bool follows =
         event.sequence == state.last_cache_event || event.sequence == state.last_cache_event + 1;
     gap = gap || (state.last_cache_event != 0 && !events.gap && !events.snapshot && !follows);
--- a/src/cypresswall/routing/engine_poller.h
+++ b/src/cypresswall/routing/engine_poller.h
@@ -1,5 +1,5 @@
-/// Reads load reports and cache events from the engines that this node watches: often while what is
-/// read would alter a choice, seldom while it stands still.
+/// Polls load reports and cache events of the engines that this node watches; engines whose state
+/// is steady are polled less often.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 class EnginePoller {
  public:
-  /// Receives each change of a watched engine's cache, for the zone's peers.
+  /// Receives each cache change of a watched engine, for publication to peers.
   using CacheEventListener =
       std::function<void(EngineSlot slot, bool stored, common::PieceHash piece)>;
 
@@ -25,12 +25,12 @@
                engines::EngineClient& client, EngineTable& table, PrefixIndex& prefixes,
                CacheEventListener listener);
 
-  /// Begins to poll; called once.
+  /// Starts polling; called once.
   void start();
   /// Replaces the set of watched engines.
   void watch(const std::set<EngineSlot>& slots);
   const std::set<EngineSlot>& watched() const { return watched_; }
-  /// Forgets where an engine's cache events were read up to.
+  /// Resets the poll state of an engine, including its position in the cache events.
   void engineRestarted(EngineSlot slot) { states_.erase(slot); }
 
  private:
@@ -38,20 +38,20 @@
     bool load_pending = false;
     bool cache_pending = false;
     std::uint32_t failures = 0;
-    /// Sequence number of the last cache event read; zero if none was read in this life.
+    /// Sequence number of the last cache event read from this incarnation, zero if none was.
     std::uint64_t last_cache_event = 0;
     common::MonotonicTime cache_polled_at{};
-    /// Cache events are read every so many cache poll periods.
+    /// Interval between polls of cache events, in cache poll periods.
     std::uint32_t cache_poll_factor = 1;
-    /// The last report that would alter a choice; later ones are compared with it.
+    /// The last report with a significant change; later reports are compared with it.
     std::optional<EngineDelta> reference;
     std::uint32_t cache_pieces_used = 0;
-    /// The newest report would not alter a choice, and the engine is at rest.
+    /// The newest report has no significant change, and the engine is ready and not changing.
     bool steady = false;
   };
 
   void tick();
-  /// Notes whether a report moved so far that the next must be read soon.
+  /// Determines from a report how soon the engine must be polled again.
   static void updateSteadiness(PollState& state, const engines::EngineLoad& load);
   void pollLoad(EngineSlot slot);
   void pollCache(EngineSlot slot);
@@ -69,7 +69,7 @@
   std::set<EngineSlot> watched_;
   std::map<EngineSlot, PollState> states_;
   std::uint32_t phase_ = 0;
-  /// Poll periods begun.
+  /// Number of poll periods started.
   std::uint64_t turn_ = 0;
   common::Counter& polls_;
   common::Counter& cache_polls_;
--- a/src/cypresswall/routing/engine_record.h
+++ b/src/cypresswall/routing/engine_record.h
@@ -1,4 +1,4 @@
-/// What one node knows of one engine of its zone.
+/// A node's record of one engine of its zone.
 #pragma once
 
 #include <cstdint>
@@ -9,33 +9,33 @@
 
 namespace cypresswall::routing {
 
-/// Whether an engine may be given new work, and if not, why.
+/// Whether an engine may receive new work, and if not, why.
 enum class EngineAvailability : std::uint8_t {
   kAvailable,
-  kNotReported,        ///< no load report was seen yet
+  kNotReported,        ///< no load report was received yet
   kSilent,             ///< the newest report is too old
   kUnreachable,        ///< its watcher can't reach it
-  kEjected,            ///< attempts failed there; tried again after a while
-  kChanging,           ///< away for a change of role or a load of weights
-  kFailed,             ///< says itself that it failed
+  kEjected,            ///< attempts failed; temporarily removed from routing
+  kChanging,           ///< changing its role or loading weights
+  kFailed,             ///< reported that it failed
   kDraining,           ///< the zone's controller drains it for a planned change
-  kDrainedByOperator,  ///< an operator drained it, or its machine
+  kDrainedByOperator,  ///< an operator drained it or its machine
   kMachineLeaving,     ///< the machine list shows its machine as leaving or gone
 };
 
-/// \return a word for tables and logs, such as "available" or "machine-leaving".
+/// \return a name for tables and logs, such as "available" or "machine-leaving".
 const char* toString(EngineAvailability availability);
 
-/// One engine as operators' tables and the zone's controller see it.
+/// State of one engine, as used for routing, by the zone's controller and in operators' tables.
 struct EngineRecord {
   configuration::EngineDeclaration declaration;
   EngineAvailability availability = EngineAvailability::kNotReported;
-  /// True once a report with the engine's model and speeds was seen.
+  /// True once a report with the engine's model and speeds was received.
   bool reported = false;
   engines::EngineLoad load;
-  /// The moment that `load` describes, by this node's clock.
+  /// The time that `load` describes, on this node's clock.
   common::MonotonicTime observed_at{};
-  /// The newest moment of which anything was reported, whether its load was told or not.
+  /// The time of the last known report, including those whose load was not published.
   common::MonotonicTime last_contact_at{};
   bool reachable = true;
   /// This node polls the engine.
--- a/src/cypresswall/routing/engine_table.h
+++ b/src/cypresswall/routing/engine_table.h
@@ -1,5 +1,5 @@
-/// The engines of the own zone by slot, with the newest load report of each and whether it may be
-/// given work. Pure state: it neither polls nor sends.
+/// The engines of this node's zone by slot, with the newest load report and the availability of
+/// each. Holds state only: it neither polls nor sends.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace cypresswall::routing {
 
-/// What one report says of an engine.
+/// The content of one report on an engine.
 struct EngineObservation {
   engines::EngineLoad load;
   common::MonotonicTime observed_at{};
@@ -23,39 +23,39 @@
 
 class EngineTable {
  public:
-  /// Called after an engine's record changed in any way; `restarted` is true if the engine has
-  /// another incarnation than before, or the slot another engine.
+  /// Called after an engine's record changed; `restarted` is true if the engine has a new
+  /// incarnation, or the slot a new engine.
   using Listener = std::function<void(EngineSlot slot, bool restarted)>;
 
   explicit EngineTable(const DirectorySettings& settings) : settings_(settings) {}
 
-  /// Takes over the declarations of one zone; records of engines that stay are kept.
+  /// Applies the declarations of one zone; records of engines that remain declared are kept.
   void declare(const configuration::FleetConfiguration& fleet, const common::ZoneName& zone,
                common::MonotonicTime now);
-  /// Sets which engines' machines are leaving, by asking `leaving` for each.
+  /// Sets which engines' machines are leaving, by calling `leaving` for each engine.
   void markLeaving(const std::function<bool(const configuration::EngineDeclaration&)>& leaving,
                    common::MonotonicTime now);
   /// Replaces the set of engines that the zone's controller drains.
   void setDraining(const std::set<common::EngineName>& engines, common::MonotonicTime now);
-  /// Takes a report in, unless one of a later moment was seen.
+  /// Applies a report, unless a newer one was applied before.
   void observe(EngineSlot slot, const EngineObservation& observation, common::MonotonicTime now);
-  /// Notes that the last reported load still held at `observed_at`.
+  /// Records that the last reported load was still valid at `observed_at`.
   void confirm(EngineSlot slot, common::MonotonicTime observed_at, common::MonotonicTime now);
-  /// Notes that the engine reported at `contact_at`, though what is not known.
+  /// Records that the engine reported at `contact_at`, with a load that is not known here.
   void noteContact(EngineSlot slot, common::MonotonicTime contact_at, common::MonotonicTime now);
-  /// The engine gets no work until `until`.
+  /// Removes the engine from routing until `until`.
   void eject(EngineSlot slot, common::MonotonicTime until, common::MonotonicTime now);
-  /// \return the end of its last ejection; the clock's beginning if it never was ejected.
+  /// \return the end of the engine's last ejection; the clock's epoch if it was never ejected.
   common::MonotonicTime ejectedUntil(EngineSlot slot) const { return entries_[slot].ejected_until; }
-  /// \return true if the engine may get no work whatever its load: its machine leaves, or operators
-  ///   or the zone's controller drain it.
+  /// \return true if the engine may receive no work regardless of its load: its machine is leaving,
+  ///   or an operator or the zone's controller drains it.
   bool isLeaving(EngineSlot slot) const;
   void setReachable(EngineSlot slot, bool reachable, common::MonotonicTime now);
   void setWatched(EngineSlot slot, bool watched) { entries_[slot].record.watched_here = watched; }
-  /// Finds engines that fell silent.
+  /// Re-evaluates availability, to detect engines whose reports have become too old.
   void sweep(common::MonotonicTime now);
 
-  /// Slots of all declared engines of the zone, in the order of their names.
+  /// Slots of all declared engines of the zone, sorted by name.
   const std::vector<EngineSlot>& roster() const { return roster_; }
   const std::vector<common::EngineName>& names() const { return names_; }
   std::uint32_t digest() const { return digest_; }
@@ -83,7 +83,7 @@
   EngineSlot takeSlot();
   void applyOperatorDrains(const configuration::FleetConfiguration& fleet);
   EngineAvailability judge(const Entry& entry, common::MonotonicTime now) const;
-  /// Recomputes availability; forgets cached candidate lists if it changed.
+  /// Recomputes availability; invalidates cached candidate lists if it changed.
   void refresh(EngineSlot slot, common::MonotonicTime now);
   void refreshAll(common::MonotonicTime now);
   void notify(EngineSlot slot, bool restarted);
