--- a/tests/routing/cost_router_test.cpp
+++ b/tests/routing/cost_router_test.cpp
@@ -11,7 +11,7 @@
 
 using engines::EngineRole;
 
-/// One node with a router before scripted engines, all reported.
+/// One node with a router and scripted engines, all of which report their load.
 class RouterFixture {
  public:
   explicit RouterFixture(int engine_count, std::uint64_t seed = 1,
@@ -76,8 +76,8 @@
   return request;
 }
 
-/// Routes short requests whose limits are so wide that all engines count as equal; each ends before
-/// the next. \return the engines that got one
+/// Routes short requests one after the other, with limits so large that the costs of all engines
+/// are equal. \return the engines that received a request
 std::set<std::string> enginesOfRequests(RouterFixture& fixture, int count) {
   std::set<std::string> engines;
   RouteRequest request = requestOf(60);
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(route.expected_first_token < std::chrono::seconds(2));
     CPPUNIT_ASSERT(route.expected_between_tokens == common::Duration{0});
     request.first_token_limit = std::chrono::microseconds(1);
-    request.excluded = {"e101"};  // an engine without a queue is never called late
+    request.excluded = {"e101"};  // requests are never refused for an engine without a queue
     CPPUNIT_ASSERT(fixture.refusal(request).retry_after <= RouterSettings{}.maximum_retry_after);
   }
 
@@ -234,7 +234,7 @@
     fixture.run(std::chrono::seconds(1));
     const RouteRefusal refusal = fixture.refusal(requestOf(1000));
     CPPUNIT_ASSERT(refusal.reason == RouteFailure::kOverloaded);
-    // 50,000 tokens at 10,000 a second leave about 3.8 s until a first token within 1.3 s.
+    // 50,000 tokens at 10,000 per second: about 3.8 s until a first token within 1.3 s is possible.
     CPPUNIT_ASSERT(refusal.retry_after > std::chrono::seconds(3));
     CPPUNIT_ASSERT(refusal.retry_after < std::chrono::seconds(6));
     CPPUNIT_ASSERT_EQUAL(std::string("e100"), refusal.best.value().engine);
@@ -262,11 +262,11 @@
     CPPUNIT_ASSERT_EQUAL(std::string("e103"), route.engine.name);
   }
 
-  /// Prompts between the steps of many streams would hold all of these up.
+  /// A prompt computed between the steps of many streams would delay all of them.
   void longAnswersAreConsolidated() {
     RouterFixture fixture(9);
     const std::set<std::string> hosts = hostsOfLongAnswers(fixture);
-    // Sixteen streams half fill two engines; one more is for those to come.
+    // Sixteen streams half fill two engines; one more is a reserve for new ones.
     CPPUNIT_ASSERT(hosts.size() <= 3);
     for (int i = 0; i < 30; ++i) {
       RouteRequest request = requestOf(4000);
@@ -299,7 +299,7 @@
     fixture.run(std::chrono::seconds(1));
     CPPUNIT_ASSERT(fixture.refusal(requestOf(3000)).retry_after.count() > 0);
     CPPUNIT_ASSERT_EQUAL(std::string("e101"), fixture.route(requestOf(200)).engine.name);
-    // Without a prefill engine it is the decode engine or nothing.
+    // Without a prefill engine, the decode engine is the only choice.
     fixture.engines["e100:1"].reachable = false;
     fixture.run(std::chrono::seconds(4));
     CPPUNIT_ASSERT_EQUAL(std::string("e101"), fixture.route(requestOf(3000)).engine.name);
@@ -339,26 +339,26 @@
   }
 
   void neverChoosesUnavailableEngine() {
-    testing::requireProperty("no engine barred from work is chosen", 100, [] {
+    testing::requireProperty("no unavailable engine is chosen", 100, [] {
       constexpr int kEngines = 6;
       RouterFixture fixture(kEngines, *rc::gen::arbitrary<std::uint64_t>());
       fixture.run(std::chrono::seconds(1));
       std::set<std::string> draining;
-      std::set<std::string> barred;
+      std::set<std::string> unavailable;
       for (int i = 0; i < kEngines; ++i) {
         const std::string name = RouterFixture::nameOf(i);
         switch (*rc::gen::inRange(0, 5)) {
           case 0:
             fixture.membership->setLeaving("machine-" + name, true);
-            barred.insert(name);
+            unavailable.insert(name);
             break;
           case 1:
             draining.insert(name);
-            barred.insert(name);
+            unavailable.insert(name);
             break;
           case 2:
             fixture.fleet.engine_overrides[name].drained = true;
-            barred.insert(name);
+            unavailable.insert(name);
             break;
           default:
             break;
@@ -368,17 +368,17 @@
       fixture.configuration->set(fixture.fleet);
       for (int i = 0; i < 20; ++i) {
         const RouteChoice choice = fixture.router->choose(requestOf(500));
-        RC_ASSERT(std::holds_alternative<RouteRefusal>(choice) == (barred.size() == kEngines));
+        RC_ASSERT(std::holds_alternative<RouteRefusal>(choice) == (unavailable.size() == kEngines));
         if (const auto* route = std::get_if<Route>(&choice)) {
-          RC_ASSERT(barred.count(route->engine.name) == 0);
+          RC_ASSERT(unavailable.count(route->engine.name) == 0);
         }
       }
     });
   }
 
  private:
-  /// Routes thirty long answers in a world of one prefill engine and eight decode engines, on each
-  /// of which two answers run. \return the engines that got one
+  /// Routes thirty long answers with one prefill engine and eight decode engines, each of which
+  /// already runs two answers. \return the engines that received one
   static std::set<std::string> hostsOfLongAnswers(RouterFixture& fixture) {
     fixture.load(0).role = EngineRole::kPrefill;
     for (int i = 1; i < 9; ++i) {
--- a/tests/routing/engine_deltas_test.cpp
+++ b/tests/routing/engine_deltas_test.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Any speed that an engine may have or an operator may declare, from none to absurd ones.
+/// Any speed that an engine may report or an operator may declare, from zero to implausible ones.
 double anySpeed(double unit) {
   const auto digits = *rc::gen::inRange<std::uint64_t>(0, 1000000000);
   const auto scale = *rc::gen::element(1e-3, 1.0, 1.0 / 3.0, 1.7e3, 1e12);
@@ -34,10 +34,10 @@
  public:
   void appliedIdentityKeepsItsTag() {
     testing::requireProperty("identity tag", 2000, [] {
-      const engines::EngineLoad told = anyLoad();
-      engines::EngineLoad taken;
-      applyIdentity(makeIdentity(3, told), taken);
-      RC_ASSERT(identityTag(taken) == identityTag(told));
+      const engines::EngineLoad published = anyLoad();
+      engines::EngineLoad applied;
+      applyIdentity(makeIdentity(3, published), applied);
+      RC_ASSERT(identityTag(applied) == identityTag(published));
     });
   }
 };
--- a/tests/routing/engine_directory_test.cpp
+++ b/tests/routing/engine_directory_test.cpp
@@ -17,7 +17,7 @@
   EngineDirectory* directory = nullptr;
 };
 
-/// A zone of directories before scripted engines.
+/// A zone of engine directories with scripted engines.
 class Zone {
  public:
   Zone(std::uint64_t seed, int nodes, int engines) : simulation_(seed) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /// Requests for engines' identities that all nodes have sent.
+  /// Identity requests sent by all nodes.
   double identityRequests() const {
     double sum = 0;
     for (const Node& node : nodes) {
@@ -83,7 +83,7 @@
   simulation::Simulation simulation_;
 };
 
-/// A node that knows no other yet, as long as the test says so.
+/// Membership of a node that knows no other member while `is_joining` is set.
 class JoiningMembership final : public membership::MembershipView {
  public:
   JoiningMembership(common::NodeId self, common::ZoneName zone)
@@ -159,12 +159,12 @@
     }
   }
 
-  // Seen: nodes with a twelfth of a core and 10 Mbit/s spent all of both before any request came,
-  // and refused half of what then came, though the engines were idle.
-  // Cause: a speed that is told in whole units was cut off rather than rounded. For some values, as
-  // this one, what a peer took in was one unit less when it was turned into units again. So it
-  // never matched the tag of what was told, and each node asked for each engine's identity at every
-  // publication; until then it took the engine for unknown.
+  // Guards against endless identity requests. A speed published in whole units was truncated
+  // instead of rounded: some values, such as this one, lost a unit when a peer encoded the decoded
+  // value again, so its tag never matched the published one. Each node then requested each engine's
+  // identity at every publication and treated the engine as unknown until it was answered. Nodes
+  // with a twelfth of a core and 10 Mbit/s used up both without any load, and refused half of the
+  // requests although the engines were idle.
   void engineSpeedIsPublishedOnce() {
     constexpr std::size_t kNodes = 6;
     constexpr std::size_t kEngines = 24;
@@ -173,19 +173,19 @@
       engine.load.kv_seconds_per_token = 2.016492307692308e-06;
     }
     zone.run(std::chrono::seconds(2));
-    // From here on only the one node that watches an engine reads it.
+    // From here on each engine is polled by its watcher only.
     for (auto& [address, engine] : zone.engines) {
       ++engine.load.incarnation;
     }
     zone.run(std::chrono::seconds(1));
-    const double asked = zone.identityRequests();
+    const double requests_before = zone.identityRequests();
     for (int second = 0; second < 10; ++second) {
       for (auto& [address, engine] : zone.engines) {
         engine.load.queued_prefill_tokens += 5000;
       }
       zone.run(std::chrono::seconds(1));
     }
-    CPPUNIT_ASSERT_EQUAL(asked, zone.identityRequests());
+    CPPUNIT_ASSERT_EQUAL(requests_before, zone.identityRequests());
     for (const Node& node : zone.nodes) {
       for (const EngineRecord& record : node.directory->records()) {
         CPPUNIT_ASSERT(record.availability == EngineAvailability::kAvailable);
@@ -194,11 +194,11 @@
     }
   }
 
-  /// A peer of another build may tell what this node can't reproduce.
+  /// A peer of another build may publish identity tags that this node can't reproduce.
   void mismatchedIdentityRequestsAreRateLimited() {
     Zone zone(18, 2, 8);
     zone.run(std::chrono::seconds(2));
-    const double asked = zone.identityRequests();
+    const double requests_before = zone.identityRequests();
     EngineDeltas message;
     message.roster_digest = zone.nodes[0].directory->table().digest();
     EngineDelta delta;
@@ -211,8 +211,8 @@
       zone.nodes[0].process->context().sendTo(zone.nodes[1].process->id(), message);
       zone.run(std::chrono::milliseconds(100));
     }
-    CPPUNIT_ASSERT(zone.identityRequests() - asked <= 11);
-    CPPUNIT_ASSERT(zone.identityRequests() - asked >= 5);
+    CPPUNIT_ASSERT(zone.identityRequests() - requests_before <= 11);
+    CPPUNIT_ASSERT(zone.identityRequests() - requests_before >= 5);
   }
 
   void changedLoadReachesPeers() {
@@ -380,7 +380,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, matches.size());
   }
 
-  /// Nodes that all restarted know again what the engines hold.
+  /// After a restart of all nodes, cache snapshots restore their knowledge of the engines' caches.
   void cacheSnapshotReachesAllNodes() {
     Zone zone(16, 3, 2);
     auto& engine = zone.engines["e1000:1"];
@@ -408,7 +408,7 @@
     }
   }
 
-  /// Every engine is known, and stays so, at the two nodes of a large zone that decide about it.
+  /// In a large zone, the two routing nodes of every engine know it permanently.
   void largeZoneKnowsEveryEngine() {
     Zone zone(17, 60, 60);
     for (int second = 0; second < 10; ++second) {
@@ -419,25 +419,25 @@
       if (second < 4) {
         continue;
       }
-      std::map<common::EngineName, int> knowing;
+      std::map<common::EngineName, int> nodes_knowing;
       for (const Node& node : zone.nodes) {
         for (const EngineRecord& record : node.directory->records()) {
           const EngineSlot slot = node.directory->table().slotOf(record.declaration.name);
           const bool known = record.availability == EngineAvailability::kAvailable;
           CPPUNIT_ASSERT(known || !node.directory->groups().routesTo(slot));
-          knowing[record.declaration.name] += known ? 1 : 0;
+          nodes_knowing[record.declaration.name] += known ? 1 : 0;
         }
       }
-      CPPUNIT_ASSERT_EQUAL(std::size_t{60}, knowing.size());
-      // An owner of two groups tells the owners of either of both.
-      constexpr int kMostKnowing = 6;
-      for (const auto& [engine, nodes] : knowing) {
-        CPPUNIT_ASSERT(nodes >= 2 && nodes <= kMostKnowing);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{60}, nodes_knowing.size());
+      // An owner of two groups publishes the engines of both to the owners of each.
+      constexpr int kMaximumNodesKnowing = 6;
+      for (const auto& [engine, nodes] : nodes_knowing) {
+        CPPUNIT_ASSERT(nodes >= 2 && nodes <= kMaximumNodesKnowing);
       }
     }
   }
 
-  /// The node that plans roles knows every engine as well.
+  /// The node that plans roles knows every engine too.
   void planningNodeKnowsEveryEngine() {
     Zone zone(18, 40, 60);
     const common::NodeId planner = zone.nodes[11].process->id();
@@ -450,7 +450,8 @@
     }
   }
 
-  /// Until it knows others, a node of a large zone reads no engine: alone it would read all.
+  /// A joining node polls no engine until it knows other members: as the only known member of a
+  /// large zone it would poll all engines.
   void joiningNodePollsNoEngine() {
     simulation::Simulation simulation(19);
     auto& process = simulation.start("10.0.0.1:7000", "z");
--- a/tests/routing/engine_ejection_test.cpp
+++ b/tests/routing/engine_ejection_test.cpp
@@ -15,7 +15,7 @@
 
 const common::ModelName kModel = "m";
 
-/// Nodes of one zone, each with the table of the same idle engines.
+/// Nodes of one zone, each with a table of the same idle engines.
 class EjectionZone {
  public:
   EjectionZone(int node_count, int engine_count, const EjectionSettings& given = {})
@@ -58,7 +58,7 @@
     return std::string("10.0.0.").append(std::to_string(i + 1)).append(":7000");
   }
   static std::string nameOf(int i) { return std::string("e").append(std::to_string(100 + i)); }
-  /// All engines are reported as idle at every node.
+  /// Reports all engines as idle at every node.
   void report() {
     for (Node& node : nodes) {
       const auto now = node.process->context().clock.now();
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT_EQUAL(1, zone.nodesEjecting(3));
   }
 
-  /// The same failures eject at all nodes otherwise, see twoReportingNodesEjectZoneWide.
+  /// With ejection enabled, such failures eject at all nodes: see twoReportingNodesEjectZoneWide.
   void disabledEjectionEjectsNothing() {
     EjectionSettings off;
     off.ejection_enabled = false;
@@ -225,7 +225,8 @@
     CPPUNIT_ASSERT(!zone.ejected(0, 3));
   }
 
-  /// Its own link is at fault, not all engines: it goes on trying, and convinces nobody.
+  /// If a node can reach no engine, its own link is at fault rather than all engines: it must keep
+  /// using half of them, and its reports alone must not eject any engine at other nodes.
   void isolatedNodeKeepsHalfOfTheEngines() {
     EjectionZone zone(4, 10);
     for (int engine = 0; engine < 10; ++engine) {
@@ -252,11 +253,11 @@
       failures += static_cast<std::uint64_t>(
           node.process->context().counters.total("cypresswall_engine_ejections_total"));
     }
-    // Few nodes find out by themselves; each node then ejects once or twice.
+    // Only a few nodes eject by themselves, so that each node ejects once or twice.
     CPPUNIT_ASSERT(failures <= 30);
   }
 
-  /// In a large zone those that decide about the engine learn of it, and nobody else.
+  /// In a large zone only the engine's routing nodes are notified of an ejection.
   void ejectionIsSentToRoutingNodesOnly() {
     EjectionZone zone(60, 10);
     for (std::size_t node = 0; node < 5; ++node) {
@@ -274,7 +275,7 @@
   }
 
   void ejectedShareIsLimited() {
-    testing::requireProperty("no more engines are ejected than may be", 100, [] {
+    testing::requireProperty("the share of ejected engines stays within its limit", 100, [] {
       EjectionZone zone(3, *rc::gen::inRange(1, 12));
       const int engines = static_cast<int>(zone.nodes[0].table->roster().size());
       const int failures = *rc::gen::inRange(1, 200);
--- a/tests/routing/engine_groups_test.cpp
+++ b/tests/routing/engine_groups_test.cpp
@@ -20,7 +20,7 @@
   return {"10.0." + std::to_string(index / 250) + "." + std::to_string(index % 250) + ":7000", 1};
 }
 
-/// The groups as one node of a zone works them out.
+/// The groups as computed by one node of a zone.
 class GroupsOfNode {
  public:
   GroupsOfNode(int self, const std::vector<Member>& members, int engines)
@@ -92,10 +92,10 @@
     for (const int count : {25, 59, 295, 1000}) {
       std::map<EngineSlot, int> routing_nodes;
       std::map<EngineSlot, int> watchers;
-      std::size_t most = 0;
+      std::size_t most_engines = 0;
       for (int node = 0; node < count; ++node) {
         GroupsOfNode at(node, membersOf(count), kEngines);
-        most = std::max(most, at.groups().routedEngineCount());
+        most_engines = std::max(most_engines, at.groups().routedEngineCount());
         for (const EngineSlot slot : at.table().roster()) {
           routing_nodes[slot] += at.groups().routesTo(slot) ? 1 : 0;
           watchers[slot] += at.groups().watcherOf(slot) == nodeOf(node) ? 1 : 0;
@@ -106,8 +106,8 @@
         CPPUNIT_ASSERT_EQUAL(2, number);
         CPPUNIT_ASSERT_EQUAL(1, watchers[slot]);
       }
-      // Eleven groups, so a node owns one or two where nodes are many.
-      CPPUNIT_ASSERT(count < 100 || most <= 75);
+      // With eleven groups, a node of a zone of many nodes owns few of them.
+      CPPUNIT_ASSERT(count < 100 || most_engines <= 75);
     }
   }
 
@@ -158,7 +158,7 @@
                    ? 1
                    : 0;
     }
-    // One group of eleven is new.
+    // One of eleven groups is new.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(moved), moved < kParts / 5);
   }
 
@@ -174,7 +174,7 @@
                      std::optional<std::uint64_t>(200));
     }
     CPPUNIT_ASSERT(at.groups().allRoutingNodes().size() >= 8);
-    // With too few of them, the others own as well.
+    // If there are too few nodes with fast links, others become owners too.
     for (int node = 0; node < 295; ++node) {
       at.membership().setLinkMegabits(nodeOf(node), node == 5 ? 200 : 20);
     }
@@ -209,8 +209,8 @@
     }
   }
 
-  /// Groups differ in the engines that compute prompts, by chance: each is to get prompts for what
-  /// it has, so that none is busier than the rest.
+  /// Groups differ at random in their number of prefill engines; each must receive prompts in
+  /// proportion to it, so that no group has a higher load than the others.
   void promptsFollowPrefillCapacity() {
     GroupsOfNode at(0, membersOf(295), 163);
     common::SeededRandom random(1);
--- a/tests/routing/engine_identity_test.cpp
+++ b/tests/routing/engine_identity_test.cpp
@@ -1,6 +1,6 @@
-/// Nodes must learn the rarely changing part of an engine's report from one telling, whatever its
-/// numbers are. These tests count requests and not time: a node that can't take an identity in asks
-/// for it again and again, and each answer makes it ask once more.
+/// Nodes must learn an engine's identity (the rarely changing part of its report) from a single
+/// publication, whatever its values are. The tests count identity requests: a node that can't
+/// reproduce the tag of an identity requests it again after every answer.
 #include "cypresswall/routing/engine_deltas.h"
 #include "cypresswall/routing/engine_directory.h"
 #include "tests/support/engine_world.h"
@@ -9,7 +9,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Seconds to copy the KV cache of a token of 163,840 bytes twice over a link of 1,300 Gbit/s.
+/// Seconds to copy the KV cache of one token (163,840 bytes) twice over a link of 1,300 Gbit/s.
 constexpr double kKvSecondsPerToken = 2.0 * 8 * 163840 / 1300e9;
 constexpr auto kTime = std::chrono::seconds(3);
 constexpr int kNodes = 4;
@@ -21,7 +21,7 @@
   return load;
 }
 
-/// Nodes of one zone before engines that all declare the time of a copied token.
+/// Nodes of one zone, with engines that all declare the time to copy a token's KV cache.
 class ZoneWithKvCopies {
  public:
   ZoneWithKvCopies() : simulation_(1) {
@@ -81,8 +81,8 @@
   std::vector<EngineDirectory*> directories_;
 };
 
-/// A node, and a peer whose identities never have the tags of its deltas, as that of a build with
-/// other fields in the report.
+/// A node, and a peer whose identities never match the tags of its deltas, like a peer of another
+/// build with other fields in the report.
 class PeerWithOtherBuild {
  public:
   PeerWithOtherBuild() : simulation_(2) {
@@ -97,7 +97,7 @@
     directory_ = &node.emplace<EngineDirectory>(DirectorySettings{}, node.context(), client,
                                                 configuration, membership);
     directory_->start();
-    // The peer alone watches the engine.
+    // Only the peer watches the engine.
     membership.setMembers({peer.id()});
     configuration.set(fleet_);
     peer.context().dispatcher.handle<IdentityRequest>(
@@ -107,7 +107,7 @@
         });
   }
 
-  /// Publishes once and waits for whatever follows.
+  /// Publishes once and lets the nodes exchange the messages that follow.
   void publish() {
     peer_->context().sendTo(node_->id(), deltas(++sequence_));
     simulation_.time().runFor(std::chrono::milliseconds(500));
@@ -152,15 +152,15 @@
          picoseconds += kStep) {
       engines::EngineLoad load = loadWithKvTime(picoseconds * 1e-12);
       load.prefill_seconds_per_pair = picoseconds * 1e-12;
-      engines::EngineLoad told = load;
-      applyIdentity(makeIdentity(0, load), told);
+      engines::EngineLoad decoded = load;
+      applyIdentity(makeIdentity(0, load), decoded);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(picoseconds), identityTag(load),
-                                   identityTag(told));
+                                   identityTag(decoded));
     }
     const engines::EngineLoad load = loadWithKvTime(kKvSecondsPerToken);
-    engines::EngineLoad told = load;
-    applyIdentity(makeIdentity(0, load), told);
-    CPPUNIT_ASSERT_EQUAL(identityTag(load), identityTag(told));
+    engines::EngineLoad decoded = load;
+    applyIdentity(makeIdentity(0, load), decoded);
+    CPPUNIT_ASSERT_EQUAL(identityTag(load), identityTag(decoded));
   }
 
   void everyNodeLearnsEnginesWithKvCopySpeed() {
@@ -172,7 +172,7 @@
   void identityIsRequestedOnce() {
     ZoneWithKvCopies zone;
     zone.run(kTime);
-    // Each node asks at most once for each engine that another one watches.
+    // Each node requests the identity of each engine watched by another node at most once.
     CPPUNIT_ASSERT_LESSEQUAL(static_cast<double>((kNodes - 1) * kEngines), zone.identityRequests());
   }
 
@@ -182,7 +182,7 @@
     for (int i = 0; i < kPublications; ++i) {
       zone.publish();
     }
-    // Not even each publication leads to a request: an identity is asked for once a second at most.
+    // An identity is requested at most once per second, so not every publication causes a request.
     CPPUNIT_ASSERT(zone.requests() >= 1);
     CPPUNIT_ASSERT(zone.requests() < kPublications);
   }
