--- a/src/cypresswall/routing/engine_ejection.h
+++ b/src/cypresswall/routing/engine_ejection.h
@@ -80,8 +80,7 @@
   void ejectForZone(EngineSlot slot, bool unreached);
   /// \return the duration of the engine's next ejection
   common::Duration nextEjectionTime(EngineSlot slot);
-  /// \return false if ejection is disabled, or if the maximum share of the engines of the same
-  /// model
+  /// \return false if ejection is disabled, or if the maximum share of engines of the same model
   ///   and role is ejected already
   bool mayEject(EngineSlot slot, bool unreached) const;
   void eject(EngineSlot slot, common::Duration time, bool unreached, const char* source);
--- a/src/cypresswall/routing/settings.h
+++ b/src/cypresswall/routing/settings.h
@@ -44,7 +44,8 @@
   std::size_t own_broken_streams = 3;
   /// Nodes that must report failures before an engine is ejected for the whole zone.
   std::size_t reporting_nodes = 2;
-  /// Broken streams in the zone within the window that are also required for that.
+  /// Broken streams in the zone within the window required in addition, unless nodes report that
+  /// they can't reach the engine.
   std::size_t zone_broken_streams = 5;
   /// Maximum share of a model's engines of one role that may be ejected at a time: unreachable
   /// ones, and ones on which streams break. The latter limit is lower because such engines still
