--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -11,22 +11,23 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Retry-After is stretched by up to this share at random, so that callers don't return together.
+/// Retry-After is extended at random by up to this share, so that callers don't retry in lockstep.
 constexpr double kRetryJitter = 0.25;
-/// Wait told to callers when no engine of a model is available.
+/// Retry-After when no engine of a model is available.
 constexpr double kNoEngineRetrySeconds = 2.0;
 
-/// Cost of a long answer on an engine that hosts none: below that of a late one.
-constexpr double kAstrayPenalty = 10.0;
+/// Added cost of a long answer on an engine that is not a host of long answers; lower than that of
+/// missing a limit.
+constexpr double kNonHostPenalty = 10.0;
 
-/// Finalizer of splitmix64: spreads the bits of `value`.
+/// Finalizer of splitmix64, to mix the bits of `value`.
 std::uint64_t mixBits(std::uint64_t value) {
   value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ULL;
   value = (value ^ (value >> 27)) * 0x94D049BB133111EBULL;
   return value ^ (value >> 31);
 }
 
-/// How many of the engines that compute prompts have prompts waiting.
+/// Counts the engines that compute prompts and those among them with queued prompts.
 class Contention {
  public:
   void count(const CostInputs& engine, const Offer& offer) {
@@ -60,7 +61,7 @@
       sent_(settings.report_slack, estimates_),
       long_prompts_(settings_, model_, context.clock, directory, estimates_),
       output_speeds_(settings.output_speed),
-      turn_salt_(context.random.next()),
+      tie_break_salt_(context.random.next()),
       routed_(
           context.counters.counter("cypresswall_routes_total", "Engines chosen", "kind", "whole")),
       routed_disaggregated_(context.counters.counter("cypresswall_routes_total", "Engines chosen",
@@ -85,7 +86,7 @@
     name_hashes_.resize(static_cast<std::size_t>(slot) + 1);
     cached_tokens_.resize(static_cast<std::size_t>(slot) + 1);
     last_attempt_.resize(static_cast<std::size_t>(slot) + 1);
-    output_places_.resize(static_cast<std::size_t>(slot) + 1);
+    output_hosting_.resize(static_cast<std::size_t>(slot) + 1);
   }
   const EngineRecord& record = table_.record(slot);
   name_hashes_[slot] = common::hash64(record.declaration.name);
@@ -125,7 +126,7 @@
 
 const std::vector<EngineSlot>& CostRouter::candidatesFor(const RouteRequest& request) {
   const auto& exact = table_.candidates(request.model, request.version, request.adapter);
-  // An answer that has begun goes on with the version that began it.
+  // An answer that has begun must be continued by the same version.
   if (!exact.empty() || request.version.empty() || request.resume_from > 0) {
     return exact;
   }
@@ -150,14 +151,14 @@
     std::sort(narrowed_.begin(), narrowed_.end());
     narrowed_.erase(std::unique(narrowed_.begin(), narrowed_.end()), narrowed_.end());
   }
-  // Before those that refused a permit: they count where a caller is told when to return.
-  leaveOutExhausted();
+  // Before the exclusion of engines that refused a permit: exhausted engines determine Retry-After.
+  excludeExhausted();
   for (const common::EngineName& name : request.excluded) {
     std::erase(narrowed_, table_.slotOf(name));
   }
 }
 
-void CostRouter::leaveOutExhausted() {
+void CostRouter::excludeExhausted() {
   exhausted_.clear();
   if (directory_.rateLimiter() == nullptr) {
     return;
@@ -169,7 +170,7 @@
   }
 }
 
-void CostRouter::notePrefixes(const RouteRequest& request) {
+void CostRouter::lookUpPrefixes(const RouteRequest& request) {
   prefixes_.match(request.shape.pieces, matches_);
   for (const PrefixMatch& match : matches_) {
     if (match.engine < cached_tokens_.size()) {
@@ -224,7 +225,7 @@
 }
 
 void CostRouter::chooseOutputHosts() {
-  if (!settings_.gathers_long_answers) {
+  if (!settings_.consolidates_long_answers) {
     return;
   }
   decode_order_.clear();
@@ -232,7 +233,7 @@
   double places = 1;
   for (const EngineSlot slot : narrowed_) {
     const EngineEstimate& engine = estimates_.estimate(slot);
-    output_places_[slot] = OutputPlace::kApart;
+    output_hosting_[slot] = OutputHosting::kNonHost;
     if (engine.role == engines::EngineRole::kDecode) {
       decode_order_.push_back(slot);
       outputs += engine.output_streams;
@@ -244,24 +245,24 @@
       std::ceil(settings_.minimum_host_share * static_cast<double>(decode_order_.size()));
   const auto hosts =
       std::min(decode_order_.size(), static_cast<std::size_t>(std::max(needed, least)));
-  // The same order at every node, without a word exchanged.
+  // Ordered by name hash, so that all nodes select the same hosts without communication.
   std::partial_sort(decode_order_.begin(),
                     decode_order_.begin() + static_cast<std::ptrdiff_t>(hosts), decode_order_.end(),
                     [this](EngineSlot left, EngineSlot right) {
                       return name_hashes_[left] < name_hashes_[right];
                     });
   for (std::size_t i = 0; i < hosts; ++i) {
-    output_places_[decode_order_[i]] = OutputPlace::kHost;
+    output_hosting_[decode_order_[i]] = OutputHosting::kHost;
   }
 }
 
-bool CostRouter::astray(EngineSlot slot, const Work& work) const {
-  return output_places_[slot] == OutputPlace::kApart &&
+bool CostRouter::offOutputHost(EngineSlot slot, const Work& work) const {
+  return output_hosting_[slot] == OutputHosting::kNonHost &&
          work.decode_tokens >= settings_.output_speed.minimum_tokens;
 }
 
-bool CostRouter::crowdsOut(EngineSlot slot, const Work& work, const PromptWork& prompt,
-                           double now) const {
+bool CostRouter::delaysDecoding(EngineSlot slot, const Work& work, const PromptWork& prompt,
+                                double now) const {
   const CostInputs& engine = estimates_.inputs(slot);
   if (engine.role != engines::EngineRole::kDecode ||
       prompt.uncached <= settings_.prefill_chunk_tokens) {
@@ -270,9 +271,9 @@
   const double computing = OfferModel::computingSeconds(engine, prompt);
   if (hostsOutput(slot)) {
     return OfferModel::promptsWait(engine, now) + computing >
-           work.between_tokens_limit * settings_.host_crowding_share;
+           work.between_tokens_limit * settings_.host_decode_delay_share;
   }
-  return computing > work.between_tokens_limit * settings_.crowding_share;
+  return computing > work.between_tokens_limit * settings_.decode_delay_share;
 }
 
 void CostRouter::chargeOccupancy() {
@@ -298,10 +299,10 @@
       contention.count(engine, offer);
       continue;
     }
-    // A decode engine computes prompts as well, only slowly; a mixed one takes computed prompts.
+    // Decode engines also compute prompts, but slowly; mixed ones also accept computed prompts.
     const Offer offer = model_.whole(engine, work, prompt, now);
     whole_engines_.push_back(
-        {offer.cost, slot, crowdsOut(slot, work, prompt, now), offer.occupancy});
+        {offer.cost, slot, delaysDecoding(slot, work, prompt, now), offer.occupancy});
     contention.count(engine, offer);
   }
   contention_ = contention.share();
@@ -311,7 +312,7 @@
   }
   for (PricedEngine& whole : whole_engines_) {
     const double cost = model_.decode(estimates_.inputs(whole.engine), work, now).cost;
-    const double penalty = astray(whole.engine, work) ? kAstrayPenalty : 0.0;
+    const double penalty = offOutputHost(whole.engine, work) ? kNonHostPenalty : 0.0;
     decode_engines_.push_back({cost + penalty, whole.engine});
     whole.cost += (whole.crowds_out ? kLatePenalty : 0.0) + penalty;
   }
@@ -321,7 +322,7 @@
   if (work.affinity == 0 || !settings_.copies_prefixes || !matches_.empty()) {
     return settings_.cost_tolerance;
   }
-  // Nobody holds the shared part yet: who computes it again elsewhere loses all of its time.
+  // No engine holds the shared part yet: each further engine would compute all of it again.
   double least = std::numeric_limits<double>::infinity();
   for (const EngineSlot slot : narrowed_) {
     least = std::min<double>(least, estimates_.inputs(slot).seconds_per_prefill_token);
@@ -340,7 +341,7 @@
   equals_.clear();
   std::copy_if(engines.begin(), engines.end(), std::back_inserter(equals_),
                [limit](const PricedEngine& engine) { return engine.cost <= limit; });
-  return work.affinity != 0 ? preferredByHash(equals_, work.affinity) : nextInTurn(equals_);
+  return work.affinity != 0 ? preferredByHash(equals_, work.affinity) : leastRecentlyUsed(equals_);
 }
 
 EngineSlot CostRouter::preferredByHash(const std::vector<PricedEngine>& equals,
@@ -357,10 +358,10 @@
   return best;
 }
 
-EngineSlot CostRouter::nextInTurn(const std::vector<PricedEngine>& equals) const {
+EngineSlot CostRouter::leastRecentlyUsed(const std::vector<PricedEngine>& equals) const {
   const auto turn = [this](EngineSlot slot) {
     const bool full = estimates_.inputs(slot).slot_wait > 0;
-    return std::tuple(full, last_attempt_[slot], mixBits(name_hashes_[slot] ^ turn_salt_));
+    return std::tuple(full, last_attempt_[slot], mixBits(name_hashes_[slot] ^ tie_break_salt_));
   };
   const auto next = std::min_element(equals.begin(), equals.end(),
                                      [&turn](const PricedEngine& a, const PricedEngine& b) {
@@ -379,7 +380,7 @@
     const PromptWork prompt = promptWork(whole.engine, work);
     whole.offer = model_.whole(engine, work, prompt, now);
     whole.offer.crowds_out =
-        !prefill_engines_.empty() && crowdsOut(whole.engine, work, prompt, now);
+        !prefill_engines_.empty() && delaysDecoding(whole.engine, work, prompt, now);
     whole.offer.cost += whole.offer.crowds_out ? kLatePenalty : 0.0;
     whole.offer.cost += contention_ * whole.offer.occupancy;
   }
@@ -423,7 +424,7 @@
 
 void CostRouter::countDemand(const RouteRequest& request, const Work& work,
                              const Selection& selection) {
-  // Further attempts at a request ask for nothing new.
+  // Retries and continuations of a request are no new demand.
   if (request.resume_from > 0 || !request.excluded.empty()) {
     return;
   }
@@ -442,7 +443,7 @@
     const CostInputs& decode_engine = estimates_.inputs(selection.engine);
     demand.flexible = uncached > settings_.prefill_chunk_tokens &&
                       uncached * decode_engine.seconds_per_prefill_token <
-                          work.between_tokens_limit * settings_.crowding_share;
+                          work.between_tokens_limit * settings_.decode_delay_share;
     demand.prompt_time = common::fromSeconds(model_.occupyingSeconds(engine, prompt));
   }
   demand.prefill_tokens = static_cast<std::uint64_t>(uncached);
@@ -461,7 +462,7 @@
   }
   const Work work = workOf(request);
   const auto& all = candidatesFor(request);
-  notePrefixes(request);
+  lookUpPrefixes(request);
   narrow(request, all);
   const Selection selection = select(work, toModelTime(context_.clock.now()));
   countDemand(request, work, selection);
@@ -489,8 +490,8 @@
 
 RouteRefusal CostRouter::refuse(const Selection& best, const Work& work,
                                 const common::ModelName& model) {
-  // Callers told earlier to come back take the next places; this one comes after them. The other
-  // nodes that decide refuse about as many as this one.
+  // Callers refused earlier take up capacity first, so this one is told to retry after them. The
+  // engines' other routing nodes are assumed to refuse as many callers as this one.
   const double now = toModelTime(context_.clock.now());
   double& promised = promised_until_[model];
   promised = std::max(promised, now);
@@ -498,7 +499,7 @@
   const CostInputs& engine = estimates_.inputs(best.computing());
   const double service = work.prompt_tokens * engine.seconds_per_prefill_token;
   const double relief = reliefSeconds(best.offer, work, estimates_.estimate(best.engine));
-  promised += service * static_cast<double>(directory_.groups().decidersPerEngine()) /
+  promised += service * static_cast<double>(directory_.groups().routingNodesPerEngine()) /
               static_cast<double>(std::max<std::size_t>(narrowed_.size(), 1));
   promised = std::min(promised, now + common::toSeconds(settings_.maximum_retry_after));
   RouteRefusal refusal;
@@ -529,7 +530,7 @@
 RouteRefusal CostRouter::refuseExhausted(const common::ModelName& model) const {
   RouteRefusal refusal;
   refusal.retry_after = directory_.rateLimiter()->retryAfter(
-      model, exhausted_, directory_.groups().decidersPerEngine());
+      model, exhausted_, directory_.groups().routingNodesPerEngine());
   refusal.message = "engines of model " + model + " take no more requests for now";
   return refusal;
 }
@@ -577,7 +578,7 @@
   }
   const EngineSlot slot = awaited.mapped().engine;
   const EngineEstimate& engine = estimates_.estimate(slot);
-  // Prompts between the output's steps would count as time of these.
+  // Prompts computed between the output's steps would be counted as step time.
   const bool tells =
       !engine.has_backlog && awaited.mapped().tokens >= settings_.output_speed.minimum_tokens;
   const double step = stepSeconds(engine, streamsOn(engine)) / engine.step_scale;
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -62,9 +62,9 @@
       },
       context_.clock.now());
   members_changed_ = true;
-  // Where few nodes decide, the others learn who does from the next sweep: while many nodes come
-  // and go, the groups are not worked out for each.
-  if (roster_changed_ || groups_.everyNodeDecides()) {
+  // In a zone divided into groups, the next sweep applies membership changes, so that groups are
+  // not recomputed for each change while many nodes come and go.
+  if (roster_changed_ || groups_.everyNodeRoutes()) {
     assignWatches();
   }
 }
@@ -73,13 +73,13 @@
   return membership_.joining() && membership_.members().size() == 1;
 }
 
-void EngineDirectory::forgetUndecided() {
+void EngineDirectory::forgetUnroutedEngines() {
   for (const EngineSlot slot : table_.roster()) {
-    if (!groups_.decides(slot)) {
+    if (!groups_.routesTo(slot)) {
       prefixes_.forgetEngine(slot);
     }
   }
-  prefixes_.shareAmong(groups_.enginesDecided());
+  prefixes_.shareAmong(groups_.routedEngineCount());
 }
 
 void EngineDirectory::assignWatches() {
@@ -96,7 +96,7 @@
     assigned_members_ = members;
     roster_changed_ = false;
     groups_.update();
-    forgetUndecided();
+    forgetUnroutedEngines();
   }
   std::set<EngineSlot> watched;
   for (const EngineSlot slot : table_.roster()) {
@@ -120,7 +120,7 @@
   poller_.watch(watched);
 }
 
-void EngineDirectory::notePause() {
+void EngineDirectory::detectPause() {
   const common::MonotonicTime now = context_.clock.now();
   if (now - swept_at_ > settings_.pause_limit) {
     swept_at_ = now;
@@ -130,12 +130,12 @@
 }
 
 bool EngineDirectory::catchingUp() {
-  notePause();
+  detectPause();
   return context_.clock.now() < catch_up_until_;
 }
 
 void EngineDirectory::sweep() {
-  notePause();
+  detectPause();
   swept_at_ = context_.clock.now();
   table_.sweep(context_.clock.now());
   if (!handed_over_.empty() || members_changed_ || roster_changed_) {
