--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -10,7 +10,7 @@
 #include "cypresswall/api/process_context.h"
 #include "cypresswall/routing/cost_model.h"
 #include "cypresswall/routing/engine_directory.h"
-#include "cypresswall/routing/long_prompts.h"
+#include "cypresswall/routing/long_prompt_tracker.h"
 #include "cypresswall/routing/offers.h"
 #include "cypresswall/routing/output_speed.h"
 #include "cypresswall/routing/router.h"
@@ -126,7 +126,7 @@
   EstimateTable estimates_;
   std::vector<std::uint64_t> name_hashes_;
   SentWork sent_;
-  LongPrompts long_prompts_;
+  LongPromptTracker long_prompts_;
   OutputSpeeds output_speeds_;
   /// Answers whose first token was not received yet.
   std::unordered_map<std::string, AwaitedOutput> awaited_outputs_;
--- a/src/cypresswall/routing/long_prompts.cpp
+++ b/src/cypresswall/routing/long_prompt_tracker.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/routing/long_prompts.h"
+#include "cypresswall/routing/long_prompt_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,9 +11,9 @@
 
 }  // namespace
 
-LongPrompts::LongPrompts(const RouterSettings& settings, const OfferModel& model,
-                         const common::Clock& clock, EngineDirectory& directory,
-                         EstimateTable& estimates)
+LongPromptTracker::LongPromptTracker(const RouterSettings& settings, const OfferModel& model,
+                                     const common::Clock& clock, EngineDirectory& directory,
+                                     EstimateTable& estimates)
     : settings_(settings),
       model_(model),
       clock_(clock),
@@ -25,9 +25,9 @@
   exchange_.setListener(this);
 }
 
-LongPrompts::~LongPrompts() { exchange_.setListener(nullptr); }
+LongPromptTracker::~LongPromptTracker() { exchange_.setListener(nullptr); }
 
-LongPrompts::Engine& LongPrompts::engineAt(EngineSlot slot) {
+LongPromptTracker::Engine& LongPromptTracker::engineAt(EngineSlot slot) {
   if (slot >= engines_.size()) {
     engines_.resize(static_cast<std::size_t>(slot) + 1);
   }
@@ -35,12 +35,12 @@
   return engines_[slot];
 }
 
-bool LongPrompts::isLong(const PromptWork& prompt) const {
+bool LongPromptTracker::isLong(const PromptWork& prompt) const {
   return prompt.uncached > settings_.prefill_chunk_tokens || prompt.copied > 0;
 }
 
-void LongPrompts::started(const std::string& stream_id, EngineSlot engine, EngineSlot output,
-                          const PromptWork& prompt, const common::PromptShape& shape) {
+void LongPromptTracker::started(const std::string& stream_id, EngineSlot engine, EngineSlot output,
+                                const PromptWork& prompt, const common::PromptShape& shape) {
   abandoned(stream_id);
   if (!isLong(prompt)) {
     return;
@@ -62,8 +62,8 @@
   own_[stream_id] = own;
 }
 
-void LongPrompts::add(EngineSlot slot, EngineSlot output, PromptKey key,
-                      const StartedPrompt& prompt) {
+void LongPromptTracker::add(EngineSlot slot, EngineSlot output, PromptKey key,
+                            const StartedPrompt& prompt) {
   PromptWork work;
   work.uncached = prompt.uncached_tokens;
   work.copied = prompt.copied_tokens;
@@ -79,7 +79,7 @@
   publishBacklog(slot);
 }
 
-void LongPrompts::remove(EngineSlot slot, PromptKey key, bool computed) {
+void LongPromptTracker::remove(EngineSlot slot, PromptKey key, bool computed) {
   Engine& engine = engineAt(slot);
   const auto found = std::find_if(engine.computing.begin(), engine.computing.end(),
                                   [&](const Computing& entry) { return entry.key == key; });
@@ -96,7 +96,7 @@
   publishBacklog(slot);
 }
 
-void LongPrompts::settlePieces(EngineSlot slot, const Computing& ended, bool computed) {
+void LongPromptTracker::settlePieces(EngineSlot slot, const Computing& ended, bool computed) {
   if (!computed) {
     for (std::size_t i = ended.held; i < ended.shape.pieces.size(); ++i) {
       // Another prompt may be computing the same piece.
@@ -113,7 +113,7 @@
   }
 }
 
-void LongPrompts::end(const std::string& stream_id, bool computed) {
+void LongPromptTracker::end(const std::string& stream_id, bool computed) {
   const auto found = own_.find(stream_id);
   if (found == own_.end()) {
     return;
@@ -127,7 +127,7 @@
   exchange_.ended(prompt.engine, std::move(notice));
 }
 
-void LongPrompts::learnSpeed(EngineSlot slot, const Computing& computed) {
+void LongPromptTracker::learnSpeed(EngineSlot slot, const Computing& computed) {
   const auto stretch = engineAt(slot).backlog.stretchOf(computed.key, now());
   if (!stretch || computed.promised <= 0) {
     return;
@@ -138,14 +138,14 @@
   publishSpeed(slot);
 }
 
-void LongPrompts::publishSpeed(EngineSlot slot) {
+void LongPromptTracker::publishSpeed(EngineSlot slot) {
   EngineEstimate& estimate = estimates_.edit(slot);
   estimate.prompt_speed =
       speeds_.speed(table_.record(slot).load.model, slot, estimate.prefill_base, now());
   estimates_.refresh(slot);
 }
 
-bool LongPrompts::beingComputed(EngineSlot engine, common::PieceHash piece) const {
+bool LongPromptTracker::beingComputed(EngineSlot engine, common::PieceHash piece) const {
   if (engine >= engines_.size()) {
     return false;
   }
@@ -156,12 +156,12 @@
   });
 }
 
-bool LongPrompts::overdue(EngineSlot engine) const {
+bool LongPromptTracker::overdue(EngineSlot engine) const {
   const EngineEstimate& estimate = estimates_.estimate(engine);
   return estimate.has_backlog && now() > estimate.backlog_empty_at + kOverdueSeconds;
 }
 
-void LongPrompts::refresh(EngineSlot engine) {
+void LongPromptTracker::refresh(EngineSlot engine) {
   Engine& state = engineAt(engine);
   publishSpeed(engine);
   if (state.backlog.empty()) {
@@ -173,14 +173,14 @@
   publishBacklog(engine);
 }
 
-void LongPrompts::forgetEngine(EngineSlot engine) {
+void LongPromptTracker::forgetEngine(EngineSlot engine) {
   engineAt(engine) = Engine{};
   speeds_.forget(engine);
   publishSpeed(engine);
   publishBacklog(engine);
 }
 
-void LongPrompts::publishBacklog(EngineSlot slot) {
+void LongPromptTracker::publishBacklog(EngineSlot slot) {
   const PromptBacklog& backlog = engines_[slot].backlog;
   EngineEstimate& estimate = estimates_.edit(slot);
   estimate.has_backlog = !backlog.empty();
@@ -188,13 +188,13 @@
   estimates_.refresh(slot);
 }
 
-void LongPrompts::onPeerStarted(EngineSlot engine, EngineSlot output, PromptKey key,
-                                const StartedPrompt& prompt) {
+void LongPromptTracker::onPeerStarted(EngineSlot engine, EngineSlot output, PromptKey key,
+                                      const StartedPrompt& prompt) {
   add(engine, output, key, prompt);
   prefixes_.foretold(engine, prompt.shape(), clock_.now());
 }
 
-void LongPrompts::onPeerEnded(EngineSlot engine, PromptKey key, const EndedPrompt& prompt) {
+void LongPromptTracker::onPeerEnded(EngineSlot engine, PromptKey key, const EndedPrompt& prompt) {
   remove(engine, key, prompt.computed);
 }
 
--- a/src/cypresswall/routing/long_prompts.h
+++ b/src/cypresswall/routing/long_prompt_tracker.h
@@ -17,15 +17,16 @@
 namespace cypresswall::routing {
 
 /// Writes the backlogs and speeds into the estimates that the router weighs.
-class LongPrompts final : public WorkExchange::Listener {
+class LongPromptTracker final : public WorkExchange::Listener {
  public:
   /// \pre all references outlive this object, which becomes the listener of the directory's work
   ///   exchange
-  LongPrompts(const RouterSettings& settings, const OfferModel& model, const common::Clock& clock,
-              EngineDirectory& directory, EstimateTable& estimates);
-  ~LongPrompts() override;
-  LongPrompts(const LongPrompts&) = delete;
-  LongPrompts& operator=(const LongPrompts&) = delete;
+  LongPromptTracker(const RouterSettings& settings, const OfferModel& model,
+                    const common::Clock& clock, EngineDirectory& directory,
+                    EstimateTable& estimates);
+  ~LongPromptTracker() override;
+  LongPromptTracker(const LongPromptTracker&) = delete;
+  LongPromptTracker& operator=(const LongPromptTracker&) = delete;
 
   /// Notes that this node sent a prompt; one that takes the engine no more than a step is left out.
   /// \param output engine that takes the KV cache over, or kNoEngineSlot
--- a/tests/routing/long_prompts_test.cpp
+++ b/tests/routing/long_prompt_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/routing/long_prompts.h"
+#include "cypresswall/routing/long_prompt_tracker.h"
 
 #include "cypresswall/routing/cost_router.h"
 #include "tests/support/engine_world.h"
@@ -107,8 +107,8 @@
   std::vector<Node> nodes_;
 };
 
-class LongPromptsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LongPromptsTest);
+class LongPromptTrackerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LongPromptTrackerTest);
   CPPUNIT_TEST(peersAvoidAnEngineThatIsBusy);
   CPPUNIT_TEST(peersKnowWhereASharedPartIs);
   CPPUNIT_TEST(aBusyHolderIsCopiedFrom);
@@ -281,7 +281,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LongPromptsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LongPromptTrackerTest);
 
 }  // namespace
 }  // namespace cypresswall::routing
