--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -14,7 +14,7 @@
 #include "cypresswall/routing/offers.h"
 #include "cypresswall/routing/output_speed.h"
 #include "cypresswall/routing/router.h"
-#include "cypresswall/routing/sent_work.h"
+#include "cypresswall/routing/unreported_work.h"
 
 namespace cypresswall::routing {
 
@@ -125,7 +125,7 @@
   PrefixIndex& prefixes_;
   EstimateTable estimates_;
   std::vector<std::uint64_t> name_hashes_;
-  SentWork sent_;
+  UnreportedWork sent_;
   LongPromptTracker long_prompts_;
   OutputSpeeds output_speeds_;
   /// Answers whose first token was not received yet.
--- a/src/cypresswall/routing/sent_work.cpp
+++ b/src/cypresswall/routing/unreported_work.cpp
@@ -1,10 +1,10 @@
-#include "cypresswall/routing/sent_work.h"
+#include "cypresswall/routing/unreported_work.h"
 
 #include <algorithm>
 
 namespace cypresswall::routing {
 
-std::deque<SentWork::Unreported>& SentWork::queueOf(EngineSlot engine) {
+std::deque<UnreportedWork::Unreported>& UnreportedWork::queueOf(EngineSlot engine) {
   if (engine >= queues_.size()) {
     queues_.resize(static_cast<std::size_t>(engine) + 1);
   }
@@ -12,8 +12,8 @@
   return queues_[engine];
 }
 
-void SentWork::started(const std::string& stream_id, const std::vector<WorkShare>& shares,
-                       common::MonotonicTime now) {
+void UnreportedWork::started(const std::string& stream_id, const std::vector<WorkShare>& shares,
+                             common::MonotonicTime now) {
   ended(stream_id);
   Attempt attempt;
   attempt.id = next_id_++;
@@ -29,7 +29,7 @@
   attempts_[stream_id] = std::move(attempt);
 }
 
-void SentWork::subtract(const WorkShare& share) {
+void UnreportedWork::subtract(const WorkShare& share) {
   EngineEstimate& estimate = estimates_.edit(share.engine);
   --estimate.unreported_streams;
   // Rounding errors must not build up over millions of attempts.
@@ -41,7 +41,7 @@
   estimates_.refresh(share.engine);
 }
 
-void SentWork::firstToken(const std::string& stream_id) {
+void UnreportedWork::firstToken(const std::string& stream_id) {
   const auto attempt = attempts_.find(stream_id);
   if (attempt == attempts_.end()) {
     return;
@@ -59,7 +59,7 @@
   }
 }
 
-void SentWork::removeUnreported(EngineSlot engine, std::uint64_t id) {
+void UnreportedWork::removeUnreported(EngineSlot engine, std::uint64_t id) {
   auto& queue = queueOf(engine);
   const auto found = std::find_if(queue.begin(), queue.end(),
                                   [id](const Unreported& entry) { return entry.id == id; });
@@ -69,7 +69,7 @@
   }
 }
 
-void SentWork::ended(const std::string& stream_id) {
+void UnreportedWork::ended(const std::string& stream_id) {
   const auto attempt = attempts_.find(stream_id);
   if (attempt == attempts_.end()) {
     return;
@@ -80,7 +80,7 @@
   attempts_.erase(attempt);
 }
 
-void SentWork::reported(EngineSlot engine, common::MonotonicTime observed_at) {
+void UnreportedWork::reported(EngineSlot engine, common::MonotonicTime observed_at) {
   auto& queue = queueOf(engine);
   while (!queue.empty() && queue.front().started_at + report_slack_ <= observed_at) {
     subtract(queue.front().share);
@@ -88,7 +88,7 @@
   }
 }
 
-void SentWork::forgetEngine(EngineSlot engine) {
+void UnreportedWork::forgetEngine(EngineSlot engine) {
   auto& queue = queueOf(engine);
   while (!queue.empty()) {
     subtract(queue.front().share);
--- a/src/cypresswall/routing/sent_work.h
+++ b/src/cypresswall/routing/unreported_work.h
@@ -21,9 +21,9 @@
   double decode_tokens = 0;
 };
 
-class SentWork {
+class UnreportedWork {
  public:
-  SentWork(common::Duration report_slack, EstimateTable& estimates)
+  UnreportedWork(common::Duration report_slack, EstimateTable& estimates)
       : report_slack_(report_slack), estimates_(estimates) {}
 
   /// Notes an attempt that takes one place on each engine of `shares`.
