--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -127,7 +127,7 @@
   std::vector<std::uint64_t> name_hashes_;
   UnreportedWork sent_;
   LongPromptTracker long_prompts_;
-  OutputSpeeds output_speeds_;
+  OutputSpeedEstimator output_speeds_;
   /// Answers whose first token was not received yet.
   std::unordered_map<std::string, AwaitedOutput> awaited_outputs_;
   /// Number of the last attempt sent to each engine, zero before the first.
--- a/src/cypresswall/routing/long_prompt_tracker.h
+++ b/src/cypresswall/routing/long_prompt_tracker.h
@@ -91,7 +91,7 @@
   WorkExchange& exchange_;
   PrefixIndex& prefixes_;
   EstimateTable& estimates_;
-  PromptSpeeds speeds_;
+  PromptSpeedEstimator speeds_;
   std::vector<Engine> engines_;
   std::unordered_map<std::string, OwnPrompt> own_;
 };
--- a/src/cypresswall/routing/output_speed.cpp
+++ b/src/cypresswall/routing/output_speed.cpp
@@ -4,12 +4,12 @@
 
 namespace cypresswall::routing {
 
-void OutputSpeeds::begin(const std::string& stream_id, const common::ModelName& model,
-                         double promised, double now) {
+void OutputSpeedEstimator::begin(const std::string& stream_id, const common::ModelName& model,
+                                 double promised, double now) {
   running_[stream_id] = Running{model, promised, now};
 }
 
-void OutputSpeeds::complete(const std::string& stream_id, double now) {
+void OutputSpeedEstimator::complete(const std::string& stream_id, double now) {
   const auto node = running_.extract(stream_id);
   if (node.empty()) {
     return;
@@ -33,7 +33,7 @@
       settings_.retention * sums.taken + std::min(lasted, expected * settings_.outlier_factor);
 }
 
-double OutputSpeeds::scale(const common::ModelName& model) const {
+double OutputSpeedEstimator::scale(const common::ModelName& model) const {
   const auto found = models_.find(model);
   if (found == models_.end() || found->second.promised <= 0) {
     return 1;
@@ -41,7 +41,7 @@
   return std::max(settings_.least_scale, found->second.taken / found->second.promised);
 }
 
-double OutputSpeeds::remainingSeconds(const common::ModelName& model) const {
+double OutputSpeedEstimator::remainingSeconds(const common::ModelName& model) const {
   // Long streams are seen running more often: the mean of what is left is half of the mean square
   // over the mean.
   constexpr double kHalf = 0.5;
--- a/src/cypresswall/routing/output_speed.h
+++ b/src/cypresswall/routing/output_speed.h
@@ -12,9 +12,9 @@
 
 /// Learns, by model, the factor between the time that output takes and what the engines' declared
 /// or assumed steps promise. Pure state.
-class OutputSpeeds {
+class OutputSpeedEstimator {
  public:
-  explicit OutputSpeeds(const OutputSpeedSettings& settings) : settings_(settings) {}
+  explicit OutputSpeedEstimator(const OutputSpeedSettings& settings) : settings_(settings) {}
 
   /// The first token of an answer was received.
   /// \param promised seconds that the rest of the output should take; zero if it is too short to
--- a/src/cypresswall/routing/prompt_speed.cpp
+++ b/src/cypresswall/routing/prompt_speed.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-PromptSpeed PromptSpeeds::ModelSums::solve() const {
+PromptSpeed PromptSpeedEstimator::ModelSums::solve() const {
   PromptSpeed speed;
   const double determinant = ff * xx - fx * fx;
   if (determinant > kLeastDeterminant * ff * xx) {
@@ -28,17 +28,19 @@
   return speed;
 }
 
-PromptSpeed PromptSpeeds::modelSpeed(const common::ModelName& model, double assumed_way) const {
+PromptSpeed PromptSpeedEstimator::modelSpeed(const common::ModelName& model,
+                                             double assumed_way) const {
   const auto found = models_.find(model);
   return found == models_.end() ? PromptSpeed{assumed_way, 1.0} : found->second.solve();
 }
 
-double PromptSpeeds::samplesLeft(const EngineScale& engine, double now) const {
+double PromptSpeedEstimator::samplesLeft(const EngineScale& engine, double now) const {
   const double age = std::max(0.0, now - engine.updated_at);
   return engine.samples * std::exp2(-age / settings_.engine_half_life);
 }
 
-void PromptSpeeds::ModelSums::add(double f, double x, double y, double weight, double retention) {
+void PromptSpeedEstimator::ModelSums::add(double f, double x, double y, double weight,
+                                          double retention) {
   ff = retention * ff + weight * f;
   fx = retention * fx + weight * f * x;
   xx = retention * xx + weight * x * x;
@@ -46,13 +48,13 @@
   xy = retention * xy + weight * x * y;
 }
 
-double PromptSpeeds::weightOf(double residual, double expected) const {
+double PromptSpeedEstimator::weightOf(double residual, double expected) const {
   const double usual = settings_.usual_deviation * expected;
   return usual / std::max(usual, std::abs(residual));
 }
 
-void PromptSpeeds::add(const common::ModelName& model, EngineSlot engine,
-                       const PromptSample& sample, double assumed_way, double now) {
+void PromptSpeedEstimator::add(const common::ModelName& model, EngineSlot engine,
+                               const PromptSample& sample, double assumed_way, double now) {
   if (!settings_.learns || !(sample.promised > 0) || !(sample.taken > 0)) {
     return;
   }
@@ -88,14 +90,14 @@
   own.updated_at = now;
 }
 
-void PromptSpeeds::forget(EngineSlot engine) {
+void PromptSpeedEstimator::forget(EngineSlot engine) {
   if (engine < engines_.size()) {
     engines_[engine] = EngineScale{};
   }
 }
 
-PromptSpeed PromptSpeeds::speed(const common::ModelName& model, EngineSlot engine,
-                                double assumed_way, double now) const {
+PromptSpeed PromptSpeedEstimator::speed(const common::ModelName& model, EngineSlot engine,
+                                        double assumed_way, double now) const {
   PromptSpeed speed = modelSpeed(model, assumed_way);
   if (engine < engines_.size()) {
     const EngineScale& own = engines_[engine];
--- a/src/cypresswall/routing/prompt_speed.h
+++ b/src/cypresswall/routing/prompt_speed.h
@@ -32,9 +32,9 @@
 
 /// Learns the way and the scale of each model by weighted least squares, and each engine's own
 /// scale as a moving average that fades into the model's. Pure state.
-class PromptSpeeds {
+class PromptSpeedEstimator {
  public:
-  explicit PromptSpeeds(const PromptSpeedSettings& settings) : settings_(settings) {}
+  explicit PromptSpeedEstimator(const PromptSpeedSettings& settings) : settings_(settings) {}
 
   /// \param assumed_way seconds, counted until samples tell better
   /// \param now seconds
--- a/tests/routing/output_speed_test.cpp
+++ b/tests/routing/output_speed_test.cpp
@@ -18,13 +18,13 @@
 
  public:
   void assumedStepsHoldUntilAnswersCome() {
-    const OutputSpeeds speeds{OutputSpeedSettings{}};
+    const OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speeds.scale(kModel), 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, speeds.remainingSeconds(kModel), 1e-9);
   }
 
   void slowStepsAreLearnt() {
-    OutputSpeeds speeds{OutputSpeedSettings{}};
+    OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     for (int i = 0; i < 40; ++i) {
       answer(speeds, 0.5, 3.5);
     }
@@ -32,7 +32,7 @@
   }
 
   void brokenAnswersTellNothing() {
-    OutputSpeeds speeds{OutputSpeedSettings{}};
+    OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     speeds.begin("a", kModel, 0.5, 10);
     speeds.forget("a");
     speeds.complete("a", 100);
@@ -41,7 +41,7 @@
 
   /// Nine answers of 20 ms for each one of 3 s: nearly all that are seen running are long ones.
   void longAnswersDominateWhatIsLeft() {
-    OutputSpeeds speeds{OutputSpeedSettings{}};
+    OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     for (int i = 0; i < 1000; ++i) {
       answer(speeds, 0, i % 10 == 0 ? 3.0 : 0.02);
     }
@@ -55,7 +55,7 @@
         OutputSpeedSettings settings;
         settings.learns_steps = steps;
         settings.learns_remaining_time = remaining;
-        OutputSpeeds speeds{settings};
+        OutputSpeedEstimator speeds{settings};
         for (int i = 0; i < 40; ++i) {
           answer(speeds, 0.5, 3.5);
         }
@@ -66,7 +66,7 @@
   }
 
  private:
-  static void answer(OutputSpeeds& speeds, double promised, double lasted) {
+  static void answer(OutputSpeedEstimator& speeds, double promised, double lasted) {
     speeds.begin("a", kModel, promised, 10);
     speeds.complete("a", 10 + lasted);
   }
--- a/tests/routing/prompt_speed_test.cpp
+++ b/tests/routing/prompt_speed_test.cpp
@@ -24,7 +24,7 @@
 
  public:
   void assumptionsHoldUntilSamplesCome() {
-    const PromptSpeeds speeds{PromptSpeedSettings{}};
+    const PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kAssumedWay, speed.way, 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speed.scale, 1e-9);
@@ -33,7 +33,7 @@
   void switchedOffAssumptionsHold() {
     PromptSpeedSettings settings;
     settings.learns = false;
-    PromptSpeeds speeds{settings};
+    PromptSpeedEstimator speeds{settings};
     teach(speeds, 0, 0.006, 0.16, 100);
     const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 10);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kAssumedWay, speed.way, 1e-9);
@@ -41,7 +41,7 @@
   }
 
   void wayAndScaleAreToldApart() {
-    PromptSpeeds speeds{PromptSpeedSettings{}};
+    PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     teach(speeds, 0, 0.006, 0.16, 100);
     const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 10);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.006, speed.way, 0.002);
@@ -49,14 +49,14 @@
   }
 
   void oneStalledPromptChangesLittle() {
-    PromptSpeeds speeds{PromptSpeedSettings{}};
+    PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     teach(speeds, 0, 0.006, 0.16, 100);
     speeds.add(kModel, 1, {0.1, 3.0, true}, kAssumedWay, 10);
     CPPUNIT_ASSERT(speeds.speed(kModel, 2, kAssumedWay, 10).scale < 0.2);
   }
 
   void aSlowEngineIsToldFromItsModel() {
-    PromptSpeeds speeds{PromptSpeedSettings{}};
+    PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     for (int i = 0; i < 20; ++i) {
       for (EngineSlot slot = 0; slot < 5; ++slot) {
         const double scale = slot == 4 ? 1.0 : 0.2;
@@ -68,7 +68,7 @@
   }
 
   void aSlowEngineIsTriedAgain() {
-    PromptSpeeds speeds{PromptSpeedSettings{}};
+    PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     teach(speeds, 0, 0.006, 0.2, 50);
     for (int i = 0; i < 8; ++i) {
       speeds.add(kModel, 1, {0.1, 0.106, true}, kAssumedWay, 10);
@@ -79,7 +79,7 @@
   }
 
   void aRestartedEngineHasItsModelsSpeed() {
-    PromptSpeeds speeds{PromptSpeedSettings{}};
+    PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     teach(speeds, 0, 0.006, 0.2, 50);
     speeds.add(kModel, 1, {0.1, 0.106, true}, kAssumedWay, 10);
     speeds.forget(1);
@@ -91,7 +91,7 @@
     testing::requireProperty("times are foretold within a tenth after 200 prompts", 100, [] {
       const double way = *rc::gen::inRange(1, 40) / 1000.0;
       const double scale = std::pow(10.0, *rc::gen::inRange(-150, 150) / 100.0);
-      PromptSpeeds speeds{PromptSpeedSettings{}};
+      PromptSpeedEstimator speeds{PromptSpeedSettings{}};
       teach(speeds, 0, way, scale, 200);
       const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 10);
       for (const double promised : {0.02, 0.1, 0.3}) {
@@ -103,7 +103,8 @@
 
  private:
   /// Computes prompts of different lengths, every second one queued behind another.
-  static void teach(PromptSpeeds& speeds, EngineSlot slot, double way, double scale, int prompts) {
+  static void teach(PromptSpeedEstimator& speeds, EngineSlot slot, double way, double scale,
+                    int prompts) {
     for (int i = 0; i < prompts; ++i) {
       const double promised = 0.02 + 0.01 * (i * 7 % 31);
       const bool with_way = i % 2 == 0;
