--- a/src/cypresswall/orders/messages.h
+++ b/src/cypresswall/orders/messages.h
@@ -7,7 +7,7 @@
 
 #include "cypresswall/api/envelope.h"
 #include "cypresswall/common/identifiers.h"
-#include "cypresswall/planning/demand_ledger.h"
+#include "cypresswall/planning/demand_counter.h"
 
 namespace cypresswall::orders {
 
--- a/src/cypresswall/planning/demand_ledger.h
+++ b/src/cypresswall/planning/demand_counter.h
@@ -42,7 +42,7 @@
 };
 
 /// One request as it is counted.
-struct DemandOfRequest {
+struct RequestDemand {
   std::uint64_t prefill_tokens = 0;
   std::uint64_t decode_tokens = 0;
   bool refused = false;
@@ -58,10 +58,10 @@
   common::Duration output_time{0};
 };
 
-class DemandLedger {
+class DemandCounter {
  public:
   /// Counts one request that was routed or refused.
-  void asked(const common::ModelName& model, const DemandOfRequest& request) {
+  void record(const common::ModelName& model, const RequestDemand& request) {
     DemandCount& count = counts_[model];
     const auto prompt_us = static_cast<std::uint64_t>(request.prompt_time.count());
     ++count.requests;
--- a/src/cypresswall/planning/demand_estimator.h
+++ b/src/cypresswall/planning/demand_estimator.h
@@ -6,7 +6,7 @@
 #include <map>
 
 #include "cypresswall/common/time.h"
-#include "cypresswall/planning/demand_ledger.h"
+#include "cypresswall/planning/demand_counter.h"
 #include "cypresswall/planning/planner.h"
 
 namespace cypresswall::planning {
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -428,7 +428,7 @@
     return;
   }
   const bool refused = selection.empty() || !selection.offer.meetsLimits();
-  planning::DemandOfRequest demand;
+  planning::RequestDemand demand;
   double uncached = work.prompt_tokens;
   if (!selection.empty()) {
     const PromptWork prompt = promptWork(selection.computing(), work);
@@ -449,7 +449,7 @@
   demand.decode_tokens = static_cast<std::uint64_t>(work.decode_tokens);
   demand.refused = refused;
   demand.is_long = uncached > settings_.prefill_chunk_tokens;
-  directory_.demand().asked(request.model, demand);
+  directory_.demand().record(request.model, demand);
 }
 
 RouteChoice CostRouter::choose(const RouteRequest& request) {
--- a/src/cypresswall/routing/engine_directory.h
+++ b/src/cypresswall/routing/engine_directory.h
@@ -15,7 +15,7 @@
 #include "cypresswall/engines/engine_client.h"
 #include "cypresswall/fleet_limits/rate_limiter.h"
 #include "cypresswall/membership/membership_view.h"
-#include "cypresswall/planning/demand_ledger.h"
+#include "cypresswall/planning/demand_counter.h"
 #include "cypresswall/routing/delta_exchange.h"
 #include "cypresswall/routing/engine_ejection.h"
 #include "cypresswall/routing/engine_groups.h"
@@ -56,7 +56,7 @@
   void setRateLimiter(fleet_limits::RateLimiter& limiter) { rate_limiter_ = &limiter; }
   fleet_limits::RateLimiter* rateLimiter() const { return rate_limiter_; }
   /// What callers asked of each model at this node.
-  planning::DemandLedger& demand() { return demand_; }
+  planning::DemandCounter& demand() { return demand_; }
   EngineTable& table() { return table_; }
   PrefixIndex& prefixes() { return prefixes_; }
   WorkExchange& work() { return work_; }
@@ -78,7 +78,7 @@
   configuration::ConfigurationView& configuration_;
   common::MonotonicTime swept_at_;
   common::MonotonicTime catch_up_until_;
-  planning::DemandLedger demand_;
+  planning::DemandCounter demand_;
   /// Members for which the watches were last assigned.
   std::vector<membership::Member> assigned_members_;
   bool roster_changed_ = true;
