--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -163,7 +163,7 @@
 }
 
 double DisaggregatedPlanner::keptEngines(const ModelState& state) const {
-  const double share = settings_.keeps_share ? settings_.minimum_share : 0.0;
+  const double share = settings_.enforces_minimum_share ? settings_.minimum_share : 0.0;
   return std::max<double>(settings_.minimum_engines, std::ceil(share * state.engines));
 }
 
--- a/src/cypresswall/planning/disaggregated_planner.h
+++ b/src/cypresswall/planning/disaggregated_planner.h
@@ -26,7 +26,7 @@
   /// Share of the answers that are late for that at full utilisation.
   double late_share_at_full_decode = 0.7;
   /// Off: each role keeps `minimum_engines` only.
-  bool keeps_share = true;
+  bool enforces_minimum_share = true;
   /// Share of the engines that each role keeps, if it has them, and their least number: mixes swing
   /// faster than engines that finish their streams can follow, and the loss of one engine must not
   /// take a role away.
--- a/src/cypresswall/routing/cost_model.cpp
+++ b/src/cypresswall/routing/cost_model.cpp
@@ -63,7 +63,7 @@
   const double step = stepSeconds(engine, streamsOn(engine) + 1.0);
   const double per_token = secondsPerPrefillToken(engine, step, chunks_per_token);
   inputs.step = static_cast<float>(step);
-  inputs.prefill_way = static_cast<float>(engine.prompt_speed.way);
+  inputs.prefill_way = static_cast<float>(engine.prompt_speed.fixed_latency);
   inputs.seconds_per_prefill_token = static_cast<float>(per_token);
   inputs.prefill_seconds_per_pair =
       static_cast<float>(engine.prefill_seconds_per_pair * engine.prompt_speed.scale);
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -105,8 +105,8 @@
   }
 }
 
-Work CostRouter::workOf(const RouteRequest& request) const {
-  Work work;
+RequestWork CostRouter::workOf(const RouteRequest& request) const {
+  RequestWork work;
   work.prompt_tokens = request.shape.tokens + request.resume_from;
   work.decode_tokens = request.maximum_tokens > request.resume_from
                            ? request.maximum_tokens - request.resume_from
@@ -210,7 +210,7 @@
   }
 }
 
-PromptWork CostRouter::promptWork(EngineSlot slot, const Work& work) const {
+PromptWork CostRouter::promptWork(EngineSlot slot, const RequestWork& work) const {
   PromptWork prompt;
   const std::uint32_t cached = cached_tokens_[slot];
   prompt.cached = cached;
@@ -255,12 +255,12 @@
   }
 }
 
-bool CostRouter::astray(EngineSlot slot, const Work& work) const {
+bool CostRouter::astray(EngineSlot slot, const RequestWork& work) const {
   return output_places_[slot] == OutputPlace::kApart &&
          work.decode_tokens >= settings_.output_speed.minimum_tokens;
 }
 
-bool CostRouter::crowdsOut(EngineSlot slot, const Work& work, const PromptWork& prompt,
+bool CostRouter::crowdsOut(EngineSlot slot, const RequestWork& work, const PromptWork& prompt,
                            double now) const {
   const CostInputs& engine = estimates_.inputs(slot);
   if (engine.role != engines::EngineRole::kDecode ||
@@ -269,7 +269,7 @@
   }
   const double computing = OfferModel::computingSeconds(engine, prompt);
   if (hostsOutput(slot)) {
-    return OfferModel::promptsWait(engine, now) + computing >
+    return OfferModel::prefillWait(engine, now) + computing >
            work.between_tokens_limit * settings_.host_crowding_share;
   }
   return computing > work.between_tokens_limit * settings_.crowding_share;
@@ -283,7 +283,7 @@
   }
 }
 
-void CostRouter::priceEngines(const Work& work, double now) {
+void CostRouter::priceEngines(const RequestWork& work, double now) {
   whole_engines_.clear();
   prefill_engines_.clear();
   decode_engines_.clear();
@@ -317,7 +317,7 @@
   }
 }
 
-double CostRouter::computingTolerance(const Work& work) const {
+double CostRouter::computingTolerance(const RequestWork& work) const {
   if (work.affinity == 0 || !settings_.copies_prefixes || !matches_.empty()) {
     return settings_.cost_tolerance;
   }
@@ -330,7 +330,7 @@
          settings_.affinity_share * work.affinity_tokens * least * work.inverse_first_token_limit;
 }
 
-EngineSlot CostRouter::cheapest(const std::vector<PricedEngine>& engines, const Work& work,
+EngineSlot CostRouter::cheapest(const std::vector<PricedEngine>& engines, const RequestWork& work,
                                 double tolerance) {
   double least = std::numeric_limits<double>::infinity();
   for (const PricedEngine& engine : engines) {
@@ -369,7 +369,7 @@
   return next == equals.end() ? kNoEngineSlot : next->engine;
 }
 
-CostRouter::Selection CostRouter::select(const Work& work, double now) {
+CostRouter::Selection CostRouter::select(const RequestWork& work, double now) {
   priceEngines(work, now);
   const double tolerance = computingTolerance(work);
   Selection whole;
@@ -378,9 +378,9 @@
     const CostInputs& engine = estimates_.inputs(whole.engine);
     const PromptWork prompt = promptWork(whole.engine, work);
     whole.offer = model_.whole(engine, work, prompt, now);
-    whole.offer.crowds_out =
+    whole.offer.delays_decode =
         !prefill_engines_.empty() && crowdsOut(whole.engine, work, prompt, now);
-    whole.offer.cost += whole.offer.crowds_out ? kLatePenalty : 0.0;
+    whole.offer.cost += whole.offer.delays_decode ? kLatePenalty : 0.0;
     whole.offer.cost += contention_ * whole.offer.occupancy;
   }
   Selection split;
@@ -397,7 +397,7 @@
   return whole.empty() || split.offer.cost < whole.offer.cost ? split : whole;
 }
 
-Route CostRouter::makeRoute(const Selection& selection, const Work& work) const {
+Route CostRouter::makeRoute(const Selection& selection, const RequestWork& work) const {
   const EngineRecord& record = table_.record(selection.engine);
   Route route;
   route.engine = record.endpoint();
@@ -421,7 +421,7 @@
   return route;
 }
 
-void CostRouter::countDemand(const RouteRequest& request, const Work& work,
+void CostRouter::countDemand(const RouteRequest& request, const RequestWork& work,
                              const Selection& selection) {
   // Further attempts at a request ask for nothing new.
   if (request.resume_from > 0 || !request.excluded.empty()) {
@@ -459,7 +459,7 @@
     refusal.message = "this node was paused and learns the state of the engines anew";
     return refusal;
   }
-  const Work work = workOf(request);
+  const RequestWork work = workOf(request);
   const auto& all = candidatesFor(request);
   notePrefixes(request);
   narrow(request, all);
@@ -487,7 +487,7 @@
                     settings_.maximum_retry_after);
 }
 
-RouteRefusal CostRouter::refuse(const Selection& best, const Work& work,
+RouteRefusal CostRouter::refuse(const Selection& best, const RequestWork& work,
                                 const common::ModelName& model) {
   // Callers told earlier to come back take the next places; this one comes after them. The other
   // nodes that decide refuse about as many as this one.
@@ -497,7 +497,8 @@
   const double after_promised = promised - now;
   const CostInputs& engine = estimates_.inputs(best.computing());
   const double service = work.prompt_tokens * engine.seconds_per_prefill_token;
-  const double relief = reliefSeconds(best.offer, work, estimates_.estimate(best.engine));
+  const double relief =
+      secondsUntilWithinLimits(best.offer, work, estimates_.estimate(best.engine));
   promised += service * static_cast<double>(directory_.groups().decidersPerEngine()) /
               static_cast<double>(std::max<std::size_t>(narrowed_.size(), 1));
   promised = std::min(promised, now + common::toSeconds(settings_.maximum_retry_after));
@@ -539,7 +540,7 @@
   const EngineSlot prefill =
       route.prefill_engine ? table_.slotOf(route.prefill_engine->name) : kNoEngineSlot;
   const EngineSlot computing = route.prefill_engine ? prefill : engine;
-  const Work work = workOf(request);
+  const RequestWork work = workOf(request);
   PromptWork prompt;
   prompt.copied = route.expected_copied_tokens;
   prompt.cached = route.expected_cached_tokens;
@@ -552,7 +553,7 @@
     shares.push_back({computing, prompt.uncached, computing == engine ? work.decode_tokens : 0});
     long_prompts_.started(request.stream_id, computing,
                           engine == computing ? kNoEngineSlot : engine, prompt, request.shape);
-    prefixes_.foretold(computing, request.shape, context_.clock.now());
+    prefixes_.expectStored(computing, request.shape, context_.clock.now());
   }
   if (engine != kNoEngineSlot && engine != computing) {
     last_attempt_[engine] = attempts_;
--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -74,7 +74,7 @@
     double tokens = 0;
   };
 
-  Work workOf(const RouteRequest& request) const;
+  RequestWork workOf(const RouteRequest& request) const;
   const std::vector<EngineSlot>& candidatesFor(const RouteRequest& request);
   void narrow(const RouteRequest& request, const std::vector<EngineSlot>& all);
   /// Leaves out the engines that have no request left of a limit that they named.
@@ -84,22 +84,24 @@
   /// Finds the engine from which others may copy the cached start of the prompt.
   void findPrefixSource(const RouteRequest& request);
   /// \return what the engine would have to do for the prompt, copying what it lacks if it can
-  PromptWork promptWork(EngineSlot slot, const Work& work) const;
+  PromptWork promptWork(EngineSlot slot, const RequestWork& work) const;
   /// Finds the decode engines on which long answers are gathered, if they are.
   void chooseOutputHosts();
   bool hostsOutput(EngineSlot slot) const { return output_places_[slot] == OutputPlace::kHost; }
   /// \return true if the answer is long, and would be given apart from where long ones are gathered
-  bool astray(EngineSlot slot, const Work& work) const;
+  bool astray(EngineSlot slot, const RequestWork& work) const;
   /// \return true if `engine` is a decode engine and the prompt takes it longer than one step, and
   ///   than its streams may be held up.
-  bool crowdsOut(EngineSlot slot, const Work& work, const PromptWork& prompt, double now) const;
-  void priceEngines(const Work& work, double now);
+  bool crowdsOut(EngineSlot slot, const RequestWork& work, const PromptWork& prompt,
+                 double now) const;
+  void priceEngines(const RequestWork& work, double now);
   /// \return the cheapest engine. Among near equals a prompt with whole cache pieces gets the one
   ///   that its hash prefers, another the one whose turn it is; kNoEngineSlot if there is none.
   /// \param tolerance how much dearer than the cheapest an equal may be
-  EngineSlot cheapest(const std::vector<PricedEngine>& engines, const Work& work, double tolerance);
+  EngineSlot cheapest(const std::vector<PricedEngine>& engines, const RequestWork& work,
+                      double tolerance);
   /// \return the tolerance among engines that would compute the prompt
-  double computingTolerance(const Work& work) const;
+  double computingTolerance(const RequestWork& work) const;
   /// \return the highest rank by the hash of the prompt's first piece.
   EngineSlot preferredByHash(const std::vector<PricedEngine>& equals,
                              common::PieceHash piece) const;
@@ -107,10 +109,12 @@
   EngineSlot nextInTurn(const std::vector<PricedEngine>& equals) const;
   /// Adds to the costs what others bear, by the share of engines at which prompts wait.
   void chargeOccupancy();
-  Selection select(const Work& work, double now);
-  void countDemand(const RouteRequest& request, const Work& work, const Selection& selection);
-  Route makeRoute(const Selection& selection, const Work& work) const;
-  RouteRefusal refuse(const Selection& best, const Work& work, const common::ModelName& model);
+  Selection select(const RequestWork& work, double now);
+  void countDemand(const RouteRequest& request, const RequestWork& work,
+                   const Selection& selection);
+  Route makeRoute(const Selection& selection, const RequestWork& work) const;
+  RouteRefusal refuse(const Selection& best, const RequestWork& work,
+                      const common::ModelName& model);
   RouteRefusal refuseWithoutEngine(const common::ModelName& model) const;
   /// For when engines are there, but all that they take is used up.
   RouteRefusal refuseExhausted(const common::ModelName& model) const;
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -79,7 +79,7 @@
       prefixes_.forgetEngine(slot);
     }
   }
-  prefixes_.shareAmong(groups_.enginesDecided());
+  prefixes_.setEngineCount(groups_.enginesDecided());
 }
 
 void EngineDirectory::assignWatches() {
--- a/src/cypresswall/routing/long_prompt_tracker.cpp
+++ b/src/cypresswall/routing/long_prompt_tracker.cpp
@@ -191,7 +191,7 @@
 void LongPromptTracker::onPeerStarted(EngineSlot engine, EngineSlot output, PromptKey key,
                                       const StartedPrompt& prompt) {
   add(engine, output, key, prompt);
-  prefixes_.foretold(engine, prompt.shape(), clock_.now());
+  prefixes_.expectStored(engine, prompt.shape(), clock_.now());
 }
 
 void LongPromptTracker::onPeerEnded(EngineSlot engine, PromptKey key, const EndedPrompt& prompt) {
--- a/src/cypresswall/routing/offers.cpp
+++ b/src/cypresswall/routing/offers.cpp
@@ -2,7 +2,8 @@
 
 namespace cypresswall::routing {
 
-double reliefSeconds(const Offer& offer, const Work& work, const EngineEstimate& engine) {
+double secondsUntilWithinLimits(const Offer& offer, const RequestWork& work,
+                                const EngineEstimate& engine) {
   double relief = 0;
   if (offer.late) {
     relief = std::min(offer.wait, offer.first_token - work.first_token_limit);
--- a/src/cypresswall/routing/offers.h
+++ b/src/cypresswall/routing/offers.h
@@ -15,7 +15,7 @@
 inline constexpr double kLatePenalty = 100.0;
 
 /// A request in the model's numbers; times in seconds.
-struct Work {
+struct RequestWork {
   double prompt_tokens = 0;
   double decode_tokens = 0;
   double first_token_limit = 0;
@@ -58,9 +58,9 @@
   /// The wait makes the first token late; an engine without a queue is never called late.
   bool late = false;
   /// The prompt would hold up the output of a decode engine, though prefill engines exist for it.
-  bool crowds_out = false;
+  bool delays_decode = false;
 
-  bool meetsLimits() const { return !late && !crowds_out && between_tokens <= step_limit; }
+  bool meetsLimits() const { return !late && !delays_decode && between_tokens <= step_limit; }
 };
 
 /// Formulas of offers under one router's settings.
@@ -76,7 +76,7 @@
         kv_per_token_(common::toSeconds(settings.kv_transfer_per_thousand_tokens) / kThousand) {}
 
   /// An engine that runs the whole request.
-  Offer whole(const CostInputs& engine, const Work& work, const PromptWork& prompt,
+  Offer whole(const CostInputs& engine, const RequestWork& work, const PromptWork& prompt,
               double now) const {
     Offer offer;
     offer.wait = wait(engine, now);
@@ -87,7 +87,7 @@
     return offer;
   }
   /// An engine that only computes the prompt.
-  Offer prefill(const CostInputs& engine, const Work& work, const PromptWork& prompt,
+  Offer prefill(const CostInputs& engine, const RequestWork& work, const PromptWork& prompt,
                 double now) const {
     Offer offer;
     offer.wait = wait(engine, now);
@@ -105,7 +105,7 @@
     return computingSeconds(engine, prompt) + copyingSeconds(engine, prompt.copied);
   }
   /// \return seconds until the engine will be through with the prompts that it has
-  static double promptsWait(const CostInputs& engine, double now) {
+  static double prefillWait(const CostInputs& engine, double now) {
     const double queue = std::max(0.0, engine.queue_empty_at - now) + engine.unreported_wait;
     return std::max(queue, backlogWait(engine, now));
   }
@@ -124,7 +124,7 @@
     return copy_base_ + per_token * tokens;
   }
   /// An engine that takes over a computed prompt.
-  Offer decode(const CostInputs& engine, const Work& work, double now) const {
+  Offer decode(const CostInputs& engine, const RequestWork& work, double now) const {
     Offer offer;
     offer.wait = wait(engine, now);
     offer.between_tokens = engine.step;
@@ -134,7 +134,7 @@
   }
   /// \param decode_engine the engine behind `decode`
   Offer combined(const Offer& prefill, const Offer& decode, const CostInputs& decode_engine,
-                 const Work& work) const {
+                 const RequestWork& work) const {
     Offer offer = decode;
     offer.wait += prefill.wait;
     offer.first_token +=
@@ -148,7 +148,7 @@
   static constexpr double kThousand = 1000;
 
   static double wait(const CostInputs& engine, double now) {
-    return promptsWait(engine, now) + engine.slot_wait;
+    return prefillWait(engine, now) + engine.slot_wait;
   }
 
   /// An engine that is late with its prompts by some time is expected to need as long again.
@@ -156,13 +156,14 @@
     return engine.has_backlog ? std::abs(engine.backlog_empty_at - now) : 0.0;
   }
 
-  double occupancy(const CostInputs& engine, const Work& work, const PromptWork& prompt) const {
+  double occupancy(const CostInputs& engine, const RequestWork& work,
+                   const PromptWork& prompt) const {
     const double displaced = displacement_share_ * prompt.copied * engine.seconds_per_prefill_token;
     return occupancy_weight_ * (occupyingSeconds(engine, prompt) + displaced) *
            work.inverse_first_token_limit;
   }
 
-  void price(Offer& offer, const Work& work, const CostInputs& engine) const {
+  void price(Offer& offer, const RequestWork& work, const CostInputs& engine) const {
     offer.step_limit = std::max<double>(engine.slackened_lone_step, work.between_tokens_limit);
     offer.late = offer.wait > negligible_wait_ && offer.first_token > work.first_token_limit;
     offer.cost = offer.first_token * work.inverse_first_token_limit +
@@ -184,6 +185,7 @@
 /// \param engine the engine that generates the output
 /// \return the time until the offer's queue, and the number of streams, are short enough for the
 ///   limits; zero if the offer meets them.
-double reliefSeconds(const Offer& offer, const Work& work, const EngineEstimate& engine);
+double secondsUntilWithinLimits(const Offer& offer, const RequestWork& work,
+                                const EngineEstimate& engine);
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/prefix_index.cpp
+++ b/src/cypresswall/routing/prefix_index.cpp
@@ -93,8 +93,8 @@
   makeRoom(engine);
 }
 
-void PrefixIndex::foretold(EngineSlot engine, const common::PromptShape& shape,
-                           common::MonotonicTime now) {
+void PrefixIndex::expectStored(EngineSlot engine, const common::PromptShape& shape,
+                               common::MonotonicTime now) {
   if (settings_.foretells) {
     usedBy(engine, shape, now);
   }
--- a/src/cypresswall/routing/prefix_index.h
+++ b/src/cypresswall/routing/prefix_index.h
@@ -35,14 +35,14 @@
   void setCapacity(EngineSlot engine, std::uint64_t tokens);
   /// Sets the number of engines that share the memory of the index; as many as were ever named
   /// unless this is called.
-  void shareAmong(std::size_t engines) { sharers_ = engines; }
+  void setEngineCount(std::size_t engines) { sharers_ = engines; }
   /// Notes that `engine` holds `piece`, and that it was used just now.
   /// \param tokens length of the piece; zero takes the length known of it, or the usual one
   void stored(EngineSlot engine, common::PieceHash piece, std::uint32_t tokens,
               common::MonotonicTime now);
   /// Notes that a prompt of this shape was sent to `engine`, which will hold its pieces. Does
   /// nothing unless caches are foretold.
-  void foretold(EngineSlot engine, const common::PromptShape& shape, common::MonotonicTime now);
+  void expectStored(EngineSlot engine, const common::PromptShape& shape, common::MonotonicTime now);
   /// Notes that a prompt of this shape uses its pieces at `engine`. The start of a prompt outlives
   /// its end.
   void usedBy(EngineSlot engine, const common::PromptShape& shape, common::MonotonicTime now);
--- a/src/cypresswall/routing/prompt_speed.cpp
+++ b/src/cypresswall/routing/prompt_speed.cpp
@@ -17,11 +17,11 @@
   PromptSpeed speed;
   const double determinant = ff * xx - fx * fx;
   if (determinant > kLeastDeterminant * ff * xx) {
-    speed.way = (fy * xx - xy * fx) / determinant;
+    speed.fixed_latency = (fy * xx - xy * fx) / determinant;
     speed.scale = (xy * ff - fy * fx) / determinant;
   }
-  if (speed.way < 0 || determinant <= kLeastDeterminant * ff * xx) {
-    speed.way = 0;
+  if (speed.fixed_latency < 0 || determinant <= kLeastDeterminant * ff * xx) {
+    speed.fixed_latency = 0;
     speed.scale = xy / xx;
   }
   speed.scale = std::max(speed.scale, kLeastScale);
@@ -61,7 +61,7 @@
   const PromptSpeed known = modelSpeed(model, assumed_way);
   const double x = sample.promised;
   const double way = sample.with_way ? 1.0 : 0.0;
-  const double expected = way * known.way + known.scale * x;
+  const double expected = way * known.fixed_latency + known.scale * x;
   const double y = std::clamp(sample.taken, expected / settings_.model_outlier_factor,
                               expected * settings_.model_outlier_factor);
   auto [entry, first] = models_.try_emplace(model);
@@ -82,9 +82,9 @@
   const PromptSpeed learnt = sums.solve();
   const double left = samplesLeft(own, now);
   const double before = left < 1 ? learnt.scale : own.scale;
-  const double shown =
-      std::clamp((sample.taken - way * learnt.way) / x, before / settings_.engine_outlier_factor,
-                 before * settings_.engine_outlier_factor);
+  const double shown = std::clamp((sample.taken - way * learnt.fixed_latency) / x,
+                                  before / settings_.engine_outlier_factor,
+                                  before * settings_.engine_outlier_factor);
   own.scale = before + settings_.engine_weight * (shown - before);
   own.samples = left + 1.0;
   own.updated_at = now;
--- a/src/cypresswall/routing/prompt_speed.h
+++ b/src/cypresswall/routing/prompt_speed.h
@@ -25,7 +25,7 @@
 /// What one prompt takes: `way` + `scale` * the promised seconds.
 struct PromptSpeed {
   /// Seconds that every prompt takes beside its computation, without occupying the engine.
-  double way = 0;
+  double fixed_latency = 0;
   /// Factor on the promised seconds.
   double scale = 1;
 };
--- a/src/cypresswall/settings/policy_keys.cpp
+++ b/src/cypresswall/settings/policy_keys.cpp
@@ -229,7 +229,7 @@
           "longest; off: only cache events and told ends of prompts count."),
       switchKey(
           "mechanisms.least_role_share",
-          [](auto& s) -> auto& { return s.disaggregated_planner.keeps_share; },
+          [](auto& s) -> auto& { return s.disaggregated_planner.enforces_minimum_share; },
           "A share of the engines stays in each role, with planning.automatic_roles; off: two "
           "engines."),
       switchKey(
--- a/tests/planning/disaggregated_planner_test.cpp
+++ b/tests/planning/disaggregated_planner_test.cpp
@@ -167,7 +167,7 @@
 
   void aShareOfTheEnginesStaysInEachRoleUnlessSwitchedOff() {
     DisaggregatedPlannerSettings without = settings();
-    without.keeps_share = false;
+    without.enforces_minimum_share = false;
     CPPUNIT_ASSERT_EQUAL(6, decodeEnginesLeft(settings()));
     CPPUNIT_ASSERT_EQUAL(2, decodeEnginesLeft(without));
   }
--- a/tests/routing/prefix_index_test.cpp
+++ b/tests/routing/prefix_index_test.cpp
@@ -146,7 +146,7 @@
       common::PromptShape sent;
       sent.pieces = {11};
       sent.tokens = common::kTokensPerCachePiece;
-      index.foretold(1, sent, kNow);
+      index.expectStored(1, sent, kNow);
       CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, depthOf(index, 1, {11}));
       // A full engine.
       index.setCapacity(2, 10000);
--- a/tests/routing/prompt_speed_test.cpp
+++ b/tests/routing/prompt_speed_test.cpp
@@ -26,7 +26,7 @@
   void assumptionsHoldUntilSamplesCome() {
     const PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 1);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAssumedWay, speed.way, 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAssumedWay, speed.fixed_latency, 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speed.scale, 1e-9);
   }
 
@@ -36,7 +36,7 @@
     PromptSpeedEstimator speeds{settings};
     teach(speeds, 0, 0.006, 0.16, 100);
     const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 10);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAssumedWay, speed.way, 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAssumedWay, speed.fixed_latency, 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speed.scale, 1e-9);
   }
 
@@ -44,7 +44,7 @@
     PromptSpeedEstimator speeds{PromptSpeedSettings{}};
     teach(speeds, 0, 0.006, 0.16, 100);
     const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 10);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.006, speed.way, 0.002);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.006, speed.fixed_latency, 0.002);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.16, speed.scale, 0.02);
   }
 
@@ -96,7 +96,8 @@
       const PromptSpeed speed = speeds.speed(kModel, 0, kAssumedWay, 10);
       for (const double promised : {0.02, 0.1, 0.3}) {
         const double taken = way + scale * promised;
-        RC_ASSERT(std::abs(speed.way + speed.scale * promised - taken) < 0.1 * taken + 0.001);
+        RC_ASSERT(std::abs(speed.fixed_latency + speed.scale * promised - taken) <
+                  0.1 * taken + 0.001);
       }
     });
   }
