--- a/src/cypresswall/planning/baseline_planners.cpp
+++ b/src/cypresswall/planning/baseline_planners.cpp
@@ -50,7 +50,7 @@
 }
 
 /// How full the engines of one kind of work are.
-double fullness(double demand, double speed) {
+double utilisation(double demand, double speed) {
   if (demand <= 0) {
     return 0;
   }
@@ -95,10 +95,10 @@
                       CapacityModel::decodeSpeed(*engine, demand.between_tokens_limit));
       }
     }
-    const double prefill = fullness(demand.short_window.prefill_tokens_per_second,
-                                    capacity.prefill_only + capacity.mixed_prefill / 2);
-    const double decode = fullness(demand.short_window.decode_tokens_per_second,
-                                   capacity.decode_decode + capacity.mixed_decode / 2);
+    const double prefill = utilisation(demand.short_window.prefill_tokens_per_second,
+                                       capacity.prefill_only + capacity.mixed_prefill / 2);
+    const double decode = utilisation(demand.short_window.decode_tokens_per_second,
+                                      capacity.decode_decode + capacity.mixed_decode / 2);
     const bool more_prefill = prefill > threshold_ && decode < threshold_;
     const bool more_decode = decode > threshold_ && prefill < threshold_;
     if (!more_prefill && !more_decode) {
--- a/src/cypresswall/planning/capacity_model.cpp
+++ b/src/cypresswall/planning/capacity_model.cpp
@@ -13,7 +13,7 @@
 constexpr int kSearchSteps = 20;
 
 /// Erlang's formula is used up to this utilisation; beyond it the rest is refused.
-constexpr double kMostQueued = 0.98;
+constexpr double kMaximumQueueingUtilisation = 0.98;
 
 /// Prompt tokens a second of a mixed engine whose chunks share their steps with output.
 double sharedPrefillSpeed(const PlannedEngine& engine, const CapacitySettings& settings) {
@@ -114,14 +114,14 @@
 }
 
 double CapacityModel::lostShare(double utilisation) const {
-  const double comfortable = settings_.comfortable_utilisation;
-  if (utilisation <= comfortable) {
+  const double onset = settings_.late_onset_utilisation;
+  if (utilisation <= onset) {
     return 0;
   }
   if (std::isinf(utilisation)) {
     return 1;
   }
-  const double excess = std::min(1.0, (utilisation - comfortable) / (1.0 - comfortable));
+  const double excess = std::min(1.0, (utilisation - onset) / (1.0 - onset));
   const double late = settings_.late_share_at_capacity * excess * excess;
   const double refused = utilisation > 1 ? 1.0 - 1.0 / utilisation : 0;
   return refused + (1.0 - refused) * late;
@@ -132,17 +132,19 @@
   if (servers < 1 || slack <= 0) {
     return 1;
   }
-  const double queued = std::min(utilisation, kMostQueued);
+  const double queueing_utilisation = std::min(utilisation, kMaximumQueueingUtilisation);
   const double refused = utilisation > 1 ? 1.0 - 1.0 / utilisation : 0;
-  const double idle = (1.0 - queued) * slack / service;
-  const double informed = waitProbability(servers, queued) * std::exp(-servers * idle);
-  const double blind = queued * std::exp(-idle);
-  const double late = settings_.blind_share * blind + (1.0 - settings_.blind_share) * informed;
+  const double idle = (1.0 - queueing_utilisation) * slack / service;
+  const double informed =
+      waitProbability(servers, queueing_utilisation) * std::exp(-servers * idle);
+  const double uninformed = queueing_utilisation * std::exp(-idle);
+  const double late =
+      settings_.uninformed_share * uninformed + (1.0 - settings_.uninformed_share) * informed;
   return refused + (1.0 - refused) * late;
 }
 
-double CapacityModel::lostByWaiting(const RoleCapacity& capacity, const ModelDemand& limits,
-                                    const DemandRate& demand) const {
+double CapacityModel::lostByQueueing(const RoleCapacity& capacity, const ModelDemand& limits,
+                                     const DemandRate& demand) const {
   const double servers = capacity.prefill_engines + capacity.mixed_engines;
   const double speed = capacity.prefill_only + capacity.shared_prefill;
   if (demand.long_requests_per_second <= 0 || servers < 1 || speed <= 0) {
@@ -156,7 +158,7 @@
   if (capacity.mixed_engines >= 1) {
     // Between two ways in which the router may fill the engines: evenly, and prefill ones first.
     const double left = demand.long_prefill_tokens_per_second -
-                        settings_.comfortable_utilisation * capacity.prefill_only;
+                        settings_.late_onset_utilisation * capacity.prefill_only;
     const double overflow = std::max(0.0, left) / capacity.shared_prefill;
     const double shared_utilisation = (utilisation + overflow) / 2;
     const double shared_service = prompt * capacity.mixed_engines / capacity.shared_prefill;
@@ -170,9 +172,9 @@
   return lost;
 }
 
-double CapacityModel::longPromptStrain(const std::vector<const PlannedEngine*>& engines,
-                                       const CapacitySettings& settings,
-                                       double long_tokens_per_second) {
+double CapacityModel::longPromptUtilisation(const std::vector<const PlannedEngine*>& engines,
+                                            const CapacitySettings& settings,
+                                            double long_tokens_per_second) {
   double speed = 0;
   for (const PlannedEngine* engine : engines) {
     speed += engine->available ? sharedPrefillSpeed(*engine, settings) : 0;
--- a/src/cypresswall/planning/capacity_model.h
+++ b/src/cypresswall/planning/capacity_model.h
@@ -12,14 +12,14 @@
   double mixed_prefill_share = 0.8;
   double decode_prefill_share = 0.5;
   /// Above this utilisation queues begin to make answers late.
-  double comfortable_utilisation = 0.75;
+  double late_onset_utilisation = 0.75;
   /// Part of the answers that is late at full utilisation.
   double late_share_at_capacity = 0.15;
   /// Prompt tokens that an engine computes in one step beside the output of its streams.
   double prefill_chunk_tokens = 512;
   /// Part of the requests sent to an engine as if at random, since nodes learn of each other's
   /// work only from the engines' reports.
-  double blind_share = 0.15;
+  double uninformed_share = 0.15;
 };
 
 /// Summed speeds of the engines of one model by role, in tokens a second.
@@ -54,12 +54,13 @@
   /// \return answers a second whose first token is late because they wait for long prompts: long
   ///   ones for each other on prefill and mixed engines, short ones behind them on mixed engines.
   ///   Decode engines get no long prompts, so short ones don't wait there.
-  double lostByWaiting(const RoleCapacity& capacity, const ModelDemand& limits,
-                       const DemandRate& demand) const;
+  double lostByQueueing(const RoleCapacity& capacity, const ModelDemand& limits,
+                        const DemandRate& demand) const;
   /// \return the part of their time that long prompts would take if all engines were mixed. Does
   ///   not depend on the roles, so that a change of roles does not change what asks for it.
-  static double longPromptStrain(const std::vector<const PlannedEngine*>& engines,
-                                 const CapacitySettings& settings, double long_tokens_per_second);
+  static double longPromptUtilisation(const std::vector<const PlannedEngine*>& engines,
+                                      const CapacitySettings& settings,
+                                      double long_tokens_per_second);
   /// \return the part of requests that wait longer than `slack` seconds for one of `servers`
   ///   engines, each busy for `service` seconds with a prompt.
   double lateShare(double servers, double utilisation, double service, double slack) const;
--- a/src/cypresswall/planning/demand_estimator.cpp
+++ b/src/cypresswall/planning/demand_estimator.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// Below this part of a window no rate is told, since the first counts would look like a flood.
-constexpr double kLeastSeenShare = 0.05;
+constexpr double kMinimumObservedShare = 0.05;
 /// In a second.
-constexpr double kMicroseconds = 1e6;
+constexpr double kMicrosecondsPerSecond = 1e6;
 
 double secondsOf(std::uint64_t microseconds) {
-  return static_cast<double>(microseconds) / kMicroseconds;
+  return static_cast<double>(microseconds) / kMicrosecondsPerSecond;
 }
 
 }  // namespace
@@ -62,7 +62,7 @@
   const double seconds = common::toSeconds(window);
   // A window that was not seen whole holds only this part of a steady demand's sum.
   const double seen = 1.0 - std::exp(-common::toSeconds(now - started_at_) / seconds);
-  if (seen < kLeastSeenShare) {
+  if (seen < kMinimumObservedShare) {
     return {};
   }
   const double scale = 1.0 / (seconds * seen);
--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -11,13 +11,13 @@
 using engines::EngineRole;
 
 /// Utilisation of engines that are not there, in place of infinity.
-constexpr double kHopeless = 64.0;
+constexpr double kSaturatedUtilisation = 64.0;
 
 double utilisationOf(double work, double engines) {
   if (work <= 0) {
     return 0;
   }
-  return engines > 0 ? std::min(kHopeless, work / engines) : kHopeless;
+  return engines > 0 ? std::min(kSaturatedUtilisation, work / engines) : kSaturatedUtilisation;
 }
 
 void sortByStreams(std::vector<const PlannedEngine*>& engines) {
@@ -85,49 +85,48 @@
   return state;
 }
 
-DisaggregatedPlanner::SharedWork DisaggregatedPlanner::share(const ModelState& state,
-                                                             const DemandRate& demand,
-                                                             const Split& split) const {
-  SharedWork work;
+DisaggregatedPlanner::WorkDistribution DisaggregatedPlanner::distributeWork(
+    const ModelState& state, const DemandRate& demand, const Split& split) const {
+  WorkDistribution work;
   work.output_seconds = state.decode_speed > 0 && demand.output_seconds <= 0
                             ? demand.decode_tokens_per_second / state.decode_speed
                             : demand.output_seconds;
-  const double slowness = 1.0 / settings_.capacity.decode_prefill_share;
+  const double slowdown = 1.0 / settings_.capacity.decode_prefill_share;
   const double fixed_prefill = demand.prefill_engine_seconds - demand.flexible_prefill_seconds;
   const double fixed_decode = demand.decode_engine_seconds - demand.flexible_decode_seconds;
   // In seconds of prefill engines.
-  const double all = demand.prefill_engine_seconds + demand.flexible_decode_seconds / slowness;
-  const double even = split.prefill * (fixed_decode + work.output_seconds + slowness * all) /
-                      std::max(1.0, split.decode + slowness * split.prefill);
+  const double total = demand.prefill_engine_seconds + demand.flexible_decode_seconds / slowdown;
+  const double even = split.prefill * (fixed_decode + work.output_seconds + slowdown * total) /
+                      std::max(1.0, split.decode + slowdown * split.prefill);
   const double flexible_requests = demand.flexible_decode_requests_per_second;
-  work.prefill_seconds = std::clamp(even, std::max(0.0, fixed_prefill), std::max(all, 0.0));
-  work.decode_prompt_seconds = fixed_decode + slowness * (all - work.prefill_seconds);
-  work.decode_worth = fixed_decode + work.output_seconds + all - work.prefill_seconds;
+  work.prefill_seconds = std::clamp(even, std::max(0.0, fixed_prefill), std::max(total, 0.0));
+  work.decode_prompt_seconds = fixed_decode + slowdown * (total - work.prefill_seconds);
+  work.decode_value = fixed_decode + work.output_seconds + total - work.prefill_seconds;
   work.prefill_requests_per_second =
-      all > 0 ? (demand.prefill_engine_requests_per_second + flexible_requests) *
-                    work.prefill_seconds / all
-              : 0;
+      total > 0 ? (demand.prefill_engine_requests_per_second + flexible_requests) *
+                      work.prefill_seconds / total
+                : 0;
   return work;
 }
 
-double DisaggregatedPlanner::prefillUtilisation(const SharedWork& work, const Split& split) {
+double DisaggregatedPlanner::prefillUtilisation(const WorkDistribution& work, const Split& split) {
   return utilisationOf(work.prefill_seconds, split.prefill);
 }
 
-double DisaggregatedPlanner::decodeUtilisation(const SharedWork& work, const Split& split) {
+double DisaggregatedPlanner::decodeUtilisation(const WorkDistribution& work, const Split& split) {
   return utilisationOf(work.decode_prompt_seconds + work.output_seconds, split.decode);
 }
 
 double DisaggregatedPlanner::lateDecodeShare(double utilisation) const {
-  const double comfortable = settings_.comfortable_decode_utilisation;
-  const double excess = std::clamp((utilisation - comfortable) / (1.0 - comfortable), 0.0, 1.0);
+  const double onset = settings_.decode_late_onset_utilisation;
+  const double excess = std::clamp((utilisation - onset) / (1.0 - onset), 0.0, 1.0);
   const double refused = utilisation > 1 ? 1.0 - 1.0 / utilisation : 0;
   return refused + (1.0 - refused) * settings_.late_share_at_full_decode * excess * excess;
 }
 
 double DisaggregatedPlanner::lostRate(const ModelState& state, const DemandRate& demand,
                                       const Split& split) const {
-  const SharedWork work = share(state, demand, split);
+  const WorkDistribution work = distributeWork(state, demand, split);
   double lost = 0;
   if (work.prefill_requests_per_second > 0) {
     const double service = work.prefill_seconds / work.prefill_requests_per_second;
@@ -136,7 +135,7 @@
         work.prefill_seconds * capacity_.lateShare(split.prefill, prefillUtilisation(work, split),
                                                    service, std::max(slack, service));
   }
-  return lost + work.decode_worth * lateDecodeShare(decodeUtilisation(work, split));
+  return lost + work.decode_value * lateDecodeShare(decodeUtilisation(work, split));
 }
 
 double DisaggregatedPlanner::benefit(const ModelState& state, const DemandRate& demand,
@@ -162,16 +161,16 @@
   return weight * recent + (1.0 - weight) * past;
 }
 
-double DisaggregatedPlanner::keptEngines(const ModelState& state) const {
+double DisaggregatedPlanner::minimumEnginesPerRole(const ModelState& state) const {
   const double share = settings_.enforces_minimum_share ? settings_.minimum_share : 0.0;
   return std::max<double>(settings_.minimum_engines, std::ceil(share * state.engines));
 }
 
-PlanAlternative DisaggregatedPlanner::best(const ModelState& state) const {
+PlanAlternative DisaggregatedPlanner::bestMove(const ModelState& state) const {
   PlanAlternative best;
-  const double kept = keptEngines(state);
+  const double minimum = minimumEnginesPerRole(state);
   const auto weigh = [&](const auto& movable, double engines, EngineRole from, EngineRole to) {
-    if (movable.empty() || engines <= kept) {
+    if (movable.empty() || engines <= minimum) {
       return;
     }
     const double gain = benefit(state, to);
@@ -189,8 +188,8 @@
   explanation.model = state.model;
   explanation.demand = state.demand;
   explanation.required_benefit = state.weight;
-  const SharedWork recent = share(state, state.demand.short_window, state.split);
-  const SharedWork past = share(state, state.demand.long_window, state.split);
+  const WorkDistribution recent = distributeWork(state, state.demand.short_window, state.split);
+  const WorkDistribution past = distributeWork(state, state.demand.long_window, state.split);
   explanation.utilisation_short = prefillUtilisation(recent, state.split);
   explanation.utilisation_long = prefillUtilisation(past, state.split);
   explanation.decode_utilisation_short = decodeUtilisation(recent, state.split);
@@ -203,7 +202,7 @@
   const auto allowed = std::max(1U, static_cast<std::uint32_t>(share));
   explanation.conclusion = "no change: as many engines are away as may be";
   for (; state.under_way < allowed; ++state.under_way) {
-    const PlanAlternative move = best(state);
+    const PlanAlternative move = bestMove(state);
     if (move.engine.empty()) {
       explanation.conclusion = "no change: no engine may be changed";
       break;
--- a/src/cypresswall/planning/disaggregated_planner.h
+++ b/src/cypresswall/planning/disaggregated_planner.h
@@ -22,7 +22,7 @@
   double maximum_away_share = 0.25;
   /// Above this utilisation prompts computed between the output of decode engines begin to stretch
   /// the time between tokens beyond its limit.
-  double comfortable_decode_utilisation = 0.6;
+  double decode_late_onset_utilisation = 0.6;
   /// Share of the answers that are late for that at full utilisation.
   double late_share_at_full_decode = 0.7;
   /// Off: each role keeps `minimum_engines` only.
@@ -52,7 +52,7 @@
     Split movedTo(engines::EngineRole to) const;
   };
   /// The work of one model as a split of its engines would share it.
-  struct SharedWork {
+  struct WorkDistribution {
     double prefill_requests_per_second = 0;
     /// Seconds a second, all together.
     double prefill_seconds = 0;
@@ -60,7 +60,7 @@
     double output_seconds = 0;
     /// What the answers of the decode engines are worth, in seconds a second: a prompt is not worth
     /// more for being computed where that takes longer.
-    double decode_worth = 0;
+    double decode_value = 0;
   };
   struct ModelState {
     common::ModelName model;
@@ -81,10 +81,10 @@
 
   ModelState stateOf(const common::ModelName& model, const PlanningInput& input) const;
   /// \return engines that each role keeps, if it has them
-  double keptEngines(const ModelState& state) const;
+  double minimumEnginesPerRole(const ModelState& state) const;
   void planModel(ModelState& state, Plan& plan) const;
   /// \return the most useful move, with its benefit; an empty engine name if none is possible.
-  PlanAlternative best(const ModelState& state) const;
+  PlanAlternative bestMove(const ModelState& state) const;
   /// \return engine seconds, spent on answers that come in time, gained over the horizon by moving
   ///   one engine.
   double benefit(const ModelState& state, engines::EngineRole to) const;
@@ -94,9 +94,10 @@
   double lostRate(const ModelState& state, const DemandRate& demand, const Split& split) const;
   double lateDecodeShare(double utilisation) const;
   /// Prompts that may be computed in either role go where that makes both roles equally busy.
-  SharedWork share(const ModelState& state, const DemandRate& demand, const Split& split) const;
-  static double decodeUtilisation(const SharedWork& work, const Split& split);
-  static double prefillUtilisation(const SharedWork& work, const Split& split);
+  WorkDistribution distributeWork(const ModelState& state, const DemandRate& demand,
+                                  const Split& split) const;
+  static double decodeUtilisation(const WorkDistribution& work, const Split& split);
+  static double prefillUtilisation(const WorkDistribution& work, const Split& split);
 
   DisaggregatedPlannerSettings settings_;
   CapacityModel capacity_;
--- a/src/cypresswall/planning/role_planner.cpp
+++ b/src/cypresswall/planning/role_planner.cpp
@@ -20,7 +20,7 @@
 /// vary in length, and fade from windows of 10 and 60 s.
 constexpr double kEstimateVariance = 0.031;
 
-std::string sentence(const PlanAlternative& best, double required) {
+std::string describe(const PlanAlternative& best, double required) {
   const std::string gain = std::to_string(std::lround(best.benefit));
   const std::string needed = std::to_string(std::lround(required));
   const std::string move =
@@ -58,9 +58,9 @@
       }
     }
     for (const EngineRole role : kRoles) {
-      state.cheapest[indexOf(role)] = cheapestToMove(state, role);
+      state.least_busy[indexOf(role)] = leastBusyEngine(state, role);
     }
-    state.strained = strained(state);
+    state.queueing_matters = queueingMatters(state);
     states.push_back(std::move(state));
   }
   return states;
@@ -74,7 +74,7 @@
   return plan;
 }
 
-bool RolePlanner::strained(const ModelState& state) const {
+bool RolePlanner::queueingMatters(const ModelState& state) const {
   const DemandRate& recent = state.demand.short_window;
   const DemandRate& past = state.demand.long_window;
   const double weight = settings_.short_window_weight;
@@ -87,9 +87,10 @@
   }
   const double tokens =
       mean(recent.long_prefill_tokens_per_second, past.long_prefill_tokens_per_second);
-  const double strain = CapacityModel::longPromptStrain(state.engines, settings_.capacity, tokens);
-  const double doubt = settings_.strain_doubt * std::sqrt(kEstimateVariance / requests);
-  return strain * (1.0 - doubt) > settings_.strain_threshold;
+  const double utilisation =
+      CapacityModel::longPromptUtilisation(state.engines, settings_.capacity, tokens);
+  const double margin = settings_.confidence_deviations * std::sqrt(kEstimateVariance / requests);
+  return utilisation * (1.0 - margin) > settings_.long_prompt_utilisation_threshold;
 }
 
 std::uint32_t RolePlanner::maximumAway(const ModelState& state) const {
@@ -102,7 +103,7 @@
   const double requests = demand.requests_per_second;
   const double overloaded = requests * capacity_.lostShare(capacity_.utilisation(capacity, demand));
   const double waiting =
-      state.strained ? capacity_.lostByWaiting(capacity, state.demand, demand) : 0;
+      state.queueing_matters ? capacity_.lostByQueueing(capacity, state.demand, demand) : 0;
   return std::min(requests, overloaded + waiting);
 }
 
@@ -116,7 +117,7 @@
   return entry->second;
 }
 
-RolePlanner::Path RolePlanner::startOf(const ModelState& state, double horizon) const {
+RolePlanner::Path RolePlanner::initialPath(const ModelState& state, double horizon) const {
   Path path{state.capacity, {}, horizon, settings_.maximum_steps};
   for (std::size_t role = 0; role < kRoles.size(); ++role) {
     path.movable[role] = static_cast<std::size_t>(std::count_if(
@@ -131,10 +132,10 @@
   const ModelState& state = forecast.state;
   const double speed = CapacityModel::decodeSpeed(engine, state.demand.between_tokens_limit);
   capacity_.add(path.capacity, engine, engine.role, speed, -1.0);
-  const double away = std::min(path.left, state.time_away);
+  const double away = std::min(path.remaining, state.time_away);
   const double lost_away = lostRate(forecast, path.capacity) * away;
   capacity_.add(path.capacity, engine, to, speed);
-  path.left -= away;
+  path.remaining -= away;
   --path.steps;
   --path.movable[indexOf(engine.role)];
   return lost_away + lostOnPath(forecast, path);
@@ -142,13 +143,13 @@
 
 double RolePlanner::lostOnPath(Forecast& forecast, const Path& path) const {
   const double rate = lostRate(forecast, path.capacity);
-  double least = rate * path.left;
+  double least = rate * path.remaining;
   // Only waiting has gains that a single change does not show.
-  if (path.steps <= 0 || rate <= 0 || !forecast.state.strained) {
+  if (path.steps <= 0 || rate <= 0 || !forecast.state.queueing_matters) {
     return least;
   }
   for (std::size_t role = 0; role < kRoles.size(); ++role) {
-    const PlannedEngine* engine = forecast.state.cheapest[role];
+    const PlannedEngine* engine = forecast.state.least_busy[role];
     if (engine == nullptr || path.movable[role] == 0) {
       continue;
     }
@@ -163,9 +164,9 @@
 
 double RolePlanner::benefit(Forecast& recent, Forecast& past, const PlannedEngine& engine,
                             EngineRole to, double horizon) const {
-  const Path start = startOf(recent.state, horizon);
+  const Path start = initialPath(recent.state, horizon);
   const auto gain = [&](Forecast& forecast) {
-    return lostRate(forecast, start.capacity) * start.left -
+    return lostRate(forecast, start.capacity) * start.remaining -
            lostByMove(forecast, start, engine, to);
   };
   const double gain_short = gain(recent);
@@ -179,25 +180,25 @@
   return weight * gain_short + (1.0 - weight) * gain_long;
 }
 
-const PlannedEngine* RolePlanner::cheapestToMove(const ModelState& state, EngineRole role) const {
-  const PlannedEngine* cheapest = nullptr;
+const PlannedEngine* RolePlanner::leastBusyEngine(const ModelState& state, EngineRole role) const {
+  const PlannedEngine* least_busy = nullptr;
   for (const PlannedEngine* engine : state.engines) {
     if (engine->changeable && engine->role == role &&
-        (cheapest == nullptr || engine->streams < cheapest->streams)) {
-      cheapest = engine;
+        (least_busy == nullptr || engine->streams < least_busy->streams)) {
+      least_busy = engine;
     }
   }
-  return cheapest;
+  return least_busy;
 }
 
-std::vector<PlanAlternative> RolePlanner::weigh(const ModelState& state,
-                                                const configuration::PlanningPolicy& policy) const {
+std::vector<PlanAlternative> RolePlanner::evaluateAlternatives(
+    const ModelState& state, const configuration::PlanningPolicy& policy) const {
   std::vector<PlanAlternative> alternatives;
   const double horizon = common::toSeconds(policy.horizon);
   Forecast recent{state, state.demand.short_window, policy.role_change_weight};
   Forecast past{state, state.demand.long_window, policy.role_change_weight};
   for (const EngineRole from : kRoles) {
-    const PlannedEngine* engine = state.cheapest[indexOf(from)];
+    const PlannedEngine* engine = state.least_busy[indexOf(from)];
     if (engine == nullptr) {
       continue;
     }
@@ -232,12 +233,12 @@
   } else if (state.under_way >= maximumAway(state)) {
     explanation.conclusion = "no change: as many engines are away as may be";
   } else {
-    explanation.alternatives = weigh(state, policy);
+    explanation.alternatives = evaluateAlternatives(state, policy);
     if (explanation.alternatives.empty()) {
       explanation.conclusion = "no change: no engine may be changed";
     } else {
       const PlanAlternative& best = explanation.alternatives.front();
-      explanation.conclusion = sentence(best, explanation.required_benefit);
+      explanation.conclusion = describe(best, explanation.required_benefit);
       if (best.benefit > explanation.required_benefit) {
         plan.changes.push_back({best.engine, best.to});
       }
--- a/src/cypresswall/planning/role_planner.h
+++ b/src/cypresswall/planning/role_planner.h
@@ -17,10 +17,10 @@
   common::Duration expected_time_away = std::chrono::seconds(16);
   /// Part of the engines' time, were all of them mixed, that long prompts have to take beyond doubt
   /// before what waits for them asks for a change of roles.
-  double strain_threshold = 0.34;
+  double long_prompt_utilisation_threshold = 0.34;
   /// Standard deviations of the estimated strain that count as doubt. The fewer prompts a second,
   /// the more an estimate over seconds varies under a steady demand.
-  double strain_doubt = 4.0;
+  double confidence_deviations = 4.0;
   /// Changes that are looked ahead, the next one included.
   int maximum_steps = 3;
   /// Weight of the short window's demand against the long one's.
@@ -51,9 +51,9 @@
     double time_away = 0;
     /// The engine of each role that is changed first, in the order of the planner's roles; null if
     /// none may be changed.
-    std::array<const PlannedEngine*, 3> cheapest{};
+    std::array<const PlannedEngine*, 3> least_busy{};
     /// Long prompts strain the engines, so waiting for them counts.
-    bool strained = false;
+    bool queueing_matters = false;
   };
   /// One demand on one model, with the answers lost a second by the engines in each role. Ways that
   /// end in equal numbers share one entry, which takes a model's engines as alike.
@@ -70,14 +70,14 @@
     /// Engines in each role, in the order of kRoles, that may still be moved.
     std::array<std::size_t, 3> movable{};
     /// Seconds left of the horizon.
-    double left = 0;
+    double remaining = 0;
     int steps = 0;
   };
 
   std::vector<ModelState> groupByModel(const PlanningInput& input) const;
   void planModel(const ModelState& state, const configuration::PlanningPolicy& policy, Plan& plan);
-  std::vector<PlanAlternative> weigh(const ModelState& state,
-                                     const configuration::PlanningPolicy& policy) const;
+  std::vector<PlanAlternative> evaluateAlternatives(
+      const ModelState& state, const configuration::PlanningPolicy& policy) const;
   /// \return answers lost a second.
   double lostRate(const ModelState& state, const RoleCapacity& capacity,
                   const DemandRate& demand) const;
@@ -88,12 +88,12 @@
   /// \return the same if `engine` goes to `to` next, without the weight of that change.
   double lostByMove(Forecast& forecast, Path path, const PlannedEngine& engine,
                     engines::EngineRole to) const;
-  bool strained(const ModelState& state) const;
-  Path startOf(const ModelState& state, double horizon) const;
+  bool queueingMatters(const ModelState& state) const;
+  Path initialPath(const ModelState& state, double horizon) const;
   /// \return answers gained over the horizon, by the short and the long window's forecasts.
   double benefit(Forecast& recent, Forecast& past, const PlannedEngine& engine,
                  engines::EngineRole to, double horizon) const;
-  const PlannedEngine* cheapestToMove(const ModelState& state, engines::EngineRole role) const;
+  const PlannedEngine* leastBusyEngine(const ModelState& state, engines::EngineRole role) const;
   std::uint32_t maximumAway(const ModelState& state) const;
 
   RolePlannerSettings settings_;
--- a/src/cypresswall/routing/long_prompt_tracker.cpp
+++ b/src/cypresswall/routing/long_prompt_tracker.cpp
@@ -45,8 +45,8 @@
   if (!isLong(prompt)) {
     return;
   }
-  OwnPrompt own;
-  own.engine = engine;
+  LocalPrompt local;
+  local.engine = engine;
   StartedPrompt notice;
   notice.uncached_tokens = static_cast<std::uint32_t>(prompt.uncached);
   notice.copied_tokens = static_cast<std::uint32_t>(prompt.copied);
@@ -57,9 +57,9 @@
          shape.tokensOfPieces(notice.held_pieces + std::size_t{1}) <= prompt.cached) {
     ++notice.held_pieces;
   }
-  own.number = exchange_.started(engine, output, notice);
-  add(engine, output, exchange_.keyOf(own.number), notice);
-  own_[stream_id] = own;
+  local.number = exchange_.started(engine, output, notice);
+  add(engine, output, exchange_.keyOf(local.number), notice);
+  local_prompts_[stream_id] = local;
 }
 
 void LongPromptTracker::add(EngineSlot slot, EngineSlot output, PromptKey key,
@@ -72,33 +72,34 @@
   const CostInputs& inputs = estimates_.inputs(slot);
   engine.backlog.add(key, now(), model_.occupyingSeconds(inputs, work));
   const auto held = std::min<std::size_t>(prompt.held_pieces, prompt.pieces.size());
-  const double promised = work.copied > 0 ? 0
-                                          : OfferModel::computingSeconds(inputs, work) /
-                                                estimates_.estimate(slot).prompt_speed.scale;
-  engine.computing.push_back({key, prompt.shape(), held, output, promised});
+  const double nominal = work.copied > 0 ? 0
+                                         : OfferModel::computingSeconds(inputs, work) /
+                                               estimates_.estimate(slot).prompt_speed.scale;
+  engine.active_prompts.push_back({key, prompt.shape(), held, output, nominal});
   publishBacklog(slot);
 }
 
 void LongPromptTracker::remove(EngineSlot slot, PromptKey key, bool computed) {
   Engine& engine = engineAt(slot);
-  const auto found = std::find_if(engine.computing.begin(), engine.computing.end(),
-                                  [&](const Computing& entry) { return entry.key == key; });
-  if (found == engine.computing.end()) {
+  const auto found = std::find_if(engine.active_prompts.begin(), engine.active_prompts.end(),
+                                  [&](const ActivePrompt& entry) { return entry.key == key; });
+  if (found == engine.active_prompts.end()) {
     return;
   }
-  const Computing ended = std::move(*found);
-  engine.computing.erase(found);
+  const ActivePrompt ended = std::move(*found);
+  engine.active_prompts.erase(found);
   if (computed) {
     learnSpeed(slot, ended);
   }
   engine.backlog.remove(key, now(), computed);
-  settlePieces(slot, ended, computed);
+  updatePrefixIndex(slot, ended, computed);
   publishBacklog(slot);
 }
 
-void LongPromptTracker::settlePieces(EngineSlot slot, const Computing& ended, bool computed) {
+void LongPromptTracker::updatePrefixIndex(EngineSlot slot, const ActivePrompt& ended,
+                                          bool computed) {
   if (!computed) {
-    for (std::size_t i = ended.held; i < ended.shape.pieces.size(); ++i) {
+    for (std::size_t i = ended.held_pieces; i < ended.shape.pieces.size(); ++i) {
       // Another prompt may be computing the same piece.
       if (!beingComputed(slot, ended.shape.pieces[i])) {
         prefixes_.removed(slot, ended.shape.pieces[i]);
@@ -114,12 +115,12 @@
 }
 
 void LongPromptTracker::end(const std::string& stream_id, bool computed) {
-  const auto found = own_.find(stream_id);
-  if (found == own_.end()) {
+  const auto found = local_prompts_.find(stream_id);
+  if (found == local_prompts_.end()) {
     return;
   }
-  const OwnPrompt prompt = found->second;
-  own_.erase(found);
+  const LocalPrompt prompt = found->second;
+  local_prompts_.erase(found);
   EndedPrompt notice;
   notice.number = prompt.number;
   notice.computed = computed;
@@ -127,12 +128,12 @@
   exchange_.ended(prompt.engine, std::move(notice));
 }
 
-void LongPromptTracker::learnSpeed(EngineSlot slot, const Computing& computed) {
-  const auto stretch = engineAt(slot).backlog.stretchOf(computed.key, now());
-  if (!stretch || computed.promised <= 0) {
+void LongPromptTracker::learnSpeed(EngineSlot slot, const ActivePrompt& computed) {
+  const auto busy = engineAt(slot).backlog.busyTimeOf(computed.key, now());
+  if (!busy || computed.nominal <= 0) {
     return;
   }
-  const PromptSample sample{computed.promised, stretch->seconds, stretch->with_way};
+  const PromptSample sample{computed.nominal, busy->seconds, busy->includes_latency};
   speeds_.add(table_.record(slot).load.model, slot, sample, estimates_.estimate(slot).prefill_base,
               now());
   publishSpeed(slot);
@@ -149,9 +150,10 @@
   if (engine >= engines_.size()) {
     return false;
   }
-  const auto& computing = engines_[engine].computing;
-  return std::any_of(computing.begin(), computing.end(), [&](const Computing& entry) {
-    const auto first_new = entry.shape.pieces.begin() + static_cast<std::ptrdiff_t>(entry.held);
+  const auto& active_prompts = engines_[engine].active_prompts;
+  return std::any_of(active_prompts.begin(), active_prompts.end(), [&](const ActivePrompt& entry) {
+    const auto first_new =
+        entry.shape.pieces.begin() + static_cast<std::ptrdiff_t>(entry.held_pieces);
     return std::find(first_new, entry.shape.pieces.end(), piece) != entry.shape.pieces.end();
   });
 }
@@ -168,8 +170,8 @@
     return;
   }
   state.backlog.expire(now(), common::toSeconds(settings_.backlog_expiry));
-  std::erase_if(state.computing,
-                [&](const Computing& entry) { return !state.backlog.holds(entry.key); });
+  std::erase_if(state.active_prompts,
+                [&](const ActivePrompt& entry) { return !state.backlog.holds(entry.key); });
   publishBacklog(engine);
 }
 
--- a/src/cypresswall/routing/long_prompt_tracker.h
+++ b/src/cypresswall/routing/long_prompt_tracker.h
@@ -51,23 +51,23 @@
 
  private:
   /// One of this node's prompts.
-  struct OwnPrompt {
+  struct LocalPrompt {
     EngineSlot engine = kNoEngineSlot;
     std::uint32_t number = 0;
   };
   /// Pieces that one prompt makes an engine hold.
-  struct Computing {
+  struct ActivePrompt {
     PromptKey key = 0;
     common::PromptShape shape;
     /// So many of them, from the first on, it held before.
-    std::size_t held = 0;
+    std::size_t held_pieces = 0;
     EngineSlot output = kNoEngineSlot;
     /// Seconds that the engine's declared speed promises; zero if a copy is part of it.
-    double promised = 0;
+    double nominal = 0;
   };
   struct Engine {
     PromptBacklog backlog;
-    std::vector<Computing> computing;
+    std::vector<ActivePrompt> active_prompts;
   };
 
   double now() const { return toModelTime(clock_.now()); }
@@ -75,11 +75,11 @@
   bool isLong(const PromptWork& prompt) const;
   void add(EngineSlot slot, EngineSlot output, PromptKey key, const StartedPrompt& prompt);
   /// Brings the index of cached pieces up to date at the end of a prompt.
-  void settlePieces(EngineSlot slot, const Computing& ended, bool computed);
+  void updatePrefixIndex(EngineSlot slot, const ActivePrompt& ended, bool computed);
   void remove(EngineSlot slot, PromptKey key, bool computed);
   void end(const std::string& stream_id, bool computed);
   /// Learns the engine's speed from a prompt that it has just computed.
-  void learnSpeed(EngineSlot slot, const Computing& computed);
+  void learnSpeed(EngineSlot slot, const ActivePrompt& computed);
   /// Writes what is known of the engine's speed into its estimate.
   void publishSpeed(EngineSlot slot);
   void publishBacklog(EngineSlot slot);
@@ -93,7 +93,7 @@
   EstimateTable& estimates_;
   PromptSpeedEstimator speeds_;
   std::vector<Engine> engines_;
-  std::unordered_map<std::string, OwnPrompt> own_;
+  std::unordered_map<std::string, LocalPrompt> local_prompts_;
 };
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/offers.h
+++ b/src/cypresswall/routing/offers.h
@@ -83,7 +83,7 @@
     offer.between_tokens = engine.step;
     offer.first_token = offer.wait + promptSeconds(engine, prompt) + engine.step;
     offer.occupancy = occupancy(engine, work, prompt);
-    price(offer, work, engine);
+    setCost(offer, work, engine);
     return offer;
   }
   /// An engine that only computes the prompt.
@@ -93,7 +93,7 @@
     offer.wait = wait(engine, now);
     offer.first_token = offer.wait + promptSeconds(engine, prompt);
     offer.occupancy = occupancy(engine, work, prompt);
-    price(offer, work, engine);
+    setCost(offer, work, engine);
     return offer;
   }
   /// \return seconds from sending the prompt to an engine without a queue until it is computed
@@ -129,7 +129,7 @@
     offer.wait = wait(engine, now);
     offer.between_tokens = engine.step;
     offer.first_token = offer.wait + engine.step;
-    price(offer, work, engine);
+    setCost(offer, work, engine);
     return offer;
   }
   /// \param decode_engine the engine behind `decode`
@@ -140,7 +140,7 @@
     offer.first_token +=
         prefill.first_token + kv_base_ + copyingSeconds(decode_engine, work.prompt_tokens);
     offer.occupancy = prefill.occupancy;
-    price(offer, work, decode_engine);
+    setCost(offer, work, decode_engine);
     return offer;
   }
 
@@ -163,7 +163,7 @@
            work.inverse_first_token_limit;
   }
 
-  void price(Offer& offer, const RequestWork& work, const CostInputs& engine) const {
+  void setCost(Offer& offer, const RequestWork& work, const CostInputs& engine) const {
     offer.step_limit = std::max<double>(engine.slackened_lone_step, work.between_tokens_limit);
     offer.late = offer.wait > negligible_wait_ && offer.first_token > work.first_token_limit;
     offer.cost = offer.first_token * work.inverse_first_token_limit +
--- a/src/cypresswall/routing/output_speed.cpp
+++ b/src/cypresswall/routing/output_speed.cpp
@@ -5,8 +5,8 @@
 namespace cypresswall::routing {
 
 void OutputSpeedEstimator::begin(const std::string& stream_id, const common::ModelName& model,
-                                 double promised, double now) {
-  running_[stream_id] = Running{model, promised, now};
+                                 double nominal, double now) {
+  running_[stream_id] = Running{model, nominal, now};
 }
 
 void OutputSpeedEstimator::complete(const std::string& stream_id, double now) {
@@ -16,29 +16,29 @@
   }
   const Running& stream = node.mapped();
   Sums& sums = models_[stream.model];
-  const double lasted = std::max(0.0, now - stream.began_at);
-  const double kept = settings_.length_retention;
-  sums.seconds = kept * sums.seconds + lasted;
-  sums.squared_seconds = kept * sums.squared_seconds + lasted * lasted;
-  if (!settings_.learns_steps || stream.promised <= 0) {
+  const double duration = std::max(0.0, now - stream.began_at);
+  const double retention = settings_.length_retention;
+  sums.seconds = retention * sums.seconds + duration;
+  sums.squared_seconds = retention * sums.squared_seconds + duration * duration;
+  if (!settings_.learns_steps || stream.nominal <= 0) {
     return;
   }
-  if (sums.promised <= 0) {
-    sums.promised = stream.promised * settings_.prior_answers;
-    sums.taken = sums.promised;
+  if (sums.nominal <= 0) {
+    sums.nominal = stream.nominal * settings_.prior_answers;
+    sums.measured = sums.nominal;
   }
-  const double expected = stream.promised * scale(stream.model);
-  sums.promised = settings_.retention * sums.promised + stream.promised;
-  sums.taken =
-      settings_.retention * sums.taken + std::min(lasted, expected * settings_.outlier_factor);
+  const double expected = stream.nominal * scale(stream.model);
+  sums.nominal = settings_.retention * sums.nominal + stream.nominal;
+  sums.measured =
+      settings_.retention * sums.measured + std::min(duration, expected * settings_.outlier_factor);
 }
 
 double OutputSpeedEstimator::scale(const common::ModelName& model) const {
   const auto found = models_.find(model);
-  if (found == models_.end() || found->second.promised <= 0) {
+  if (found == models_.end() || found->second.nominal <= 0) {
     return 1;
   }
-  return std::max(settings_.least_scale, found->second.taken / found->second.promised);
+  return std::max(settings_.least_scale, found->second.measured / found->second.nominal);
 }
 
 double OutputSpeedEstimator::remainingSeconds(const common::ModelName& model) const {
--- a/src/cypresswall/routing/output_speed.h
+++ b/src/cypresswall/routing/output_speed.h
@@ -19,7 +19,7 @@
   /// The first token of an answer was received.
   /// \param promised seconds that the rest of the output should take; zero if it is too short to
   ///   tell of the time of a step
-  void begin(const std::string& stream_id, const common::ModelName& model, double promised,
+  void begin(const std::string& stream_id, const common::ModelName& model, double nominal,
              double now);
   /// The answer was given whole, at `now`.
   void complete(const std::string& stream_id, double now);
@@ -33,12 +33,12 @@
  private:
   struct Running {
     common::ModelName model;
-    double promised = 0;
+    double nominal = 0;
     double began_at = 0;
   };
   struct Sums {
-    double promised = 0;
-    double taken = 0;
+    double nominal = 0;
+    double measured = 0;
     /// Of all answers, whatever their length.
     double seconds = 0;
     double squared_seconds = 0;
--- a/src/cypresswall/routing/permit_router.cpp
+++ b/src/cypresswall/routing/permit_router.cpp
@@ -18,10 +18,10 @@
     done(std::move(choice));
     return;
   }
-  Waiting& waiting = waiting_[request.stream_id];
-  waiting.request = request;
-  waiting.done = done;
-  await(std::string(request.stream_id), std::move(*route));
+  PendingPlacement& pending = pending_[request.stream_id];
+  pending.request = request;
+  pending.done = done;
+  requestPermits(std::string(request.stream_id), std::move(*route));
 }
 
 bool PermitRouter::limited(const Route& route) const {
@@ -29,61 +29,61 @@
          (route.prefill_engine && limiter_.limited(route.prefill_engine->name));
 }
 
-void PermitRouter::await(const std::string& stream_id, Route route) {
-  Waiting& waiting = waiting_.at(stream_id);
-  waiting.wanted.clear();
+void PermitRouter::requestPermits(const std::string& stream_id, Route route) {
+  PendingPlacement& pending = pending_.at(stream_id);
+  pending.needed.clear();
   if (route.prefill_engine) {
-    waiting.wanted.push_back(route.prefill_engine->name);
+    pending.needed.push_back(route.prefill_engine->name);
   }
-  waiting.wanted.push_back(route.engine.name);
-  waiting.route = std::move(route);
-  acquireNext(stream_id);
+  pending.needed.push_back(route.engine.name);
+  pending.route = std::move(route);
+  requestNextPermit(stream_id);
 }
 
-void PermitRouter::acquireNext(const std::string& stream_id) {
-  Waiting& waiting = waiting_.at(stream_id);
-  if (waiting.wanted.empty()) {
-    router_.attemptStarted(waiting.request, waiting.route);
-    finish(stream_id, std::move(waiting.route));
+void PermitRouter::requestNextPermit(const std::string& stream_id) {
+  PendingPlacement& pending = pending_.at(stream_id);
+  if (pending.needed.empty()) {
+    router_.attemptStarted(pending.request, pending.route);
+    finish(stream_id, std::move(pending.route));
     return;
   }
-  const common::EngineName engine = std::move(waiting.wanted.back());
-  waiting.wanted.pop_back();
-  waiting.number = next_number_++;
-  limiter_.acquire(engine, [this, stream_id, engine, number = waiting.number](bool granted) {
-    const auto found = waiting_.find(stream_id);
-    if (found == waiting_.end() || found->second.number != number) {
+  const common::EngineName engine = std::move(pending.needed.back());
+  pending.needed.pop_back();
+  pending.number = next_number_++;
+  limiter_.acquire(engine, [this, stream_id, engine, number = pending.number](bool granted) {
+    const auto found = pending_.find(stream_id);
+    if (found == pending_.end() || found->second.number != number) {
       return;
     }
     if (granted) {
-      acquireNext(stream_id);
+      requestNextPermit(stream_id);
     } else {
-      onRefused(stream_id, engine);
+      onPermitRefused(stream_id, engine);
     }
   });
 }
 
-void PermitRouter::onRefused(const std::string& stream_id, const common::EngineName& engine) {
+void PermitRouter::onPermitRefused(const std::string& stream_id, const common::EngineName& engine) {
   common::LogEvent(context_.log, common::LogLevel::kInfo, "permit_refused")
       .field("stream", stream_id)
       .field("server", engine);
-  Waiting& waiting = waiting_.at(stream_id);
-  waiting.request.excluded.push_back(engine);
-  RouteChoice choice = router_.choose(waiting.request);
+  PendingPlacement& pending = pending_.at(stream_id);
+  pending.request.excluded.push_back(engine);
+  RouteChoice choice = router_.choose(pending.request);
   if (auto* const route = std::get_if<Route>(&choice)) {
-    await(stream_id, std::move(*route));
+    requestPermits(stream_id, std::move(*route));
   } else {
     finish(stream_id, std::move(choice));
   }
 }
 
 void PermitRouter::finish(const std::string& stream_id, RouteChoice choice) {
-  auto waiting = waiting_.extract(stream_id);
-  waiting.mapped().done(std::move(choice));
+  auto pending = pending_.extract(stream_id);
+  pending.mapped().done(std::move(choice));
 }
 
 void PermitRouter::abandonPlacement(const std::string& stream_id) {
-  waiting_.erase(stream_id);
+  pending_.erase(stream_id);
   router_.abandonPlacement(stream_id);
 }
 
--- a/src/cypresswall/routing/permit_router.h
+++ b/src/cypresswall/routing/permit_router.h
@@ -48,26 +48,26 @@
 
  private:
   /// A request that waits for permits.
-  struct Waiting {
+  struct PendingPlacement {
     std::uint64_t number = 0;
     RouteRequest request;
     PlacementCallback done;
     Route route;
     /// Engines of the route of which a permit is still to be had, the next one last.
-    std::vector<common::EngineName> wanted;
+    std::vector<common::EngineName> needed;
   };
 
   bool limited(const Route& route) const;
-  void await(const std::string& stream_id, Route route);
-  void acquireNext(const std::string& stream_id);
-  void onRefused(const std::string& stream_id, const common::EngineName& engine);
+  void requestPermits(const std::string& stream_id, Route route);
+  void requestNextPermit(const std::string& stream_id);
+  void onPermitRefused(const std::string& stream_id, const common::EngineName& engine);
   void finish(const std::string& stream_id, RouteChoice choice);
 
   const api::ProcessContext& context_;
   Router& router_;
   fleet_limits::RateLimiter& limiter_;
   /// By stream.
-  std::unordered_map<std::string, Waiting> waiting_;
+  std::unordered_map<std::string, PendingPlacement> pending_;
   std::uint64_t next_number_ = 1;
 };
 
--- a/src/cypresswall/routing/placement_messages.cpp
+++ b/src/cypresswall/routing/placement_messages.cpp
@@ -88,10 +88,10 @@
 }
 
 bool fromMessage(const PlacementRequest& message, RouteRequest& request) {
-  const bool ends_fit =
+  const bool ends_match =
       message.piece_ends.empty() || message.piece_ends.size() == message.pieces.size();
-  const bool ends_rise = std::is_sorted(message.piece_ends.begin(), message.piece_ends.end());
-  if (!ends_fit || !ends_rise || message.pieces.size() > kMaximumPieces ||
+  const bool ends_sorted = std::is_sorted(message.piece_ends.begin(), message.piece_ends.end());
+  if (!ends_match || !ends_sorted || message.pieces.size() > kMaximumPieces ||
       message.excluded.size() > kMaximumExcluded || message.tokens > kMaximumTokens ||
       message.maximum_tokens > kMaximumTokens || message.resume_from > kMaximumTokens) {
     return false;
--- a/src/cypresswall/routing/placement_router.cpp
+++ b/src/cypresswall/routing/placement_router.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Above this many, owners that answer again are forgotten.
-constexpr std::size_t kMaximumRemembered = 256;
+constexpr std::size_t kMaximumUnresponsiveOwners = 256;
 
 }  // namespace
 
@@ -28,8 +28,8 @@
                                       "Owners of engines asked for a place")),
       answered_(context.counters.counter("cypresswall_placement_answered_total",
                                          "Answers of owners that came in time")),
-      silent_(context.counters.counter("cypresswall_placement_silent_total",
-                                       "Owners that did not answer in time")),
+      timed_out_(context.counters.counter("cypresswall_placement_silent_total",
+                                          "Owners that did not answer in time")),
       late_(context.counters.counter("cypresswall_placement_late_total",
                                      "Answers of owners that nobody waited for any more")),
       unusable_(context.counters.counter("cypresswall_placement_unusable_total",
@@ -47,12 +47,12 @@
     local_.place(request, done);
     return;
   }
-  Waiting waiting;
-  waiting.request = request;
-  waiting.done = done;
-  waiting.candidates = candidatesFor(request);
-  waiting_[request.stream_id] = std::move(waiting);
-  askNext(request.stream_id);
+  PendingRequest pending;
+  pending.request = request;
+  pending.done = done;
+  pending.candidates = candidatesFor(request);
+  pending_[request.stream_id] = std::move(pending);
+  tryNextOwner(request.stream_id);
 }
 
 std::deque<PlacementRouter::Candidate> PlacementRouter::candidatesFor(const RouteRequest& request) {
@@ -75,56 +75,56 @@
   return until != unresponsive_until_.end() && context_.clock.now() < until->second;
 }
 
-void PlacementRouter::askNext(const std::string& stream_id) {
-  Waiting& waiting = waiting_.at(stream_id);
-  if (waiting.candidates.empty() || waiting.asks >= settings_.maximum_asks) {
+void PlacementRouter::tryNextOwner(const std::string& stream_id) {
+  PendingRequest& pending = pending_.at(stream_id);
+  if (pending.candidates.empty() || pending.attempts >= settings_.maximum_asks) {
     giveUp(stream_id);
     return;
   }
-  const Candidate candidate = std::move(waiting.candidates.front());
-  waiting.candidates.pop_front();
-  ++waiting.asks;
+  const Candidate candidate = std::move(pending.candidates.front());
+  pending.candidates.pop_front();
+  ++pending.attempts;
   if (candidate.node == context_.self) {
-    placeHere(stream_id);
+    placeLocally(stream_id);
   } else {
-    ask(waiting, candidate);
+    sendRequest(pending, candidate);
   }
 }
 
-void PlacementRouter::ask(Waiting& waiting, const Candidate& candidate) {
+void PlacementRouter::sendRequest(PendingRequest& pending, const Candidate& candidate) {
   asked_.add();
-  waiting.asked = candidate;
-  waiting.number = next_number_++;
-  waiting.asked_at = context_.clock.now();
-  PlacementRequest message = toMessage(waiting.request);
-  message.number = waiting.number;
+  pending.asked = candidate;
+  pending.number = next_number_++;
+  pending.asked_at = context_.clock.now();
+  PlacementRequest message = toMessage(pending.request);
+  message.number = pending.number;
   message.group = candidate.group;
   context_.sendTo(candidate.node, message);
-  waiting.timer = context_.scheduler.schedule(
-      answerLimit(waiting.request),
-      [this, stream_id = waiting.request.stream_id] { onSilence(stream_id); });
+  pending.timer = context_.scheduler.schedule(
+      answerTimeout(pending.request),
+      [this, stream_id = pending.request.stream_id] { onAnswerTimeout(stream_id); });
 }
 
-common::Duration PlacementRouter::answerLimit(const RouteRequest& request) const {
+common::Duration PlacementRouter::answerTimeout(const RouteRequest& request) const {
   const auto share =
       common::fromSeconds(common::toSeconds(request.first_token_limit) * settings_.answer_share);
   return std::clamp(share, settings_.least_answer_limit, settings_.answer_limit);
 }
 
-void PlacementRouter::placeHere(const std::string& stream_id) {
-  local_.place(waiting_.at(stream_id).request, [this, stream_id](RouteChoice choice) {
+void PlacementRouter::placeLocally(const std::string& stream_id) {
+  local_.place(pending_.at(stream_id).request, [this, stream_id](RouteChoice choice) {
     auto* const refusal = std::get_if<RouteRefusal>(&choice);
     if (refusal == nullptr) {
       finish(stream_id, std::move(choice));
       return;
     }
-    waiting_.at(stream_id).refusal = std::move(*refusal);
-    askNext(stream_id);
+    pending_.at(stream_id).refusal = std::move(*refusal);
+    tryNextOwner(stream_id);
   });
 }
 
 void PlacementRouter::giveUp(const std::string& stream_id) {
-  auto& refusal = waiting_.at(stream_id).refusal;
+  auto& refusal = pending_.at(stream_id).refusal;
   if (!refusal) {
     no_owner_.add();
     refusal.emplace();
@@ -135,81 +135,81 @@
 }
 
 void PlacementRouter::finish(const std::string& stream_id, RouteChoice choice) {
-  auto waiting = waiting_.extract(stream_id);
-  context_.scheduler.cancel(waiting.mapped().timer);
-  waiting.mapped().done(std::move(choice));
+  auto pending = pending_.extract(stream_id);
+  context_.scheduler.cancel(pending.mapped().timer);
+  pending.mapped().done(std::move(choice));
 }
 
-void PlacementRouter::onSilence(const std::string& stream_id) {
-  const auto found = waiting_.find(stream_id);
-  if (found == waiting_.end()) {
+void PlacementRouter::onAnswerTimeout(const std::string& stream_id) {
+  const auto found = pending_.find(stream_id);
+  if (found == pending_.end()) {
     return;
   }
-  Waiting& waiting = found->second;
-  waiting.timer = 0;
-  silent_.add();
+  PendingRequest& pending = found->second;
+  pending.timer = 0;
+  timed_out_.add();
   const auto now = context_.clock.now();
-  if (unresponsive_until_.size() >= kMaximumRemembered) {
+  if (unresponsive_until_.size() >= kMaximumUnresponsiveOwners) {
     std::erase_if(unresponsive_until_, [now](const auto& entry) { return entry.second <= now; });
   }
-  unresponsive_until_[waiting.asked.node] = now + settings_.unresponsive_time;
+  unresponsive_until_[pending.asked.node] = now + settings_.unresponsive_time;
   common::LogEvent(context_.log, common::LogLevel::kWarning, "owner_silent")
       .field("stream", stream_id)
-      .field("owner", waiting.asked.node.address)
-      .field("group", waiting.asked.group)
-      .field("asks", waiting.asks);
-  askNext(stream_id);
+      .field("owner", pending.asked.node.address)
+      .field("group", pending.asked.group)
+      .field("asks", pending.attempts);
+  tryNextOwner(stream_id);
 }
 
 void PlacementRouter::onAnswer(const common::NodeId& sender, const PlacementAnswer& answer) {
   unresponsive_until_.erase(sender);
-  const auto found = waiting_.find(answer.stream_id);
-  const bool awaited = found != waiting_.end() && found->second.number == answer.number &&
+  const auto found = pending_.find(answer.stream_id);
+  const bool awaited = found != pending_.end() && found->second.number == answer.number &&
                        found->second.asked.node == sender;
   if (!awaited) {
     late_.add();
     if (answer.outcome == PlacementOutcome::kPlaced) {
-      giveBackUnlessUsed(sender, answer.stream_id);
+      releaseUnlessInUse(sender, answer.stream_id);
     }
     return;
   }
   answered_.add();
-  Waiting& waiting = found->second;
-  context_.scheduler.cancel(std::exchange(waiting.timer, 0));
+  PendingRequest& pending = found->second;
+  context_.scheduler.cancel(std::exchange(pending.timer, 0));
   if (answer.outcome != PlacementOutcome::kPlaced) {
-    onRefusal(waiting, answer);
+    onRefusal(pending, answer);
     return;
   }
   Route route = routeOf(answer);
   route.chosen_by = sender;
   if (!usable(route)) {
     unusable_.add();
-    tell(sender, answer.stream_id, AttemptStep::kEnded);
-    waiting.request.excluded.push_back(route.engine.name);
-    waiting.candidates.push_front(waiting.asked);
-    askNext(answer.stream_id);
+    sendProgress(sender, answer.stream_id, AttemptStep::kEnded);
+    pending.request.excluded.push_back(route.engine.name);
+    pending.candidates.push_front(pending.asked);
+    tryNextOwner(answer.stream_id);
     return;
   }
-  Placed placed;
+  RemotePlacement placed;
   placed.owner = sender;
-  const double uncached = static_cast<double>(waiting.request.shape.tokens) -
+  const double uncached = static_cast<double>(pending.request.shape.tokens) -
                           static_cast<double>(route.expected_cached_tokens);
   const bool long_prompt = uncached > long_prompt_tokens_ || route.expected_copied_tokens > 0;
-  const bool long_answer = waiting.request.maximum_tokens >= long_answer_tokens_;
-  placed.tells_first_token = long_answer || (long_prompt && !route.prefill_engine);
-  placed_[answer.stream_id] = std::move(placed);
+  const bool long_answer = pending.request.maximum_tokens >= long_answer_tokens_;
+  placed.reports_first_token = long_answer || (long_prompt && !route.prefill_engine);
+  remote_placements_[answer.stream_id] = std::move(placed);
   finish(answer.stream_id, std::move(route));
 }
 
-void PlacementRouter::onRefusal(Waiting& waiting, const PlacementAnswer& answer) {
-  waiting.refusal = refusalOf(answer);
+void PlacementRouter::onRefusal(PendingRequest& pending, const PlacementAnswer& answer) {
+  pending.refusal = refusalOf(answer);
   if (answer.outcome == PlacementOutcome::kOverloaded) {
     // The group's other owner knows no better.
-    std::erase_if(waiting.candidates, [&waiting](const Candidate& candidate) {
-      return candidate.group == waiting.asked.group;
+    std::erase_if(pending.candidates, [&pending](const Candidate& candidate) {
+      return candidate.group == pending.asked.group;
     });
   }
-  askNext(answer.stream_id);
+  tryNextOwner(answer.stream_id);
 }
 
 bool PlacementRouter::known(const engines::EngineEndpoint& engine) const {
@@ -236,24 +236,24 @@
 }
 
 void PlacementRouter::abandonPlacement(const std::string& stream_id) {
-  const auto waiting = waiting_.extract(stream_id);
-  if (!waiting.empty()) {
-    context_.scheduler.cancel(waiting.mapped().timer);
+  const auto pending = pending_.extract(stream_id);
+  if (!pending.empty()) {
+    context_.scheduler.cancel(pending.mapped().timer);
   }
   local_.abandonPlacement(stream_id);
 }
 
 /// An answer that came twice must not take back the place in use.
-void PlacementRouter::giveBackUnlessUsed(const common::NodeId& owner,
+void PlacementRouter::releaseUnlessInUse(const common::NodeId& owner,
                                          const std::string& stream_id) {
-  const auto placed = placed_.find(stream_id);
-  if (placed == placed_.end() || placed->second.owner != owner) {
-    tell(owner, stream_id, AttemptStep::kEnded);
+  const auto placed = remote_placements_.find(stream_id);
+  if (placed == remote_placements_.end() || placed->second.owner != owner) {
+    sendProgress(owner, stream_id, AttemptStep::kEnded);
   }
 }
 
-void PlacementRouter::tell(const common::NodeId& owner, const std::string& stream_id,
-                           AttemptStep step) {
+void PlacementRouter::sendProgress(const common::NodeId& owner, const std::string& stream_id,
+                                   AttemptStep step) {
   AttemptProgress progress;
   progress.stream_id = stream_id;
   progress.step = step;
@@ -261,26 +261,26 @@
 }
 
 void PlacementRouter::promptComputed(const std::string& stream_id) {
-  const auto placed = placed_.find(stream_id);
-  if (placed == placed_.end()) {
+  const auto placed = remote_placements_.find(stream_id);
+  if (placed == remote_placements_.end()) {
     local_.promptComputed(stream_id);
     return;
   }
-  tell(placed->second.owner, stream_id, AttemptStep::kPromptComputed);
+  sendProgress(placed->second.owner, stream_id, AttemptStep::kPromptComputed);
 }
 
 void PlacementRouter::firstTokenReceived(const std::string& stream_id) {
-  const auto placed = placed_.find(stream_id);
-  if (placed == placed_.end()) {
+  const auto placed = remote_placements_.find(stream_id);
+  if (placed == remote_placements_.end()) {
     local_.firstTokenReceived(stream_id);
-  } else if (placed->second.tells_first_token) {
-    tell(placed->second.owner, stream_id, AttemptStep::kFirstToken);
+  } else if (placed->second.reports_first_token) {
+    sendProgress(placed->second.owner, stream_id, AttemptStep::kFirstToken);
   }
 }
 
 void PlacementRouter::answerCompleted(const std::string& stream_id) {
-  const auto placed = placed_.find(stream_id);
-  if (placed == placed_.end()) {
+  const auto placed = remote_placements_.find(stream_id);
+  if (placed == remote_placements_.end()) {
     local_.answerCompleted(stream_id);
     return;
   }
@@ -288,18 +288,18 @@
 }
 
 void PlacementRouter::attemptFinished(const std::string& stream_id) {
-  const auto placed = placed_.extract(stream_id);
+  const auto placed = remote_placements_.extract(stream_id);
   if (placed.empty()) {
     local_.attemptFinished(stream_id);
     return;
   }
-  tell(placed.mapped().owner, stream_id,
-       placed.mapped().completed ? AttemptStep::kCompleted : AttemptStep::kEnded);
+  sendProgress(placed.mapped().owner, stream_id,
+               placed.mapped().completed ? AttemptStep::kCompleted : AttemptStep::kEnded);
 }
 
 void PlacementRouter::attemptFailed(const std::string& stream_id, const common::EngineName& engine,
                                     engines::StreamFailure failure) {
-  const auto placed = placed_.extract(stream_id);
+  const auto placed = remote_placements_.extract(stream_id);
   if (placed.empty()) {
     local_.attemptFailed(stream_id, engine, failure);
     return;
--- a/src/cypresswall/routing/placement_router.h
+++ b/src/cypresswall/routing/placement_router.h
@@ -40,7 +40,7 @@
                      engines::StreamFailure failure) override;
 
   /// \return requests that wait for an owner's answer.
-  std::size_t waiting() const { return waiting_.size(); }
+  std::size_t pendingRequests() const { return pending_.size(); }
 
  private:
   /// One owner that may be asked.
@@ -49,43 +49,43 @@
     std::string group;
   };
   /// A request that waits for a place.
-  struct Waiting {
+  struct PendingRequest {
     RouteRequest request;
     PlacementCallback done;
     std::deque<Candidate> candidates;
     Candidate asked;
     std::uint64_t number = 0;
-    std::size_t asks = 0;
+    std::size_t attempts = 0;
     common::TimerId timer = 0;
     common::MonotonicTime asked_at{};
     /// The last refusal, for when nobody gives a place.
     std::optional<RouteRefusal> refusal;
   };
   /// A place that another node gave.
-  struct Placed {
+  struct RemotePlacement {
     common::NodeId owner;
     /// The owner's estimates rest on the time of the first token.
-    bool tells_first_token = false;
+    bool reports_first_token = false;
     bool completed = false;
   };
 
   std::deque<Candidate> candidatesFor(const RouteRequest& request);
   bool unresponsive(const common::NodeId& node) const;
   /// Asks the next owner, or chooses here if that is this node, or gives up.
-  void askNext(const std::string& stream_id);
-  void ask(Waiting& waiting, const Candidate& candidate);
-  void placeHere(const std::string& stream_id);
+  void tryNextOwner(const std::string& stream_id);
+  void sendRequest(PendingRequest& pending, const Candidate& candidate);
+  void placeLocally(const std::string& stream_id);
   void giveUp(const std::string& stream_id);
-  void onSilence(const std::string& stream_id);
+  void onAnswerTimeout(const std::string& stream_id);
   void onAnswer(const common::NodeId& sender, const PlacementAnswer& answer);
-  void onRefusal(Waiting& waiting, const PlacementAnswer& answer);
-  void giveBackUnlessUsed(const common::NodeId& owner, const std::string& stream_id);
+  void onRefusal(PendingRequest& pending, const PlacementAnswer& answer);
+  void releaseUnlessInUse(const common::NodeId& owner, const std::string& stream_id);
   /// \return true if the place can be used: its engines are known here and may get work
   bool usable(const Route& route) const;
   bool known(const engines::EngineEndpoint& engine) const;
-  void tell(const common::NodeId& owner, const std::string& stream_id, AttemptStep step);
+  void sendProgress(const common::NodeId& owner, const std::string& stream_id, AttemptStep step);
   void finish(const std::string& stream_id, RouteChoice choice);
-  common::Duration answerLimit(const RouteRequest& request) const;
+  common::Duration answerTimeout(const RouteRequest& request) const;
 
   PlacementSettings settings_;
   double long_prompt_tokens_;
@@ -93,13 +93,13 @@
   const api::ProcessContext& context_;
   EngineDirectory& directory_;
   Router& local_;
-  std::unordered_map<std::string, Waiting> waiting_;
-  std::unordered_map<std::string, Placed> placed_;
+  std::unordered_map<std::string, PendingRequest> pending_;
+  std::unordered_map<std::string, RemotePlacement> remote_placements_;
   std::unordered_map<common::NodeId, common::MonotonicTime> unresponsive_until_;
   std::uint64_t next_number_ = 1;
   common::Counter& asked_;
   common::Counter& answered_;
-  common::Counter& silent_;
+  common::Counter& timed_out_;
   common::Counter& late_;
   common::Counter& unusable_;
   common::Counter& no_owner_;
--- a/src/cypresswall/routing/placement_service.cpp
+++ b/src/cypresswall/routing/placement_service.cpp
@@ -48,14 +48,14 @@
 
 void PlacementService::onRequest(const common::NodeId& sender, const PlacementRequest& message) {
   RouteRequest request;
-  const auto known = places_.find(message.stream_id);
-  const bool of_another = known != places_.end() && known->second.node != sender;
-  if (of_another || !fromMessage(message, request)) {
+  const auto known = placements_.find(message.stream_id);
+  const bool from_other_node = known != placements_.end() && known->second.node != sender;
+  if (from_other_node || !fromMessage(message, request)) {
     invalid_.add();
     return;
   }
   // Asked again, or told twice by the network: what was given before is not used.
-  giveBack(request.stream_id);
+  release(request.stream_id);
   router_.abandonPlacement(request.stream_id);
   if (const auto refusal = refusalOfGroup(message.group)) {
     answerWith(*refusal, sender, message.number, message.stream_id);
@@ -71,7 +71,7 @@
 void PlacementService::answerWith(const RouteChoice& choice, const common::NodeId& node,
                                   std::uint64_t number, const std::string& stream_id) {
   if (std::holds_alternative<Route>(choice)) {
-    places_[stream_id] = Place{node, context_.clock.now()};
+    placements_[stream_id] = ActivePlacement{node, context_.clock.now()};
     placed_.add();
   }
   PlacementAnswer answer = toMessage(choice);
@@ -86,7 +86,7 @@
     return RouteRefusal{RouteFailure::kOverloaded, settings_.retry_after,
                         "this node does not decide about these engines", std::nullopt};
   }
-  if (places_.size() >= settings_.maximum_places) {
+  if (placements_.size() >= settings_.maximum_places) {
     full_.add();
     return RouteRefusal{RouteFailure::kOverloaded, settings_.retry_after,
                         "this node has given as many places as it can follow", std::nullopt};
@@ -95,8 +95,8 @@
 }
 
 void PlacementService::onProgress(const common::NodeId& sender, const AttemptProgress& progress) {
-  const auto place = places_.find(progress.stream_id);
-  if (place == places_.end() || place->second.node != sender) {
+  const auto place = placements_.find(progress.stream_id);
+  if (place == placements_.end() || place->second.node != sender) {
     unknown_.add();
     return;
   }
@@ -109,10 +109,10 @@
       break;
     case AttemptStep::kCompleted:
       router_.answerCompleted(progress.stream_id);
-      giveBack(progress.stream_id);
+      release(progress.stream_id);
       break;
     case AttemptStep::kEnded:
-      giveBack(progress.stream_id);
+      release(progress.stream_id);
       break;
     case AttemptStep::kFailed:
       onFailed(sender, progress);
@@ -123,13 +123,13 @@
 }
 
 void PlacementService::onFailed(const common::NodeId& sender, const AttemptProgress& progress) {
-  giveBack(progress.stream_id);
+  release(progress.stream_id);
   directory_.ejection().placedAttemptFailed(sender, directory_.table().slotOf(progress.engine),
                                             progress.failure);
 }
 
-void PlacementService::giveBack(const std::string& stream_id) {
-  if (places_.erase(stream_id) != 0) {
+void PlacementService::release(const std::string& stream_id) {
+  if (placements_.erase(stream_id) != 0) {
     router_.attemptFinished(stream_id);
   }
 }
@@ -138,14 +138,14 @@
   context_.scheduler.schedule(kSweepInterval, [this] { sweep(); });
   const auto now = context_.clock.now();
   std::vector<std::string> expired;
-  for (const auto& [stream_id, place] : places_) {
-    if (now - place.given_at > settings_.place_time_limit) {
+  for (const auto& [stream_id, place] : placements_) {
+    if (now - place.created_at > settings_.place_time_limit) {
       expired.push_back(stream_id);
     }
   }
   for (const std::string& stream_id : expired) {
     expired_.add();
-    giveBack(stream_id);
+    release(stream_id);
   }
 }
 
--- a/src/cypresswall/routing/placement_service.h
+++ b/src/cypresswall/routing/placement_service.h
@@ -22,13 +22,13 @@
                    EngineDirectory& directory, Router& router);
 
   /// \return places that were given and not given back.
-  std::size_t places() const { return places_.size(); }
+  std::size_t placements() const { return placements_.size(); }
 
  private:
-  struct Place {
+  struct ActivePlacement {
     /// The node that got it.
     common::NodeId node;
-    common::MonotonicTime given_at{};
+    common::MonotonicTime created_at{};
   };
 
   void onRequest(const common::NodeId& sender, const PlacementRequest& message);
@@ -38,14 +38,14 @@
                   const std::string& stream_id);
   void onProgress(const common::NodeId& sender, const AttemptProgress& progress);
   void onFailed(const common::NodeId& sender, const AttemptProgress& progress);
-  void giveBack(const std::string& stream_id);
+  void release(const std::string& stream_id);
   void sweep();
 
   PlacementSettings settings_;
   const api::ProcessContext& context_;
   EngineDirectory& directory_;
   Router& router_;
-  std::unordered_map<std::string, Place> places_;
+  std::unordered_map<std::string, ActivePlacement> placements_;
   common::Counter& placed_;
   common::Counter& refused_;
   common::Counter& not_owner_;
--- a/src/cypresswall/routing/prefix_index.cpp
+++ b/src/cypresswall/routing/prefix_index.cpp
@@ -24,12 +24,12 @@
     return;
   }
   engineAt(engine).capacity = tokens;
-  makeRoom(engine);
+  evictToCapacity(engine);
 }
 
-std::uint32_t PrefixIndex::tokensOf(common::PieceHash piece, std::uint32_t told) const {
-  if (told > 0) {
-    return told;
+std::uint32_t PrefixIndex::tokensOf(common::PieceHash piece, std::uint32_t reported) const {
+  if (reported > 0) {
+    return reported;
   }
   const auto known = pieces_.find(piece);
   return known == pieces_.end() ? common::kTokensPerCachePiece : known->second.tokens;
@@ -47,7 +47,7 @@
   ++size_;
 }
 
-void PrefixIndex::dropHolder(EngineSlot engine, common::PieceHash piece) {
+void PrefixIndex::removeHolder(EngineSlot engine, common::PieceHash piece) {
   const auto entry = pieces_.find(piece);
   entry->second.engines[engine / kBitsPerWord] &= ~bitOf(engine);
   --size_;
@@ -56,20 +56,20 @@
   }
 }
 
-void PrefixIndex::erase(EngineSlot slot, std::list<Held>::iterator held) {
+void PrefixIndex::erase(EngineSlot slot, std::list<HeldPiece>::iterator held) {
   Engine& engine = engines_[slot];
   engine.tokens -= held->tokens;
-  dropHolder(slot, held->piece);
+  removeHolder(slot, held->piece);
   engine.by_piece.erase(held->piece);
   engine.held.erase(held);
 }
 
-void PrefixIndex::makeRoom(EngineSlot slot) {
+void PrefixIndex::evictToCapacity(EngineSlot slot) {
   Engine& engine = engines_[slot];
-  const std::size_t sharers = sharers_ == 0 ? engines_.size() : sharers_;
-  const std::size_t most = std::max<std::size_t>(1, settings_.maximum_pieces / sharers);
+  const std::size_t engine_count = engine_count_ == 0 ? engines_.size() : engine_count_;
+  const std::size_t limit = std::max<std::size_t>(1, settings_.maximum_pieces / engine_count);
   const auto full = [&] {
-    return engine.held.size() > most || (engine.capacity > 0 && engine.tokens > engine.capacity);
+    return engine.held.size() > limit || (engine.capacity > 0 && engine.tokens > engine.capacity);
   };
   while (engine.held.size() > 1 && full()) {
     erase(slot, std::prev(engine.held.end()));
@@ -90,7 +90,7 @@
   state.by_piece[piece] = state.held.begin();
   state.tokens += length;
   addHolder(engine, piece, length);
-  makeRoom(engine);
+  evictToCapacity(engine);
 }
 
 void PrefixIndex::expectStored(EngineSlot engine, const common::PromptShape& shape,
@@ -122,8 +122,8 @@
   if (known == state.by_piece.end()) {
     return false;
   }
-  const bool outdated = now - known->second->used_at < settings_.event_lag;
-  if (settings_.foretells && outdated) {
+  const bool stale = now - known->second->used_at < settings_.event_lag;
+  if (settings_.foretells && stale) {
     return false;
   }
   erase(engine, known->second);
--- a/src/cypresswall/routing/prefix_index.h
+++ b/src/cypresswall/routing/prefix_index.h
@@ -35,7 +35,7 @@
   void setCapacity(EngineSlot engine, std::uint64_t tokens);
   /// Sets the number of engines that share the memory of the index; as many as were ever named
   /// unless this is called.
-  void setEngineCount(std::size_t engines) { sharers_ = engines; }
+  void setEngineCount(std::size_t engines) { engine_count_ = engines; }
   /// Notes that `engine` holds `piece`, and that it was used just now.
   /// \param tokens length of the piece; zero takes the length known of it, or the usual one
   void stored(EngineSlot engine, common::PieceHash piece, std::uint32_t tokens,
@@ -72,15 +72,15 @@
   using Words = std::vector<std::uint64_t>;
 
   /// One piece at one engine.
-  struct Held {
+  struct HeldPiece {
     common::PieceHash piece = 0;
     std::uint32_t tokens = 0;
     common::MonotonicTime used_at{};
   };
   struct Engine {
     /// The most recently used first.
-    std::list<Held> held;
-    std::unordered_map<common::PieceHash, std::list<Held>::iterator> by_piece;
+    std::list<HeldPiece> held;
+    std::unordered_map<common::PieceHash, std::list<HeldPiece>::iterator> by_piece;
     std::uint64_t tokens = 0;
     std::uint64_t capacity = 0;
     double trust = 1.0;
@@ -93,18 +93,18 @@
   };
 
   Engine& engineAt(EngineSlot engine);
-  std::uint32_t tokensOf(common::PieceHash piece, std::uint32_t told) const;
+  std::uint32_t tokensOf(common::PieceHash piece, std::uint32_t reported) const;
   void addHolder(EngineSlot engine, common::PieceHash piece, std::uint32_t tokens);
-  void dropHolder(EngineSlot engine, common::PieceHash piece);
-  void erase(EngineSlot slot, std::list<Held>::iterator held);
+  void removeHolder(EngineSlot engine, common::PieceHash piece);
+  void erase(EngineSlot slot, std::list<HeldPiece>::iterator held);
   /// Gives up what was unused for longest until the engine's memory suffices.
-  void makeRoom(EngineSlot slot);
+  void evictToCapacity(EngineSlot slot);
 
   PrefixIndexSettings settings_;
   std::vector<Engine> engines_;
   std::unordered_map<common::PieceHash, Piece> pieces_;
   std::size_t size_ = 0;
-  std::size_t sharers_ = 0;
+  std::size_t engine_count_ = 0;
 };
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/prompt_backlog.cpp
+++ b/src/cypresswall/routing/prompt_backlog.cpp
@@ -11,16 +11,16 @@
   prompts_.insert(later, Prompt{key, started_at, seconds, prompts_.empty()});
 }
 
-std::optional<PromptStretch> PromptBacklog::stretchOf(PromptKey key, double now) const {
+std::optional<BusyTime> PromptBacklog::busyTimeOf(PromptKey key, double now) const {
   if (prompts_.empty() || prompts_.front().key != key) {
     return std::nullopt;
   }
   const Prompt& first = prompts_.front();
   if (first.alone) {
-    return PromptStretch{now - first.started_at, true};
+    return BusyTime{now - first.started_at, true};
   }
-  if (last_end_told_ && last_end_ > first.started_at) {
-    return PromptStretch{now - last_end_, false};
+  if (last_end_known_ && last_end_ > first.started_at) {
+    return BusyTime{now - last_end_, false};
   }
   return std::nullopt;
 }
@@ -33,7 +33,7 @@
   }
   if (found == prompts_.begin()) {
     last_end_ = now;
-    last_end_told_ = computed;
+    last_end_known_ = computed;
   }
   prompts_.erase(found);
   return true;
@@ -47,7 +47,7 @@
       return;
     }
     last_end_ = due;
-    last_end_told_ = false;
+    last_end_known_ = false;
     prompts_.erase(prompts_.begin());
   }
 }
--- a/src/cypresswall/routing/prompt_backlog.h
+++ b/src/cypresswall/routing/prompt_backlog.h
@@ -14,11 +14,11 @@
 using PromptKey = std::uint64_t;
 
 /// Since when an engine was busy with a prompt that just ended.
-struct PromptStretch {
+struct BusyTime {
   double seconds = 0;
   /// The engine had nothing before it: the stretch began when the prompt was sent, and holds its
   /// time on the way.
-  bool with_way = false;
+  bool includes_latency = false;
 };
 
 /// An engine computes prompts in the order of their arrival, one at a time.
@@ -28,7 +28,7 @@
   void add(PromptKey key, double started_at, double seconds);
   /// \return for how long the engine has been busy with this prompt alone, or nothing if that can't
   ///   be told: others are before it, or the one before it was given up
-  std::optional<PromptStretch> stretchOf(PromptKey key, double now) const;
+  std::optional<BusyTime> busyTimeOf(PromptKey key, double now) const;
   /// Takes out a prompt that was computed or given up.
   /// \return true if it was there
   bool remove(PromptKey key, double now, bool computed);
@@ -54,7 +54,7 @@
   /// When the engine ended the prompt before the first of `prompts_`.
   double last_end_ = 0;
   /// That prompt was computed, at a moment that was told.
-  bool last_end_told_ = false;
+  bool last_end_known_ = false;
 };
 
 }  // namespace cypresswall::routing
--- a/src/cypresswall/routing/prompt_speed.cpp
+++ b/src/cypresswall/routing/prompt_speed.cpp
@@ -7,34 +7,34 @@
 namespace {
 
 /// A scale is never taken for smaller than this.
-constexpr double kLeastScale = 1e-4;
+constexpr double kMinimumScale = 1e-4;
 /// Below this part of the largest possible value, samples don't tell way and scale apart.
-constexpr double kLeastDeterminant = 1e-9;
+constexpr double kMinimumRelativeDeterminant = 1e-9;
 
 }  // namespace
 
 PromptSpeed PromptSpeedEstimator::ModelSums::solve() const {
   PromptSpeed speed;
   const double determinant = ff * xx - fx * fx;
-  if (determinant > kLeastDeterminant * ff * xx) {
+  if (determinant > kMinimumRelativeDeterminant * ff * xx) {
     speed.fixed_latency = (fy * xx - xy * fx) / determinant;
     speed.scale = (xy * ff - fy * fx) / determinant;
   }
-  if (speed.fixed_latency < 0 || determinant <= kLeastDeterminant * ff * xx) {
+  if (speed.fixed_latency < 0 || determinant <= kMinimumRelativeDeterminant * ff * xx) {
     speed.fixed_latency = 0;
     speed.scale = xy / xx;
   }
-  speed.scale = std::max(speed.scale, kLeastScale);
+  speed.scale = std::max(speed.scale, kMinimumScale);
   return speed;
 }
 
 PromptSpeed PromptSpeedEstimator::modelSpeed(const common::ModelName& model,
-                                             double assumed_way) const {
+                                             double assumed_latency) const {
   const auto found = models_.find(model);
-  return found == models_.end() ? PromptSpeed{assumed_way, 1.0} : found->second.solve();
+  return found == models_.end() ? PromptSpeed{assumed_latency, 1.0} : found->second.solve();
 }
 
-double PromptSpeedEstimator::samplesLeft(const EngineScale& engine, double now) const {
+double PromptSpeedEstimator::effectiveSamples(const EngineScale& engine, double now) const {
   const double age = std::max(0.0, now - engine.updated_at);
   return engine.samples * std::exp2(-age / settings_.engine_half_life);
 }
@@ -54,40 +54,40 @@
 }
 
 void PromptSpeedEstimator::add(const common::ModelName& model, EngineSlot engine,
-                               const PromptSample& sample, double assumed_way, double now) {
-  if (!settings_.learns || !(sample.promised > 0) || !(sample.taken > 0)) {
+                               const PromptSample& sample, double assumed_latency, double now) {
+  if (!settings_.learns || !(sample.nominal > 0) || !(sample.measured > 0)) {
     return;
   }
-  const PromptSpeed known = modelSpeed(model, assumed_way);
-  const double x = sample.promised;
-  const double way = sample.with_way ? 1.0 : 0.0;
-  const double expected = way * known.fixed_latency + known.scale * x;
-  const double y = std::clamp(sample.taken, expected / settings_.model_outlier_factor,
+  const PromptSpeed current = modelSpeed(model, assumed_latency);
+  const double x = sample.nominal;
+  const double latency_factor = sample.includes_latency ? 1.0 : 0.0;
+  const double expected = latency_factor * current.fixed_latency + current.scale * x;
+  const double y = std::clamp(sample.measured, expected / settings_.model_outlier_factor,
                               expected * settings_.model_outlier_factor);
   auto [entry, first] = models_.try_emplace(model);
   ModelSums& sums = entry->second;
   if (first) {
     // The assumptions count as samples of the first prompt's size.
     sums.ff = settings_.prior_samples;
-    sums.fy = settings_.prior_samples * assumed_way;
+    sums.fy = settings_.prior_samples * assumed_latency;
     sums.xx = settings_.prior_samples * x * x;
     sums.xy = sums.xx;
   }
-  sums.add(way, x, y, weightOf(y - expected, expected), settings_.retention);
+  sums.add(latency_factor, x, y, weightOf(y - expected, expected), settings_.retention);
 
   if (engine >= engines_.size()) {
     engines_.resize(static_cast<std::size_t>(engine) + 1);
   }
-  EngineScale& own = engines_[engine];
-  const PromptSpeed learnt = sums.solve();
-  const double left = samplesLeft(own, now);
-  const double before = left < 1 ? learnt.scale : own.scale;
-  const double shown = std::clamp((sample.taken - way * learnt.fixed_latency) / x,
-                                  before / settings_.engine_outlier_factor,
-                                  before * settings_.engine_outlier_factor);
-  own.scale = before + settings_.engine_weight * (shown - before);
-  own.samples = left + 1.0;
-  own.updated_at = now;
+  EngineScale& engine_scale = engines_[engine];
+  const PromptSpeed learned = sums.solve();
+  const double remaining_samples = effectiveSamples(engine_scale, now);
+  const double previous = remaining_samples < 1 ? learned.scale : engine_scale.scale;
+  const double observed = std::clamp((sample.measured - latency_factor * learned.fixed_latency) / x,
+                                     previous / settings_.engine_outlier_factor,
+                                     previous * settings_.engine_outlier_factor);
+  engine_scale.scale = previous + settings_.engine_weight * (observed - previous);
+  engine_scale.samples = remaining_samples + 1.0;
+  engine_scale.updated_at = now;
 }
 
 void PromptSpeedEstimator::forget(EngineSlot engine) {
@@ -97,12 +97,13 @@
 }
 
 PromptSpeed PromptSpeedEstimator::speed(const common::ModelName& model, EngineSlot engine,
-                                        double assumed_way, double now) const {
-  PromptSpeed speed = modelSpeed(model, assumed_way);
+                                        double assumed_latency, double now) const {
+  PromptSpeed speed = modelSpeed(model, assumed_latency);
   if (engine < engines_.size()) {
-    const EngineScale& own = engines_[engine];
-    const double samples = samplesLeft(own, now);
-    speed.scale += (own.scale - speed.scale) * samples / (samples + settings_.engine_samples);
+    const EngineScale& engine_scale = engines_[engine];
+    const double samples = effectiveSamples(engine_scale, now);
+    speed.scale +=
+        (engine_scale.scale - speed.scale) * samples / (samples + settings_.engine_samples);
   }
   return speed;
 }
--- a/src/cypresswall/routing/prompt_speed.h
+++ b/src/cypresswall/routing/prompt_speed.h
@@ -14,12 +14,12 @@
 /// One computed prompt of which it is known how long its engine took.
 struct PromptSample {
   /// Seconds that the engine's declared or assumed speed promises; positive.
-  double promised = 0;
+  double nominal = 0;
   /// Seconds that it took.
-  double taken = 0;
+  double measured = 0;
   /// `taken` was counted from the moment of sending, so that it holds the time on the way as well;
   /// otherwise from the end of the prompt before it on the same engine.
-  bool with_way = false;
+  bool includes_latency = false;
 };
 
 /// What one prompt takes: `way` + `scale` * the promised seconds.
@@ -39,11 +39,11 @@
   /// \param assumed_way seconds, counted until samples tell better
   /// \param now seconds
   void add(const common::ModelName& model, EngineSlot engine, const PromptSample& sample,
-           double assumed_way, double now);
+           double assumed_latency, double now);
   /// The engine restarted, or the slot has another engine.
   void forget(EngineSlot engine);
   /// \param assumed_way as for add()
-  PromptSpeed speed(const common::ModelName& model, EngineSlot engine, double assumed_way,
+  PromptSpeed speed(const common::ModelName& model, EngineSlot engine, double assumed_latency,
                     double now) const;
 
  private:
@@ -64,11 +64,11 @@
     double updated_at = 0;
   };
 
-  PromptSpeed modelSpeed(const common::ModelName& model, double assumed_way) const;
+  PromptSpeed modelSpeed(const common::ModelName& model, double assumed_latency) const;
   /// \return the weight of a sample, less the further it is from what was expected: a prompt that
   ///   was held up, or found less in the cache than believed, says little of the speed
   double weightOf(double residual, double expected) const;
-  double samplesLeft(const EngineScale& engine, double now) const;
+  double effectiveSamples(const EngineScale& engine, double now) const;
 
   PromptSpeedSettings settings_;
   std::map<common::ModelName, ModelSums> models_;
--- a/src/cypresswall/routing/shared_part.cpp
+++ b/src/cypresswall/routing/shared_part.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Prompts that share fewer tokens than these needn't meet on one engine.
-constexpr std::uint32_t kLeastAffinityTokens = 1024;
+constexpr std::uint32_t kMinimumAffinityTokens = 1024;
 
 }  // namespace
 
@@ -14,7 +14,7 @@
   const std::size_t pieces = shape.piece_ends.empty()
                                  ? std::min<std::size_t>(shape.pieces.size(), 1)
                                  : shape.sharedPieces();
-  return shape.tokensOfPieces(pieces) < kLeastAffinityTokens ? 0 : pieces;
+  return shape.tokensOfPieces(pieces) < kMinimumAffinityTokens ? 0 : pieces;
 }
 
 common::PieceHash sharedPartOf(const common::PromptShape& shape) {
--- a/tests/planning/disaggregated_planner_test.cpp
+++ b/tests/planning/disaggregated_planner_test.cpp
@@ -14,7 +14,7 @@
 using engines::EngineRole;
 
 /// Share of the engines that may be away at once in these tests.
-constexpr double kAwayShare = 0.12;
+constexpr double kMaximumAwayShare = 0.12;
 
 /// Speeds of the engines of these tests.
 PlannedEngine speeds() {
@@ -44,7 +44,8 @@
   return rate;
 }
 
-void ask(PlanningInput& input, const DemandRate& short_window, const DemandRate& long_window) {
+void setWindows(PlanningInput& input, const DemandRate& short_window,
+                const DemandRate& long_window) {
   testing::setDemand(input, short_window, long_window);
   input.demand[testing::kPlannedModel].long_first_token_limit = std::chrono::milliseconds(600);
 }
@@ -52,20 +53,20 @@
 class DisaggregatedPlannerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DisaggregatedPlannerTest);
   CPPUNIT_TEST(noDemandChangesNothing);
-  CPPUNIT_TEST(demandThatIsServedChangesNothing);
-  CPPUNIT_TEST(promptsBeyondThePrefillEnginesMoveDecodeEngines);
-  CPPUNIT_TEST(leastBusyEngineGoesFirst);
-  CPPUNIT_TEST(busyDecodeEnginesAreRelieved);
+  CPPUNIT_TEST(servedDemandChangesNothing);
+  CPPUNIT_TEST(excessPromptsMoveDecodeEngines);
+  CPPUNIT_TEST(leastBusyEngineMovesFirst);
+  CPPUNIT_TEST(busyDecodeEnginesGetMorePeers);
   CPPUNIT_TEST(settlesUnderConstantDemand);
-  CPPUNIT_TEST(demandOfThePastMovesNothing);
-  CPPUNIT_TEST(aHigherWeightOfChangesKeepsRoles);
-  CPPUNIT_TEST(changesUnderWayCountAgainstTheShareAway);
+  CPPUNIT_TEST(pastDemandChangesNothing);
+  CPPUNIT_TEST(higherChangeWeightKeepsRoles);
+  CPPUNIT_TEST(changesInProgressCountAgainstTheLimit);
   CPPUNIT_TEST(lastEngineOfARoleStays);
-  CPPUNIT_TEST(aShareOfTheEnginesStaysInEachRoleUnlessSwitchedOff);
-  CPPUNIT_TEST(outputOfManyStreamsSharesSteps);
-  CPPUNIT_TEST(promptsOfEitherRoleMoveIdleDecodeEngines);
-  CPPUNIT_TEST(measuredOutputCountsBeforeAssumedSteps);
-  CPPUNIT_TEST(plansKeepTheirBounds);
+  CPPUNIT_TEST(minimumShareStaysInEachRoleUnlessDisabled);
+  CPPUNIT_TEST(outputOfConcurrentStreamsSharesSteps);
+  CPPUNIT_TEST(flexiblePromptsMoveIdleDecodeEngines);
+  CPPUNIT_TEST(measuredOutputTimeOverridesAssumedSteps);
+  CPPUNIT_TEST(plansStayWithinLimits);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -74,18 +75,18 @@
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
-  void demandThatIsServedChangesNothing() {
+  void servedDemandChangesNothing() {
     PlanningInput input = zoneOf(24, 36);
-    ask(input, demandOf(12, 12), demandOf(12, 12));
+    setWindows(input, demandOf(12, 12), demandOf(12, 12));
     const Plan plan = planner_.plan(input);
     CPPUNIT_ASSERT(plan.changes.empty());
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, plan.explanations.front().utilisation_short, 0.01);
     CPPUNIT_ASSERT_EQUAL(24U, plan.explanations.front().prefill_engines);
   }
 
-  void promptsBeyondThePrefillEnginesMoveDecodeEngines() {
+  void excessPromptsMoveDecodeEngines() {
     PlanningInput input = zoneOf(24, 36);
-    ask(input, demandOf(30, 10), demandOf(30, 10));
+    setWindows(input, demandOf(30, 10), demandOf(30, 10));
     const Plan plan = planner_.plan(input);
     // 12% of 60 engines may be away at once.
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, plan.changes.size());
@@ -94,20 +95,20 @@
     }
   }
 
-  void leastBusyEngineGoesFirst() {
+  void leastBusyEngineMovesFirst() {
     PlanningInput input = zoneOf(2, 6);
     for (PlannedEngine& engine : input.engines) {
       engine.streams = engine.name == "e105" ? 1 : 4;
     }
-    ask(input, demandOf(4, 1), demandOf(4, 1));
+    setWindows(input, demandOf(4, 1), demandOf(4, 1));
     const Plan plan = planner_.plan(input);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, plan.changes.size());
     CPPUNIT_ASSERT_EQUAL(std::string("e105"), plan.changes.front().engine);
   }
 
-  void busyDecodeEnginesAreRelieved() {
+  void busyDecodeEnginesGetMorePeers() {
     PlanningInput input = zoneOf(30, 10);
-    ask(input, demandOf(5, 12), demandOf(5, 12));
+    setWindows(input, demandOf(5, 12), demandOf(5, 12));
     const Plan plan = planner_.plan(input);
     CPPUNIT_ASSERT(!plan.changes.empty());
     CPPUNIT_ASSERT(plan.changes.front().role == EngineRole::kDecode);
@@ -118,7 +119,7 @@
     testing::requireProperty("roles settle", 200, [this] {
       PlanningInput input = zoneOf(*rc::gen::inRange(1, 40), *rc::gen::inRange(1, 40));
       const DemandRate rate = demandOf(*rc::gen::inRange(0, 100), *rc::gen::inRange(0, 100));
-      ask(input, rate, rate);
+      setWindows(input, rate, rate);
       std::set<common::EngineName> moved;
       for (std::size_t round = 0; round <= input.engines.size(); ++round) {
         const Plan plan = planner_.plan(input);
@@ -137,22 +138,22 @@
     });
   }
 
-  void demandOfThePastMovesNothing() {
+  void pastDemandChangesNothing() {
     PlanningInput input = zoneOf(24, 36);
-    ask(input, demandOf(10, 10), demandOf(40, 10));
+    setWindows(input, demandOf(10, 10), demandOf(40, 10));
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
-  void aHigherWeightOfChangesKeepsRoles() {
+  void higherChangeWeightKeepsRoles() {
     PlanningInput input = zoneOf(24, 36);
-    ask(input, demandOf(30, 10), demandOf(30, 10));
+    setWindows(input, demandOf(30, 10), demandOf(30, 10));
     input.policy.role_change_weight = 1000;
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
-  void changesUnderWayCountAgainstTheShareAway() {
+  void changesInProgressCountAgainstTheLimit() {
     PlanningInput input = zoneOf(24, 36);
-    ask(input, demandOf(30, 10), demandOf(30, 10));
+    setWindows(input, demandOf(30, 10), demandOf(30, 10));
     input.changes_under_way[testing::kPlannedModel] = 5;
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, planner_.plan(input).changes.size());
     input.changes_under_way[testing::kPlannedModel] = 7;
@@ -161,55 +162,55 @@
 
   void lastEngineOfARoleStays() {
     PlanningInput input = zoneOf(4, 1);
-    ask(input, demandOf(8, 0), demandOf(8, 0));
+    setWindows(input, demandOf(8, 0), demandOf(8, 0));
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
-  void aShareOfTheEnginesStaysInEachRoleUnlessSwitchedOff() {
+  void minimumShareStaysInEachRoleUnlessDisabled() {
     DisaggregatedPlannerSettings without = settings();
     without.enforces_minimum_share = false;
     CPPUNIT_ASSERT_EQUAL(6, decodeEnginesLeft(settings()));
     CPPUNIT_ASSERT_EQUAL(2, decodeEnginesLeft(without));
   }
 
-  void outputOfManyStreamsSharesSteps() {
+  void outputOfConcurrentStreamsSharesSteps() {
     PlanningInput input = zoneOf(24, 12);
     DemandRate rate = demandOf(5, 4);
     // 12 engines generate some 61,000 tokens a second with all places taken.
     rate.decode_tokens_per_second = 20000;
-    ask(input, rate, rate);
+    setWindows(input, rate, rate);
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
     rate.decode_tokens_per_second = 60000;
-    ask(input, rate, rate);
+    setWindows(input, rate, rate);
     CPPUNIT_ASSERT(!planner_.plan(input).changes.empty());
   }
 
   /// Decode engines compute prompts at half the speed: with little output to generate they earn
   /// more as prefill engines.
-  void promptsOfEitherRoleMoveIdleDecodeEngines() {
+  void flexiblePromptsMoveIdleDecodeEngines() {
     PlanningInput input = zoneOf(8, 16);
     DemandRate rate = demandOf(6, 24);
     rate.flexible_prefill_seconds = rate.prefill_engine_seconds;
     rate.flexible_decode_seconds = rate.decode_engine_seconds;
     rate.flexible_decode_requests_per_second = 100;
-    ask(input, rate, rate);
+    setWindows(input, rate, rate);
     const Plan plan = planner_.plan(input);
     CPPUNIT_ASSERT(!plan.changes.empty());
     CPPUNIT_ASSERT(plan.changes.front().role == EngineRole::kPrefill);
   }
 
-  void measuredOutputCountsBeforeAssumedSteps() {
+  void measuredOutputTimeOverridesAssumedSteps() {
     PlanningInput input = zoneOf(24, 12);
     DemandRate rate = demandOf(5, 4);
     rate.decode_tokens_per_second = 60000;
     rate.output_seconds = 0.5;
-    ask(input, rate, rate);
+    setWindows(input, rate, rate);
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
   /// Only changeable engines, each once, all to one role, no more than may be away, and an engine
   /// left in each role.
-  void plansKeepTheirBounds() {
+  void plansStayWithinLimits() {
     testing::requireProperty("plans keep their bounds", 500, [this] {
       const int prefill = *rc::gen::inRange(0, 40);
       const int decode = *rc::gen::inRange(0, 40);
@@ -228,7 +229,7 @@
         any.decode_tokens_per_second = *rc::gen::inRange(0, 200000);
         return any;
       };
-      ask(input, rate(), rate());
+      setWindows(input, rate(), rate());
       const Plan plan = planner_.plan(input);
       std::set<common::EngineName> named;
       for (const RoleChange& change : plan.changes) {
@@ -236,7 +237,7 @@
         RC_ASSERT(named.insert(change.engine).second);
         RC_ASSERT(change.role == plan.changes.front().role);
       }
-      const auto allowed = std::max(1.0, kAwayShare * (prefill + decode));
+      const auto allowed = std::max(1.0, kMaximumAwayShare * (prefill + decode));
       RC_ASSERT(static_cast<double>(plan.changes.size()) <= allowed);
       const bool to_prefill =
           !plan.changes.empty() && plan.changes.front().role == EngineRole::kPrefill;
@@ -252,14 +253,14 @@
     int decode = 10;
     for (int round = 0; round < 20; ++round) {
       PlanningInput input = zoneOf(20 - decode, decode);
-      ask(input, demandOf(40, 0), demandOf(40, 0));
+      setWindows(input, demandOf(40, 0), demandOf(40, 0));
       decode -= static_cast<int>(planner.plan(input).changes.size());
     }
     return decode;
   }
   static DisaggregatedPlannerSettings settings() {
     DisaggregatedPlannerSettings settings;
-    settings.maximum_away_share = kAwayShare;
+    settings.maximum_away_share = kMaximumAwayShare;
     return settings;
   }
 
--- a/tests/planning/role_planner_test.cpp
+++ b/tests/planning/role_planner_test.cpp
@@ -35,7 +35,7 @@
 
 /// Mixed engines under one zone's part of the load of the scenario portavia-ship-berths while the
 /// ship berths, times `load`.
-PlanningInput strainedZone(int engines, double load) {
+PlanningInput longPromptZone(int engines, double load) {
   PlanningInput input = zoneOf(engines, 0, 0);
   const DemandRate rate{8.25 * load, 20000 * load, 750 * load, 3.25 * load, 19500 * load};
   testing::setDemand(input, rate, rate);
@@ -47,17 +47,17 @@
   CPPUNIT_TEST_SUITE(RolePlannerTest);
   CPPUNIT_TEST(steadyDemandChangesNothing);
   CPPUNIT_TEST(swingToPromptsMovesADecodeEngine);
-  CPPUNIT_TEST(dearChangesNeedMoreGain);
-  CPPUNIT_TEST(oneEngineAwayAtATime);
-  CPPUNIT_TEST(neverMovesWhatMayNotBeMoved);
+  CPPUNIT_TEST(expensiveChangesNeedMoreBenefit);
+  CPPUNIT_TEST(oneEngineChangesAtATime);
+  CPPUNIT_TEST(unchangeableEnginesNeverMove);
   CPPUNIT_TEST(planSettlesUnderConstantDemand);
-  CPPUNIT_TEST(pastSwingAsksForNothing);
-  CPPUNIT_TEST(longPromptsAreParted);
-  CPPUNIT_TEST(lightOrDoubtfulStrainAsksForNothing);
-  CPPUNIT_TEST(waitingFallsWithPartedRoles);
+  CPPUNIT_TEST(pastSwingChangesNothing);
+  CPPUNIT_TEST(longPromptsGetPrefillEngines);
+  CPPUNIT_TEST(lowOrUncertainLongPromptLoadChangesNothing);
+  CPPUNIT_TEST(separateRolesReduceQueueing);
   CPPUNIT_TEST(utilisationScalesWithDemand);
-  CPPUNIT_TEST(baselinesDoWhatTheySay);
-  CPPUNIT_TEST(estimatorFindsSteadyRates);
+  CPPUNIT_TEST(baselinePlannersFollowTheirRules);
+  CPPUNIT_TEST(estimatorConvergesToSteadyRates);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT(why.alternatives[0].from == EngineRole::kDecode);
   }
 
-  void dearChangesNeedMoreGain() {
+  void expensiveChangesNeedMoreBenefit() {
     RolePlanner planner({});
     PlanningInput input = zoneOf(0, 2, 8);
     const DemandRate swing{20, 90000, 1500};
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT(planner.plan(input).changes.empty());
   }
 
-  void oneEngineAwayAtATime() {
+  void oneEngineChangesAtATime() {
     RolePlanner planner({});
     PlanningInput input = zoneOf(0, 2, 8);
     const DemandRate swing{20, 90000, 1500};
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT(planner.plan(input).changes.empty());
   }
 
-  void neverMovesWhatMayNotBeMoved() {
+  void unchangeableEnginesNeverMove() {
     testing::requireProperty("only changeable engines move, each to another role", 300, [] {
       PlanningInput input =
           zoneOf(*rc::gen::inRange(0, 6), *rc::gen::inRange(0, 6), *rc::gen::inRange(0, 6));
@@ -155,16 +155,16 @@
     });
   }
 
-  void pastSwingAsksForNothing() {
+  void pastSwingChangesNothing() {
     RolePlanner planner({});
     PlanningInput input = zoneOf(0, 2, 8);
     testing::setDemand(input, {20, 20000, 3000}, {20, 90000, 1500});
     CPPUNIT_ASSERT(planner.plan(input).changes.empty());
   }
 
-  void longPromptsAreParted() {
+  void longPromptsGetPrefillEngines() {
     RolePlanner planner({});
-    PlanningInput input = strainedZone(3, 1.0);
+    PlanningInput input = longPromptZone(3, 1.0);
     // While one of three engines is away the others are full: that takes minutes to pay off.
     input.policy.horizon = std::chrono::seconds(240);
     std::size_t changes = 0;
@@ -178,38 +178,38 @@
         input.engines.begin(), input.engines.end(),
         [](const PlannedEngine& engine) { return engine.role == EngineRole::kPrefill; });
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, prefill);
-    input = strainedZone(3, 1.0);
+    input = longPromptZone(3, 1.0);
     input.policy.role_change_weight = 1e4;
     CPPUNIT_ASSERT(planner.plan(input).changes.empty());
   }
 
-  void lightOrDoubtfulStrainAsksForNothing() {
+  void lowOrUncertainLongPromptLoadChangesNothing() {
     RolePlanner planner({});
-    CPPUNIT_ASSERT(planner.plan(strainedZone(3, 0.5)).changes.empty());
+    CPPUNIT_ASSERT(planner.plan(longPromptZone(3, 0.5)).changes.empty());
     // The same strain of fewer, longer prompts may be chance.
-    PlanningInput input = strainedZone(3, 1.0);
+    PlanningInput input = longPromptZone(3, 1.0);
     for (DemandRate* rate : {&input.demand["m"].short_window, &input.demand["m"].long_window}) {
       rate->long_requests_per_second /= 4;
     }
     CPPUNIT_ASSERT(planner.plan(input).changes.empty());
   }
 
-  void waitingFallsWithPartedRoles() {
+  void separateRolesReduceQueueing() {
     const CapacityModel model({});
-    const PlanningInput input = strainedZone(3, 1.0);
+    const PlanningInput input = longPromptZone(3, 1.0);
     const ModelDemand& demand = input.demand.at("m");
     const auto lost = [&](const std::vector<EngineRole>& roles, const DemandRate& rate) {
       RoleCapacity capacity;
       for (const EngineRole role : roles) {
         model.add(capacity, engineOf(0, role), role, 1290);
       }
-      return model.lostByWaiting(capacity, demand, rate);
+      return model.lostByQueueing(capacity, demand, rate);
     };
     const std::vector<EngineRole> mixed(3, EngineRole::kMixed);
-    const std::vector<EngineRole> parted = {EngineRole::kPrefill, EngineRole::kPrefill,
-                                            EngineRole::kDecode};
+    const std::vector<EngineRole> separate = {EngineRole::kPrefill, EngineRole::kPrefill,
+                                              EngineRole::kDecode};
     const DemandRate& rate = demand.short_window;
-    CPPUNIT_ASSERT(lost(parted, rate) < lost(mixed, rate) / 2);
+    CPPUNIT_ASSERT(lost(separate, rate) < lost(mixed, rate) / 2);
     CPPUNIT_ASSERT(lost(mixed, rate) < rate.requests_per_second);
     CPPUNIT_ASSERT_EQUAL(0.0, lost(mixed, {20, 3000, 500}));
   }
@@ -229,7 +229,7 @@
     CPPUNIT_ASSERT(model.lostShare(2.0) > 0.5);
   }
 
-  void baselinesDoWhatTheySay() {
+  void baselinePlannersFollowTheirRules() {
     PlanningInput input = zoneOf(4, 0, 0);
     const DemandRate prompts{20, 60000, 100};
     testing::setDemand(input, prompts, prompts);
@@ -241,7 +241,7 @@
     CPPUNIT_ASSERT(threshold.changes.at(0).role == EngineRole::kPrefill);
   }
 
-  void estimatorFindsSteadyRates() {
+  void estimatorConvergesToSteadyRates() {
     const common::MonotonicTime start(std::chrono::seconds(100));
     DemandEstimator estimator({}, start);
     common::MonotonicTime now = start;
--- a/tests/routing/burst_placement_test.cpp
+++ b/tests/routing/burst_placement_test.cpp
@@ -31,23 +31,23 @@
 constexpr int kNodes = 295;
 constexpr int kEngines = 163;
 constexpr int kPrefillEngines = 57;
-constexpr int kSharedTexts = 1096;
-constexpr double kCalmRate = 194;
+constexpr int kSharedPrefixes = 1096;
+constexpr double kBaselineRate = 194;
 constexpr double kTokensPerSecond = 49600;
 constexpr std::uint32_t kSharedTokens = 13300;
 constexpr std::uint32_t kPromptTokens = 17020;
-constexpr std::size_t kTextsPerEngine = 29;
-constexpr double kTarget = 0.8;
+constexpr std::size_t kPrefixesPerEngine = 29;
+constexpr double kTargetSeconds = 0.8;
 /// Limit by which requests are admitted: the target, less what ways and estimates may take.
-constexpr double kAdmissionLimit = 0.85 * kTarget;
+constexpr double kAdmissionLimitSeconds = 0.85 * kTargetSeconds;
 
 /// What an engine does with the prompts sent to it: one after the other, faster where it holds the
 /// shared text.
 class EngineModel {
  public:
   /// \return when the prompt is computed, in seconds
-  double compute(double now, common::PieceHash text) {
-    const bool held = touch(text);
+  double compute(double now, common::PieceHash prefix) {
+    const bool held = usePrefix(prefix);
     const double tokens = held ? kPromptTokens - kSharedTokens : kPromptTokens;
     const double time = tokens / kTokensPerSecond;
     busy += time;
@@ -58,21 +58,21 @@
   double busy = 0;
 
  private:
-  bool touch(common::PieceHash text) {
-    const auto found = std::find(texts_.begin(), texts_.end(), text);
-    const bool held = found != texts_.end();
+  bool usePrefix(common::PieceHash prefix) {
+    const auto found = std::find(prefixes_.begin(), prefixes_.end(), prefix);
+    const bool held = found != prefixes_.end();
     if (held) {
-      texts_.erase(found);
+      prefixes_.erase(found);
     }
-    texts_.push_front(text);
-    if (texts_.size() > kTextsPerEngine) {
-      texts_.pop_back();
+    prefixes_.push_front(prefix);
+    if (prefixes_.size() > kPrefixesPerEngine) {
+      prefixes_.pop_back();
     }
     return held;
   }
 
   double free_at_ = 0;
-  std::list<common::PieceHash> texts_;
+  std::list<common::PieceHash> prefixes_;
 };
 
 /// What became of the prompts of one span of time.
@@ -114,15 +114,15 @@
     Outcome outcome;
     const auto end = simulation_.time().now() + time;
     while (simulation_.time().now() < end) {
-      const double gap = -std::log(1 - random_.unit()) / (kCalmRate * factor);
+      const double gap = -std::log(1 - random_.unit()) / (kBaselineRate * factor);
       simulation_.time().runFor(common::fromSeconds(gap));
-      ask(outcome);
+      placeRequest(outcome);
     }
     return outcome;
   }
 
   /// \return the busiest computing engine's time, to the mean, since the last call
-  double busiestToMean() {
+  double peakToMeanBusyTime() {
     double most = 0;
     double sum = 0;
     for (auto& [name, engine] : engines_) {
@@ -159,7 +159,7 @@
       load.maximum_streams = 16;
       load.prefill_tokens_per_second = kTokensPerSecond / (i < kPrefillEngines ? 1 : 2);
       load.decode_step_base = std::chrono::microseconds(5180);
-      load.cache_pieces_total = kTextsPerEngine * kSharedTokens / common::kTokensPerCachePiece;
+      load.cache_pieces_total = kPrefixesPerEngine * kSharedTokens / common::kTokensPerCachePiece;
     }
   }
 
@@ -180,20 +180,20 @@
     }
   }
 
-  void ask(Outcome& outcome) {
+  void placeRequest(Outcome& outcome) {
     ++outcome.asked;
     RouteRequest request;
     request.stream_id = std::to_string(++requests_);
     request.model = kModel;
-    const common::PieceHash text = 1 + random_.below(kSharedTexts);
+    const common::PieceHash prefix = 1 + random_.below(kSharedPrefixes);
     request.shape.tokens = kPromptTokens;
-    request.shape.pieces = {text, common::hash64(request.stream_id)};
+    request.shape.pieces = {prefix, common::hash64(request.stream_id)};
     request.shape.piece_ends = {kSharedTokens, kPromptTokens};
     request.maximum_tokens = 8;
-    request.first_token_limit = common::fromSeconds(kAdmissionLimit);
+    request.first_token_limit = common::fromSeconds(kAdmissionLimitSeconds);
     request.between_tokens_limit = milliseconds(250);
     std::optional<RouteRefusal> refusal;
-    for (const EngineGroup* home : groups_->homesOf(kModel, text, random_)) {
+    for (const EngineGroup* home : groups_->homesOf(kModel, prefix, random_)) {
       CostRouter& router = *owners_.at(home->owners.front()).router;
       RouteChoice choice = router.choose(request);
       if (const Route* const route = std::get_if<Route>(&choice)) {
@@ -213,11 +213,11 @@
     router.attemptStarted(request, route);
     const auto& engine = route.prefill_engine ? route.prefill_engine->name : route.engine.name;
     const double computed = engines_[engine].compute(now(), request.shape.pieces.front());
-    constexpr double kHandOver = 0.03;
-    outcome.in_time += computed + kHandOver - now() <= kTarget ? 1 : 0;
+    constexpr double kHandoverSeconds = 0.03;
+    outcome.in_time += computed + kHandoverSeconds - now() <= kTargetSeconds ? 1 : 0;
     simulation_.time().schedule(common::fromSeconds(computed - now()),
                                 [&router, id = request.stream_id] { router.promptComputed(id); });
-    simulation_.time().schedule(common::fromSeconds(computed - now() + 2 * kHandOver),
+    simulation_.time().schedule(common::fromSeconds(computed - now() + 2 * kHandoverSeconds),
                                 [&router, id = request.stream_id] { router.attemptFinished(id); });
   }
 
@@ -237,14 +237,14 @@
 
 class BurstPlacementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BurstPlacementTest);
-  CPPUNIT_TEST(burstsAreServedAsInCalm);
-  CPPUNIT_TEST(whatIsLetInAtThreeTimesTheRateComesInTime);
-  CPPUNIT_TEST(workIsSpreadOverTheComputingEngines);
-  CPPUNIT_TEST(beyondWhatCanBeComputedIsRefusedAtOnce);
+  CPPUNIT_TEST(burstsUpToTwiceTheRateMeetTheTarget);
+  CPPUNIT_TEST(admittedRequestsMeetTheTargetAtThreeTimesTheRate);
+  CPPUNIT_TEST(workIsBalancedOverPrefillEngines);
+  CPPUNIT_TEST(excessLoadIsRefusedImmediately);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void burstsAreServedAsInCalm() {
+  void burstsUpToTwiceTheRateMeetTheTarget() {
     Fleet fleet;
     fleet.run(1, seconds(12));
     for (const double factor : {1.0, 1.5, 2.0}) {
@@ -256,7 +256,7 @@
 
   /// At three times the usual rate, three quarters of what the engines could do at best, a sixth is
   /// refused: groups differ by chance. Nothing is let in to come late.
-  void whatIsLetInAtThreeTimesTheRateComesInTime() {
+  void admittedRequestsMeetTheTargetAtThreeTimesTheRate() {
     Fleet fleet;
     fleet.run(1, seconds(12));
     const Outcome outcome = fleet.run(3, seconds(4));
@@ -266,16 +266,16 @@
   }
 
   /// Nodes that all hold alike send alike: the busiest engine got 3.9 times the mean.
-  void workIsSpreadOverTheComputingEngines() {
+  void workIsBalancedOverPrefillEngines() {
     Fleet fleet;
     fleet.run(1, seconds(12));
-    fleet.busiestToMean();
+    fleet.peakToMeanBusyTime();
     fleet.run(2, seconds(8));
-    const double ratio = fleet.busiestToMean();
+    const double ratio = fleet.peakToMeanBusyTime();
     CPPUNIT_ASSERT_MESSAGE(std::to_string(ratio), ratio <= 1.5);
   }
 
-  void beyondWhatCanBeComputedIsRefusedAtOnce() {
+  void excessLoadIsRefusedImmediately() {
     Fleet fleet;
     fleet.run(1, seconds(12));
     fleet.run(6, seconds(2));
--- a/tests/routing/long_prompt_tracker_test.cpp
+++ b/tests/routing/long_prompt_tracker_test.cpp
@@ -16,9 +16,9 @@
 
 /// Two nodes of one zone before the same engines: "p0" to "p2" compute prompts, "q0" gives output.
 /// The engines copy cached prefixes from one another.
-class TwoNodes {
+class TwoNodeZone {
  public:
-  explicit TwoNodes(bool copies = true, bool foretells = true) : simulation_(1) {
+  explicit TwoNodeZone(bool copies = true, bool foretells = true) : simulation_(1) {
     settings_.copies_prefixes = copies;
     settings_.kv_transfer_per_thousand_tokens = milliseconds(1);
     directory_settings_.prefix_index.foretells = foretells;
@@ -110,22 +110,22 @@
 class LongPromptTrackerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LongPromptTrackerTest);
   CPPUNIT_TEST(peersAvoidAnEngineThatIsBusy);
-  CPPUNIT_TEST(peersKnowWhereASharedPartIs);
-  CPPUNIT_TEST(aBusyHolderIsCopiedFrom);
-  CPPUNIT_TEST(nothingIsCopiedWhereThatIsSwitchedOff);
-  CPPUNIT_TEST(sentPromptsAreHeldOnceComputedUnlessForetold);
-  CPPUNIT_TEST(aShortQueueIsWaitedFor);
+  CPPUNIT_TEST(peersKnowWhichEngineHoldsASharedPrefix);
+  CPPUNIT_TEST(prefixIsCopiedFromABusyHolder);
+  CPPUNIT_TEST(nothingIsCopiedWhenCopyingIsDisabled);
+  CPPUNIT_TEST(sentPromptsCountAsCachedBeforeCompletionOnlyWithPrediction);
+  CPPUNIT_TEST(waitingForAShortQueueIsPreferredToCopying);
   CPPUNIT_TEST(nothingIsCopiedBeforeItIsComputed);
   CPPUNIT_TEST(nothingIsCopiedFromASilentHolder);
-  CPPUNIT_TEST(anAbandonedPromptLeavesNothingBehind);
-  CPPUNIT_TEST(aSlowEngineIsLearnt);
-  CPPUNIT_TEST(peersLearnOfASlowEngine);
-  CPPUNIT_TEST(aLostEndIsForgotten);
+  CPPUNIT_TEST(abandonedPromptLeavesNoState);
+  CPPUNIT_TEST(slowEngineIsLearned);
+  CPPUNIT_TEST(peersLearnThatAnEngineIsSlow);
+  CPPUNIT_TEST(promptWithALostEndNoticeExpires);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void peersAvoidAnEngineThatIsBusy() {
-    TwoNodes zone;
+    TwoNodeZone zone;
     const Route first = zone.begin(0, "a", "one");
     zone.run(milliseconds(5));
     const Route second = zone.begin(1, "b", "two");
@@ -139,8 +139,8 @@
     CPPUNIT_ASSERT(fourth.expected_wait > milliseconds(200));
   }
 
-  void peersKnowWhereASharedPartIs() {
-    TwoNodes zone;
+  void peersKnowWhichEngineHoldsASharedPrefix() {
+    TwoNodeZone zone;
     const Route first = zone.begin(0, "a", "one");
     CPPUNIT_ASSERT_EQUAL(0U, first.expected_cached_tokens);
     zone.compute(0, "a", milliseconds(320));
@@ -150,8 +150,8 @@
     CPPUNIT_ASSERT(!second.prefix_source.has_value());
   }
 
-  void aBusyHolderIsCopiedFrom() {
-    TwoNodes zone;
+  void prefixIsCopiedFromABusyHolder() {
+    TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     for (const char* id : {"b", "c", "e", "f"}) {
@@ -167,8 +167,8 @@
   }
 
   /// The same prompts as in aBusyHolderIsCopiedFrom.
-  void nothingIsCopiedWhereThatIsSwitchedOff() {
-    TwoNodes zone(false);
+  void nothingIsCopiedWhenCopyingIsDisabled() {
+    TwoNodeZone zone(false);
     zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     for (const char* id : {"b", "c", "e", "f"}) {
@@ -178,10 +178,10 @@
     CPPUNIT_ASSERT(!zone.begin(1, "d", "one").prefix_source.has_value());
   }
 
-  void sentPromptsAreHeldOnceComputedUnlessForetold() {
+  void sentPromptsCountAsCachedBeforeCompletionOnlyWithPrediction() {
     for (const bool foretells : {true, false}) {
       for (const std::size_t node : {0U, 1U}) {
-        TwoNodes zone(true, foretells);
+        TwoNodeZone zone(true, foretells);
         zone.begin(0, "a", "one");
         zone.run(milliseconds(5));
         const std::uint32_t while_computed = zone.knownHolders(node, "one");
@@ -194,8 +194,8 @@
   }
 
   /// A copy displaces cached tokens that others want: the less is copied, the more prompts wait.
-  void aShortQueueIsWaitedFor() {
-    TwoNodes zone;
+  void waitingForAShortQueueIsPreferredToCopying() {
+    TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     zone.begin(0, "b", "one");
@@ -208,7 +208,7 @@
   }
 
   void nothingIsCopiedBeforeItIsComputed() {
-    TwoNodes zone;
+    TwoNodeZone zone;
     zone.begin(0, "a", "one");
     for (const char* id : {"b", "c", "d", "e"}) {
       zone.run(milliseconds(5));
@@ -217,7 +217,7 @@
   }
 
   void nothingIsCopiedFromASilentHolder() {
-    TwoNodes zone;
+    TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     zone.begin(0, "b", "one");  // goes to the holder, which says nothing any more
@@ -228,8 +228,8 @@
     CPPUNIT_ASSERT_EQUAL(holder.engine.address, elsewhere.prefix_source.value().address);
   }
 
-  void anAbandonedPromptLeavesNothingBehind() {
-    TwoNodes zone;
+  void abandonedPromptLeavesNoState() {
+    TwoNodeZone zone;
     const Route first = zone.begin(0, "a", "one");
     zone.run(milliseconds(50));
     zone.router(0).attemptFailed("a", first.engine.name, engines::StreamFailure::kBroken);
@@ -239,23 +239,23 @@
     CPPUNIT_ASSERT(again.expected_wait == common::Duration{0});
   }
 
-  void aSlowEngineIsLearnt() {
-    TwoNodes zone;
+  void slowEngineIsLearned() {
+    TwoNodeZone zone;
     const std::string slow = useWithOneSlowEngine(zone);
     const Route later = zone.begin(0, "later", "later");
     CPPUNIT_ASSERT(later.prefill_engine->name != slow);
   }
 
-  void peersLearnOfASlowEngine() {
-    TwoNodes zone;
+  void peersLearnThatAnEngineIsSlow() {
+    TwoNodeZone zone;
     const std::string slow = useWithOneSlowEngine(zone);
     const Route elsewhere = zone.begin(1, "elsewhere", "elsewhere");
     CPPUNIT_ASSERT(elsewhere.prefill_engine->name != slow);
     CPPUNIT_ASSERT(elsewhere.expected_prompt < milliseconds(400));
   }
 
-  void aLostEndIsForgotten() {
-    TwoNodes zone;
+  void promptWithALostEndNoticeExpires() {
+    TwoNodeZone zone;
     for (const char* id : {"a", "b", "c"}) {
       zone.begin(0, id, id);
     }
@@ -268,7 +268,7 @@
  private:
   /// Computes twelve prompts one after the other; the first engine chosen takes four times as long
   /// as the others. \return its name
-  static std::string useWithOneSlowEngine(TwoNodes& zone) {
+  static std::string useWithOneSlowEngine(TwoNodeZone& zone) {
     std::string slow;
     for (int i = 0; i < 12; ++i) {
       const std::string id = std::to_string(i);
--- a/tests/routing/node_work_test.cpp
+++ b/tests/routing/node_work_test.cpp
@@ -19,8 +19,8 @@
 /// Estimates that a report makes anew: the engine's own, with its speed and backlog.
 constexpr std::uint64_t kEstimatesPerReport = 3;
 /// Estimates that the start of a peer's prompt makes anew, and its end: backlog, then speed too.
-constexpr std::uint64_t kEstimatesPerStart = 1;
-constexpr std::uint64_t kEstimatesPerEnd = 2;
+constexpr std::uint64_t kEstimatesPerStartNotice = 1;
+constexpr std::uint64_t kEstimatesPerEndNotice = 2;
 
 /// What a node did since the count began.
 class WorkCount {
@@ -44,16 +44,16 @@
 
 class NodeWorkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeWorkTest);
-  CPPUNIT_TEST(aLongRequestTellsEachDeciderTwice);
-  CPPUNIT_TEST(aShortRequestTellsNobody);
-  CPPUNIT_TEST(aReportTouchesItsEngineOnly);
-  CPPUNIT_TEST(aPeersReportTouchesItsEngineOnly);
-  CPPUNIT_TEST(aPeersNoticeTouchesItsEngineOnly);
-  CPPUNIT_TEST(aSecondsControlIsBounded);
+  CPPUNIT_TEST(longRequestNotifiesEachDeciderAtMostTwice);
+  CPPUNIT_TEST(shortRequestSendsNoNotices);
+  CPPUNIT_TEST(reportUpdatesOnlyItsEngine);
+  CPPUNIT_TEST(peerReportUpdatesOnlyItsEngine);
+  CPPUNIT_TEST(peerNoticeUpdatesOnlyItsEngine);
+  CPPUNIT_TEST(controlTrafficIsBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void aLongRequestTellsEachDeciderTwice() {
+  void longRequestNotifiesEachDeciderAtMostTwice() {
     for (const int size : kSizes) {
       RoutingNode node(size);
       for (int i = 0; i < 20; ++i) {
@@ -66,7 +66,7 @@
     }
   }
 
-  void aShortRequestTellsNobody() {
+  void shortRequestSendsNoNotices() {
     for (const int size : kSizes) {
       RoutingNode node(size);
       const WorkCount work(node);
@@ -77,42 +77,42 @@
     }
   }
 
-  void aReportTouchesItsEngineOnly() {
+  void reportUpdatesOnlyItsEngine() {
     for (const int size : kSizes) {
       RoutingNode node(size);
       const WorkCount work(node);
       node.takeReport(0);
-      assertOneEngine(work, kEstimatesPerReport);
+      assertOnlyOneEngineUpdated(work, kEstimatesPerReport);
     }
   }
 
-  void aPeersReportTouchesItsEngineOnly() {
+  void peerReportUpdatesOnlyItsEngine() {
     for (const int size : kSizes) {
       RoutingNode node(size);
       const api::Envelope publication = node.publicationOf(0);
       const WorkCount work(node);
       node.receive(publication);
-      assertOneEngine(work, kEstimatesPerReport);
+      assertOnlyOneEngineUpdated(work, kEstimatesPerReport);
       CPPUNIT_ASSERT(work.estimates() > 0);
     }
   }
 
-  void aPeersNoticeTouchesItsEngineOnly() {
+  void peerNoticeUpdatesOnlyItsEngine() {
     constexpr std::uint32_t kNumber = 1000000;
     for (const int size : kSizes) {
       RoutingNode node(size);
       const WorkCount start(node);
       node.receive(node.startedNotice(0, kNumber));
-      assertOneEngine(start, kEstimatesPerStart);
+      assertOnlyOneEngineUpdated(start, kEstimatesPerStartNotice);
       CPPUNIT_ASSERT(start.estimates() > 0);
       const WorkCount end(node);
       node.receive(node.endedNotice(0, kNumber));
-      assertOneEngine(end, kEstimatesPerEnd);
+      assertOnlyOneEngineUpdated(end, kEstimatesPerEndNotice);
       CPPUNIT_ASSERT(end.estimates() > 0);
     }
   }
 
-  void aSecondsControlIsBounded() {
+  void controlTrafficIsBounded() {
     // Two heartbeats to each neighbour, and what the budget of bytes pays for: the settings' budget
     // lets a few receivers be told of each read.
     constexpr std::uint64_t kSeconds = 5;
@@ -137,7 +137,7 @@
   static std::uint64_t otherDecidersOf(const RoutingNode& node) {
     return isShared(node) ? peersOf(node) : kOwners;
   }
-  static void assertOneEngine(const WorkCount& work, std::uint64_t estimates) {
+  static void assertOnlyOneEngineUpdated(const WorkCount& work, std::uint64_t estimates) {
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, work.messages());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, work.memberLists());
     CPPUNIT_ASSERT_LESSEQUAL(estimates, work.estimates());
--- a/tests/routing/output_speed_test.cpp
+++ b/tests/routing/output_speed_test.cpp
@@ -9,21 +9,21 @@
 
 class OutputSpeedTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OutputSpeedTest);
-  CPPUNIT_TEST(assumedStepsHoldUntilAnswersCome);
-  CPPUNIT_TEST(slowStepsAreLearnt);
-  CPPUNIT_TEST(brokenAnswersTellNothing);
-  CPPUNIT_TEST(longAnswersDominateWhatIsLeft);
-  CPPUNIT_TEST(stepsAndWhatIsLeftAreSwitchedApart);
+  CPPUNIT_TEST(nominalStepsApplyBeforeAnyAnswer);
+  CPPUNIT_TEST(slowStepsAreLearned);
+  CPPUNIT_TEST(brokenAnswersAreIgnored);
+  CPPUNIT_TEST(longAnswersDominateRemainingTime);
+  CPPUNIT_TEST(stepsAndRemainingTimeAreSwitchedIndependently);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void assumedStepsHoldUntilAnswersCome() {
+  void nominalStepsApplyBeforeAnyAnswer() {
     const OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speeds.scale(kModel), 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, speeds.remainingSeconds(kModel), 1e-9);
   }
 
-  void slowStepsAreLearnt() {
+  void slowStepsAreLearned() {
     OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     for (int i = 0; i < 40; ++i) {
       answer(speeds, 0.5, 3.5);
@@ -31,7 +31,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(7, speeds.scale(kModel), 0.3);
   }
 
-  void brokenAnswersTellNothing() {
+  void brokenAnswersAreIgnored() {
     OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     speeds.begin("a", kModel, 0.5, 10);
     speeds.forget("a");
@@ -40,7 +40,7 @@
   }
 
   /// Nine answers of 20 ms for each one of 3 s: nearly all that are seen running are long ones.
-  void longAnswersDominateWhatIsLeft() {
+  void longAnswersDominateRemainingTime() {
     OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     for (int i = 0; i < 1000; ++i) {
       answer(speeds, 0, i % 10 == 0 ? 3.0 : 0.02);
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speeds.scale(kModel), 1e-9);
   }
 
-  void stepsAndWhatIsLeftAreSwitchedApart() {
+  void stepsAndRemainingTimeAreSwitchedIndependently() {
     for (const bool steps : {true, false}) {
       for (const bool remaining : {true, false}) {
         OutputSpeedSettings settings;
@@ -66,9 +66,9 @@
   }
 
  private:
-  static void answer(OutputSpeedEstimator& speeds, double promised, double lasted) {
-    speeds.begin("a", kModel, promised, 10);
-    speeds.complete("a", 10 + lasted);
+  static void answer(OutputSpeedEstimator& speeds, double nominal, double duration) {
+    speeds.begin("a", kModel, nominal, 10);
+    speeds.complete("a", 10 + duration);
   }
 };
 
--- a/tests/routing/permit_router_test.cpp
+++ b/tests/routing/permit_router_test.cpp
@@ -10,7 +10,7 @@
 namespace cypresswall::routing {
 namespace {
 
-struct World {
+struct PermitRouterWorld {
   RouteRequest request(const std::string& stream = "a") const {
     RouteRequest request;
     request.stream_id = stream;
@@ -35,25 +35,25 @@
 class PermitRouterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PermitRouterTest);
   CPPUNIT_TEST(enginesWithoutALimitNeedNoPermit);
-  CPPUNIT_TEST(placeIsGivenUnderAPermit);
+  CPPUNIT_TEST(placementWaitsForThePermit);
   CPPUNIT_TEST(refusedPermitMovesTheRequestElsewhere);
-  CPPUNIT_TEST(bothEnginesOfARouteAreAskedFor);
-  CPPUNIT_TEST(nothingIsStartedWhereNoPermitIsHad);
-  CPPUNIT_TEST(requestThatLeftGetsNoPlace);
-  CPPUNIT_TEST(answerToAnEarlierAskIsNotUsed);
+  CPPUNIT_TEST(bothEnginesOfARouteNeedAPermit);
+  CPPUNIT_TEST(nothingStartsWithoutAPermit);
+  CPPUNIT_TEST(abandonedRequestIsNotPlaced);
+  CPPUNIT_TEST(answerToAnEarlierRequestIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void enginesWithoutALimitNeedNoPermit() {
-    World world;
+    PermitRouterWorld world;
     world.place();
     CPPUNIT_ASSERT_EQUAL(std::string("engine-1"), world.route().engine.name);
     CPPUNIT_ASSERT_EQUAL(1, world.router.open);
     CPPUNIT_ASSERT(world.limiter.granted_to.empty());
   }
 
-  void placeIsGivenUnderAPermit() {
-    World world;
+  void placementWaitsForThePermit() {
+    PermitRouterWorld world;
     world.limiter.known = {"engine-1"};
     world.limiter.answers_late = true;
     world.place();
@@ -66,7 +66,7 @@
   }
 
   void refusedPermitMovesTheRequestElsewhere() {
-    World world;
+    PermitRouterWorld world;
     world.limiter.refusing = {"engine-1", "engine-2"};
     world.place();
     CPPUNIT_ASSERT_EQUAL(std::string("engine-3"), world.route().engine.name);
@@ -74,8 +74,8 @@
     CPPUNIT_ASSERT_EQUAL(1, world.answers);
   }
 
-  void bothEnginesOfARouteAreAskedFor() {
-    World world;
+  void bothEnginesOfARouteNeedAPermit() {
+    PermitRouterWorld world;
     world.router.prefill_name = "prefill-1";
     world.limiter.known = {"prefill-1", "engine-1"};
     world.place();
@@ -86,8 +86,8 @@
     CPPUNIT_ASSERT_EQUAL(2, world.router.open);
   }
 
-  void nothingIsStartedWhereNoPermitIsHad() {
-    World world;
+  void nothingStartsWithoutAPermit() {
+    PermitRouterWorld world;
     world.limiter.refusing = {world.router.names.begin(), world.router.names.end()};
     world.place();
     CPPUNIT_ASSERT(std::holds_alternative<RouteRefusal>(*world.chosen));
@@ -95,8 +95,8 @@
     CPPUNIT_ASSERT_EQUAL(1, world.answers);
   }
 
-  void requestThatLeftGetsNoPlace() {
-    World world;
+  void abandonedRequestIsNotPlaced() {
+    PermitRouterWorld world;
     world.limiter.known = {"engine-1"};
     world.limiter.answers_late = true;
     world.place();
@@ -106,8 +106,8 @@
     CPPUNIT_ASSERT_EQUAL(0, world.router.open);
   }
 
-  void answerToAnEarlierAskIsNotUsed() {
-    World world;
+  void answerToAnEarlierRequestIsIgnored() {
+    PermitRouterWorld world;
     world.limiter.known = {"engine-1"};
     world.limiter.answers_late = true;
     world.place();
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -28,16 +28,16 @@
 
 /// A node's own router: gives the first engine that the node decides about, and notes what it is
 /// told.
-class OwnRouter final : public Router {
+class RecordingRouter final : public Router {
  public:
-  explicit OwnRouter(EngineDirectory& directory) : directory_(directory) {}
+  explicit RecordingRouter(EngineDirectory& directory) : directory_(directory) {}
 
   RouteChoice choose(const RouteRequest& request) override {
     ++chosen;
     if (refuses) {
       RouteRefusal refusal;
       refusal.retry_after = seconds(3);
-      if (!knows_nothing) {
+      if (!has_no_offer) {
         refusal.best = RefusedOffer{"engine", {}, {}, {}, {}};
       }
       return refusal;
@@ -72,7 +72,7 @@
   }
 
   bool refuses = false;
-  bool knows_nothing = false;
+  bool has_no_offer = false;
   bool wrong_address = false;
   int chosen = 0;
   int started = 0;
@@ -92,7 +92,7 @@
     testing::SettableMembership* membership = nullptr;
     testing::SettableConfiguration* configuration = nullptr;
     EngineDirectory* directory = nullptr;
-    OwnRouter* own = nullptr;
+    RecordingRouter* local_router = nullptr;
     PlacementService* service = nullptr;
     PlacementRouter* router = nullptr;
   };
@@ -120,11 +120,11 @@
     auto& client = process.emplace<testing::ScriptedEngineClient>(process, engines_);
     node.directory = &process.emplace<EngineDirectory>(
         DirectorySettings{}, process.context(), client, *node.configuration, *node.membership);
-    node.own = &process.emplace<OwnRouter>(*node.directory);
-    node.service =
-        &process.emplace<PlacementService>(settings, process.context(), *node.directory, *node.own);
+    node.local_router = &process.emplace<RecordingRouter>(*node.directory);
+    node.service = &process.emplace<PlacementService>(settings, process.context(), *node.directory,
+                                                      *node.local_router);
     node.router = &process.emplace<PlacementRouter>(settings, RouterSettings{}, process.context(),
-                                                    *node.directory, *node.own);
+                                                    *node.directory, *node.local_router);
     node.directory->start();
     node.configuration->set(fleet);
     if (static_cast<std::size_t>(index) < nodes.size()) {
@@ -203,10 +203,10 @@
       return node.process->id().address == address;
     });
   }
-  std::size_t openPlaces() const {
+  std::size_t openPlacements() const {
     std::size_t open = 0;
     for (const Node& node : nodes) {
-      open += node.process->alive() ? node.own->open.size() : 0;
+      open += node.process->alive() ? node.local_router->open.size() : 0;
     }
     return open;
   }
@@ -226,29 +226,29 @@
 
 class PlacementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlacementTest);
-  CPPUNIT_TEST(theFirstOwnerGivesThePlace);
-  CPPUNIT_TEST(fewMessagesForARequest);
-  CPPUNIT_TEST(anOwnerChoosesByItself);
-  CPPUNIT_TEST(aKilledOwnerIsPassedOver);
-  CPPUNIT_TEST(aSilentOwnerIsAskedLast);
-  CPPUNIT_TEST(aFrozenOwnersLatePlaceIsGivenBack);
-  CPPUNIT_TEST(anOwnerCutOffOneWayIsPassedOver);
-  CPPUNIT_TEST(aFullGroupLeadsToTheSecondHome);
-  CPPUNIT_TEST(nobodyAnswers);
-  CPPUNIT_TEST(nodesThatSeeOtherMembersFindAPlace);
-  CPPUNIT_TEST(abandonedRequestsGiveTheirPlacesBack);
-  CPPUNIT_TEST(aPlaceOnALeavingEngineIsNotUsed);
-  CPPUNIT_TEST(aPlaceOnAnUnknownEngineIsNotUsed);
-  CPPUNIT_TEST(placesThatNobodyGivesBackExpire);
-  CPPUNIT_TEST(placesAreBounded);
-  CPPUNIT_TEST(strangersProgressIsDropped);
-  CPPUNIT_TEST(failuresAreTheAskersWordOnly);
-  CPPUNIT_TEST(brokenMessagesAreCountedAndRefused);
-  CPPUNIT_TEST(everyPlaceIsGivenBackUnderFaults);
+  CPPUNIT_TEST(firstOwnerPlacesTheRequest);
+  CPPUNIT_TEST(oneRequestAndOneAnswerPerPlacement);
+  CPPUNIT_TEST(ownerPlacesItsOwnRequestsLocally);
+  CPPUNIT_TEST(killedOwnerIsSkipped);
+  CPPUNIT_TEST(unresponsiveOwnerIsAskedLast);
+  CPPUNIT_TEST(latePlacementOfAPausedOwnerIsReleased);
+  CPPUNIT_TEST(ownerBehindAOneWayPartitionIsSkipped);
+  CPPUNIT_TEST(overloadedGroupLeadsToTheSecondHome);
+  CPPUNIT_TEST(requestIsRefusedWhenNoOwnerAnswers);
+  CPPUNIT_TEST(requestsArePlacedDespiteDifferingMembershipViews);
+  CPPUNIT_TEST(abandonedRequestsReleaseTheirPlacements);
+  CPPUNIT_TEST(placementOnALeavingEngineIsNotUsed);
+  CPPUNIT_TEST(placementOnAnUnknownEngineIsNotUsed);
+  CPPUNIT_TEST(unreleasedPlacementsExpire);
+  CPPUNIT_TEST(placementsAreBounded);
+  CPPUNIT_TEST(progressFromOtherNodesIsDropped);
+  CPPUNIT_TEST(reportedFailureDoesNotEjectTheEngine);
+  CPPUNIT_TEST(invalidMessagesAreCountedAndDropped);
+  CPPUNIT_TEST(everyPlacementIsReleasedUnderFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void theFirstOwnerGivesThePlace() {
+  void firstOwnerPlacesTheRequest() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -256,19 +256,19 @@
     CPPUNIT_ASSERT(zone.placed("a"));
     PlacementZone::Node& owner = *zone.ownersOf().front();
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owner.process->id());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->placements());
     auto& router = *zone.nodes[asker].router;
     router.firstTokenReceived("a");
     router.answerCompleted("a");
     router.attemptFinished("a");
     zone.run(milliseconds(20));
-    CPPUNIT_ASSERT_EQUAL(1, owner.own->first_tokens);
-    CPPUNIT_ASSERT_EQUAL(1, owner.own->completed);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(1, owner.local_router->first_tokens);
+    CPPUNIT_ASSERT_EQUAL(1, owner.local_router->completed);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
   }
 
-  void fewMessagesForARequest() {
+  void oneRequestAndOneAnswerPerPlacement() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -287,7 +287,7 @@
     CPPUNIT_ASSERT_EQUAL(2.0, messages);
   }
 
-  void anOwnerChoosesByItself() {
+  void ownerPlacesItsOwnRequestsLocally() {
     PlacementZone zone;
     PlacementZone::Node* const owner = zone.ownersOf().front();
     for (std::size_t i = 0; i < zone.nodes.size(); ++i) {
@@ -300,7 +300,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, zone.count(*owner, "cypresswall_placement_asked_total"));
   }
 
-  void aKilledOwnerIsPassedOver() {
+  void killedOwnerIsSkipped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -317,7 +317,7 @@
     CPPUNIT_ASSERT(zone.placed("b"));
   }
 
-  void aSilentOwnerIsAskedLast() {
+  void unresponsiveOwnerIsAskedLast() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -336,7 +336,7 @@
     CPPUNIT_ASSERT(zone.route("c").chosen_by == owners[0]->process->id());
   }
 
-  void aFrozenOwnersLatePlaceIsGivenBack() {
+  void latePlacementOfAPausedOwnerIsReleased() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -345,13 +345,13 @@
     zone.run(milliseconds(200));
     CPPUNIT_ASSERT(zone.placed("a"));
     zone.run(seconds(1));
-    CPPUNIT_ASSERT_EQUAL(1, owners[0]->own->started);
-    CPPUNIT_ASSERT(owners[0]->own->open.empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(1, owners[0]->local_router->started);
+    CPPUNIT_ASSERT(owners[0]->local_router->open.empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.openPlacements());
     CPPUNIT_ASSERT_EQUAL(1.0, zone.count(zone.nodes[asker], "cypresswall_placement_late_total"));
   }
 
-  void anOwnerCutOffOneWayIsPassedOver() {
+  void ownerBehindAOneWayPartitionIsSkipped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -363,19 +363,19 @@
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[1]->process->id());
   }
 
-  void aFullGroupLeadsToTheSecondHome() {
+  void overloadedGroupLeadsToTheSecondHome() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
-    owners[0]->own->refuses = true;
+    owners[0]->local_router->refuses = true;
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("a"));
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[2]->process->id());
     // The other owner of the full group is not asked.
-    CPPUNIT_ASSERT_EQUAL(0, owners[1]->own->chosen);
+    CPPUNIT_ASSERT_EQUAL(0, owners[1]->local_router->chosen);
     for (const auto& owner : owners) {
-      owner->own->refuses = true;
+      owner->local_router->refuses = true;
     }
     zone.place(asker, PlacementZone::requestOf("b"));
     zone.run(milliseconds(20));
@@ -383,7 +383,7 @@
     CPPUNIT_ASSERT(zone.refusal("b").reason == RouteFailure::kOverloaded);
   }
 
-  void nobodyAnswers() {
+  void requestIsRefusedWhenNoOwnerAnswers() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     for (const auto& owner : zone.ownersOf()) {
@@ -394,10 +394,10 @@
     CPPUNIT_ASSERT(zone.refusal("a").retry_after == zone.settings.retry_after);
     CPPUNIT_ASSERT_EQUAL(1.0,
                          zone.count(zone.nodes[asker], "cypresswall_placement_no_owner_total"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodes[asker].router->waiting());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodes[asker].router->pendingRequests());
   }
 
-  void nodesThatSeeOtherMembersFindAPlace() {
+  void requestsArePlacedDespiteDifferingMembershipViews() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -418,18 +418,18 @@
     }
   }
 
-  void abandonedRequestsGiveTheirPlacesBack() {
+  void abandonedRequestsReleaseTheirPlacements() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.nodes[asker].router->abandonPlacement("a");
     zone.run(milliseconds(50));
     CPPUNIT_ASSERT(zone.answers.empty());
-    CPPUNIT_ASSERT_EQUAL(1, zone.ownersOf().front()->own->started);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(1, zone.ownersOf().front()->local_router->started);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
   }
 
-  void aPlaceOnALeavingEngineIsNotUsed() {
+  void placementOnALeavingEngineIsNotUsed() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -442,27 +442,27 @@
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("b"));
     CPPUNIT_ASSERT(zone.route("b").engine.name != first);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, zone.openPlacements());
     CPPUNIT_ASSERT_EQUAL(1.0,
                          zone.count(zone.nodes[asker], "cypresswall_placement_unusable_total"));
   }
 
-  void aPlaceOnAnUnknownEngineIsNotUsed() {
+  void placementOnAnUnknownEngineIsNotUsed() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
-    owners[0]->own->wrong_address = true;
-    owners[1]->own->wrong_address = true;
-    owners[2]->own->wrong_address = true;
-    owners[3]->own->wrong_address = true;
+    owners[0]->local_router->wrong_address = true;
+    owners[1]->local_router->wrong_address = true;
+    owners[2]->local_router->wrong_address = true;
+    owners[3]->local_router->wrong_address = true;
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.run(milliseconds(100));
     CPPUNIT_ASSERT(!zone.placed("a"));
     CPPUNIT_ASSERT(zone.answers.count("a") != 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
   }
 
-  void placesThatNobodyGivesBackExpire() {
+  void unreleasedPlacementsExpire() {
     PlacementSettings settings;
     settings.place_time_limit = seconds(5);
     PlacementZone zone(1, settings);
@@ -472,11 +472,11 @@
     const PlacementZone::Node& owner = *zone.ownersOf().front();
     zone.simulation.kill(*zone.nodes[asker].process);
     zone.run(seconds(7));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
     CPPUNIT_ASSERT_EQUAL(1.0, zone.count(owner, "cypresswall_placement_expired_total"));
   }
 
-  void placesAreBounded() {
+  void placementsAreBounded() {
     PlacementSettings settings;
     settings.maximum_places = 10;
     PlacementZone zone(1, settings);
@@ -486,13 +486,13 @@
     }
     zone.run(milliseconds(500));
     for (const auto& node : zone.nodes) {
-      CPPUNIT_ASSERT(node.service->places() <= 10);
+      CPPUNIT_ASSERT(node.service->placements() <= 10);
     }
-    CPPUNIT_ASSERT(zone.openPlaces() <= 40);
+    CPPUNIT_ASSERT(zone.openPlacements() <= 40);
     CPPUNIT_ASSERT_EQUAL(std::size_t{100}, zone.answers.size());
   }
 
-  void strangersProgressIsDropped() {
+  void progressFromOtherNodesIsDropped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -509,11 +509,11 @@
     PlacementRequest request = toMessage(PlacementZone::requestOf("a"));
     context.sendTo(owner.process->id(), request);
     zone.run(milliseconds(20));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->placements());
     CPPUNIT_ASSERT_EQUAL(3.0, zone.count(owner, "cypresswall_placement_dropped_total"));
   }
 
-  void failuresAreTheAskersWordOnly() {
+  void reportedFailureDoesNotEjectTheEngine() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -521,13 +521,13 @@
     const common::EngineName engine = zone.route("a").engine.name;
     zone.nodes[asker].router->attemptFailed("a", engine, engines::StreamFailure::kNotSent);
     zone.run(milliseconds(20));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
     for (const auto& node : zone.nodes) {
       CPPUNIT_ASSERT_EQUAL(0.0, zone.count(node, "cypresswall_engine_ejections_total"));
     }
   }
 
-  void brokenMessagesAreCountedAndRefused() {
+  void invalidMessagesAreCountedAndDropped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     PlacementZone::Node& owner = *zone.ownersOf().front();
@@ -545,12 +545,12 @@
     request.excluded.resize(1000);
     send(request);
     CPPUNIT_ASSERT_EQUAL(3.0, zone.count(owner, "cypresswall_placement_dropped_total"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
     // A group that the node doesn't own, or that doesn't exist.
     request = toMessage(PlacementZone::requestOf("a"));
     request.group = "assistant/99";
     send(request);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
     // An answer that nobody asked for.
     PlacementAnswer answer;
     answer.stream_id = "b";
@@ -560,7 +560,7 @@
     CPPUNIT_ASSERT(zone.count(zone.nodes[asker], "cypresswall_placement_late_total") >= 1);
   }
 
-  void everyPlaceIsGivenBackUnderFaults() {
+  void everyPlacementIsReleasedUnderFaults() {
     testing::requireProperty("every place is given back", 30, [](std::uint32_t seed) {
       PlacementSettings settings;
       settings.place_time_limit = seconds(3);
@@ -602,7 +602,7 @@
         }
       }
       zone.run(seconds(6));
-      RC_ASSERT(zone.openPlaces() == 0);
+      RC_ASSERT(zone.openPlacements() == 0);
     });
   }
 };
--- a/tests/routing/prefix_index_test.cpp
+++ b/tests/routing/prefix_index_test.cpp
@@ -26,14 +26,14 @@
 class PrefixIndexTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PrefixIndexTest);
   CPPUNIT_TEST(agreesWithExactIndex);
-  CPPUNIT_TEST(forgetsARestartedEngine);
+  CPPUNIT_TEST(restartedEngineIsForgotten);
   CPPUNIT_TEST(gapsLowerTrustWithinBounds);
-  CPPUNIT_TEST(staysWithinItsMemory);
-  CPPUNIT_TEST(aFullEngineGivesUpWhatWasUnusedForLongest);
-  CPPUNIT_TEST(theStartOfAPromptOutlivesItsEnd);
-  CPPUNIT_TEST(anEventOlderThanTheLastUseIsPassedOver);
-  CPPUNIT_TEST(aPieceIsFoundAtEveryEngine);
-  CPPUNIT_TEST(onlyWhatIsToldCountsUnlessForetold);
+  CPPUNIT_TEST(staysWithinItsMemoryLimit);
+  CPPUNIT_TEST(fullEngineEvictsTheLeastRecentlyUsed);
+  CPPUNIT_TEST(startOfAPromptIsEvictedAfterItsEnd);
+  CPPUNIT_TEST(evictionEventOlderThanTheLastUseIsIgnored);
+  CPPUNIT_TEST(pieceIsFoundAtEveryEngine);
+  CPPUNIT_TEST(withoutPredictionOnlyReportedPiecesCount);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -69,7 +69,7 @@
     });
   }
 
-  void forgetsARestartedEngine() {
+  void restartedEngineIsForgotten() {
     PrefixIndex index({});
     index.stored(1, 77, 0, kNow);
     index.stored(2, 77, 0, kNow);
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(index.trust(3) > 0.99 && index.trust(3) <= 1.0);
   }
 
-  void staysWithinItsMemory() {
+  void staysWithinItsMemoryLimit() {
     PrefixIndexSettings settings;
     settings.maximum_pieces = 1024;
     PrefixIndex index(settings);
@@ -104,7 +104,7 @@
     CPPUNIT_ASSERT_EQUAL(1U, depthOf(index, 99, {common::hash64("99999")}));
   }
 
-  void aFullEngineGivesUpWhatWasUnusedForLongest() {
+  void fullEngineEvictsTheLeastRecentlyUsed() {
     PrefixIndex index({});
     index.setCapacity(1, 10000);
     index.stored(1, 11, 4000, kNow);
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT_EQUAL(1U, depthOf(index, 1, {13}));
   }
 
-  void theStartOfAPromptOutlivesItsEnd() {
+  void startOfAPromptIsEvictedAfterItsEnd() {
     PrefixIndex index({});
     index.setCapacity(1, 10000);
     common::PromptShape shape;
@@ -128,7 +128,7 @@
     CPPUNIT_ASSERT_EQUAL(1U, depthOf(index, 1, shape.pieces));
   }
 
-  void anEventOlderThanTheLastUseIsPassedOver() {
+  void evictionEventOlderThanTheLastUseIsIgnored() {
     const PrefixIndexSettings settings;
     PrefixIndex index(settings);
     index.stored(1, 11, 0, kNow);
@@ -138,7 +138,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, depthOf(index, 1, {11}));
   }
 
-  void onlyWhatIsToldCountsUnlessForetold() {
+  void withoutPredictionOnlyReportedPiecesCount() {
     for (const bool foretells : {true, false}) {
       PrefixIndexSettings settings;
       settings.foretells = foretells;
@@ -159,7 +159,7 @@
     }
   }
 
-  void aPieceIsFoundAtEveryEngine() {
+  void pieceIsFoundAtEveryEngine() {
     PrefixIndex index({});
     for (EngineSlot slot = 0; slot < 200; ++slot) {
       index.stored(slot, 11, 0, kNow);
--- a/tests/routing/prompt_backlog_test.cpp
+++ b/tests/routing/prompt_backlog_test.cpp
@@ -7,17 +7,17 @@
 
 class PromptBacklogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PromptBacklogTest);
-  CPPUNIT_TEST(promptsFollowOneAnother);
-  CPPUNIT_TEST(anEarlyEndBringsTheRestForward);
-  CPPUNIT_TEST(overduePromptsAreForgotten);
-  CPPUNIT_TEST(aLonePromptShowsItsWayToo);
-  CPPUNIT_TEST(aQueuedPromptIsCountedFromTheEndBefore);
-  CPPUNIT_TEST(nothingIsToldOfPromptsBehindAnUntoldEnd);
-  CPPUNIT_TEST(emptiesWhateverTheOrderOfEnds);
+  CPPUNIT_TEST(promptsAreComputedInOrder);
+  CPPUNIT_TEST(earlyEndMovesTheRestForward);
+  CPPUNIT_TEST(overduePromptsExpire);
+  CPPUNIT_TEST(loneBusyTimeIncludesLatency);
+  CPPUNIT_TEST(queuedPromptIsTimedFromThePreviousEnd);
+  CPPUNIT_TEST(busyTimeIsUnknownAfterAnUnknownEnd);
+  CPPUNIT_TEST(emptiesInAnyOrderOfEnds);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void promptsFollowOneAnother() {
+  void promptsAreComputedInOrder() {
     PromptBacklog backlog;
     backlog.add(1, 10.0, 0.5);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(10.5, backlog.emptyAt(), 1e-9);
@@ -27,7 +27,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(20.2, backlog.emptyAt(), 1e-9);
   }
 
-  void anEarlyEndBringsTheRestForward() {
+  void earlyEndMovesTheRestForward() {
     PromptBacklog backlog;
     backlog.add(1, 10.0, 0.5);
     backlog.add(2, 10.0, 0.5);
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(10.7, backlog.emptyAt(), 1e-9);
   }
 
-  void overduePromptsAreForgotten() {
+  void overduePromptsExpire() {
     PromptBacklog backlog;
     backlog.add(1, 10.0, 0.5);
     backlog.add(2, 10.0, 0.5);
@@ -49,35 +49,35 @@
     CPPUNIT_ASSERT(backlog.empty());
   }
 
-  void aLonePromptShowsItsWayToo() {
+  void loneBusyTimeIncludesLatency() {
     PromptBacklog backlog;
     backlog.add(1, 10.0, 0.5);
     backlog.add(2, 10.1, 0.5);
-    const auto stretch = backlog.stretchOf(1, 10.3);
-    CPPUNIT_ASSERT(stretch.has_value() && stretch->with_way);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.3, stretch->seconds, 1e-9);
-    CPPUNIT_ASSERT(!backlog.stretchOf(2, 10.3).has_value());
+    const auto busy = backlog.busyTimeOf(1, 10.3);
+    CPPUNIT_ASSERT(busy.has_value() && busy->includes_latency);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.3, busy->seconds, 1e-9);
+    CPPUNIT_ASSERT(!backlog.busyTimeOf(2, 10.3).has_value());
   }
 
-  void aQueuedPromptIsCountedFromTheEndBefore() {
+  void queuedPromptIsTimedFromThePreviousEnd() {
     PromptBacklog backlog;
     backlog.add(1, 10.0, 0.5);
     backlog.add(2, 10.1, 0.5);
     CPPUNIT_ASSERT(backlog.remove(1, 10.3, true));
-    const auto stretch = backlog.stretchOf(2, 10.5);
-    CPPUNIT_ASSERT(stretch.has_value() && !stretch->with_way);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.2, stretch->seconds, 1e-9);
+    const auto busy = backlog.busyTimeOf(2, 10.5);
+    CPPUNIT_ASSERT(busy.has_value() && !busy->includes_latency);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(0.2, busy->seconds, 1e-9);
   }
 
-  void nothingIsToldOfPromptsBehindAnUntoldEnd() {
+  void busyTimeIsUnknownAfterAnUnknownEnd() {
     PromptBacklog backlog;
     backlog.add(1, 10.0, 0.5);
     backlog.add(2, 10.1, 0.5);
     CPPUNIT_ASSERT(backlog.remove(1, 10.3, false));
-    CPPUNIT_ASSERT(!backlog.stretchOf(2, 10.5).has_value());
+    CPPUNIT_ASSERT(!backlog.busyTimeOf(2, 10.5).has_value());
   }
 
-  void emptiesWhateverTheOrderOfEnds() {
+  void emptiesInAnyOrderOfEnds() {
     testing::requireProperty("every prompt can be taken out once", 200, [] {
       const auto count = *rc::gen::inRange<PromptKey>(1, 20);
       PromptBacklog backlog;
