--- a/src/cypresswall/planning/baseline_planners.cpp
+++ b/src/cypresswall/planning/baseline_planners.cpp
@@ -23,7 +23,7 @@
   return found != input.changes_under_way.end() && found->second > 0;
 }
 
-/// Adds the first change towards `wanted`, one at a time for each model.
+/// Adds the first change towards `wanted`, unless a change of the model is already in progress.
 void addFirstDifference(const PlanningInput& input, const common::ModelName& model,
                         const std::vector<const PlannedEngine*>& engines,
                         const std::vector<EngineRole>& wanted, Plan& plan) {
@@ -49,7 +49,7 @@
   return found;
 }
 
-/// How full the engines of one kind of work are.
+/// \return the utilisation of the engines for one kind of work
 double utilisation(double demand, double speed) {
   if (demand <= 0) {
     return 0;
--- a/src/cypresswall/planning/baseline_planners.h
+++ b/src/cypresswall/planning/baseline_planners.h
@@ -1,4 +1,4 @@
-/// Planners that the cost-based one is measured against.
+/// Simple planners that serve as baselines for the cost-based one.
 #pragma once
 
 #include "cypresswall/planning/capacity_model.h"
@@ -13,15 +13,15 @@
   Plan plan(const PlanningInput&) override { return {}; }
 };
 
-/// Brings every engine to the role "mixed" and leaves it there.
+/// Changes every engine to the role "mixed".
 class AllMixedPlanner final : public Planner {
  public:
   std::string name() const override { return "all-mixed"; }
   Plan plan(const PlanningInput& input) override;
 };
 
-/// Keeps a fixed share of each model's engines, in the order of their names, in the role "prefill"
-/// and the others in "decode".
+/// Assigns the role "prefill" to a fixed share of each model's engines, in name order, and "decode"
+/// to the others.
 class StaticSplitPlanner final : public Planner {
  public:
   explicit StaticSplitPlanner(double prefill_share) : prefill_share_(prefill_share) {}
@@ -32,8 +32,9 @@
   double prefill_share_;
 };
 
-/// The usual rule of thumb: when one kind of work fills its engines beyond a threshold and the
-/// other does not, moves an engine over, at most one a model in each period of rounds.
+/// The usual threshold rule: when the engines for one kind of work are utilised above a threshold
+/// and those for the other kind are not, moves one engine over. At most one change per model is in
+/// progress at a time.
 class ThresholdPlanner final : public Planner {
  public:
   ThresholdPlanner(const CapacitySettings& settings, double threshold)
--- a/src/cypresswall/planning/capacity_model.cpp
+++ b/src/cypresswall/planning/capacity_model.cpp
@@ -7,15 +7,15 @@
 namespace cypresswall::planning {
 namespace {
 
-/// A utilisation above this is as good as infinite.
+/// Utilisations above this are treated as infinite.
 constexpr double kMaximumUtilisation = 64.0;
-/// Halvings of the search; the result is exact to about one part in ten thousand.
+/// Bisection steps; the relative error of the result is about one in ten thousand.
 constexpr int kSearchSteps = 20;
 
-/// Erlang's formula is used up to this utilisation; beyond it the rest is refused.
+/// Erlang's formula is applied up to this utilisation; demand beyond it counts as refused.
 constexpr double kMaximumQueueingUtilisation = 0.98;
 
-/// Prompt tokens a second of a mixed engine whose chunks share their steps with output.
+/// Prompt tokens per second of a mixed engine whose prompt chunks share steps with output.
 double sharedPrefillSpeed(const PlannedEngine& engine, const CapacitySettings& settings) {
   const double alone = engine.prefill_tokens_per_second * settings.mixed_prefill_share;
   if (alone <= 0) {
@@ -25,7 +25,7 @@
   return 1.0 / (1.0 / alone + step / settings.prefill_chunk_tokens);
 }
 
-/// \return the probability that all of `servers` are busy (Erlang's C formula).
+/// \return the probability that all `servers` are busy (Erlang C formula).
 double waitProbability(double servers, double utilisation) {
   const double offered = servers * utilisation;
   double blocked = 1.0;
@@ -81,8 +81,8 @@
 
 bool CapacityModel::fits(const RoleCapacity& capacity, const DemandRate& demand,
                          double time_share) const {
-  // Output goes to decode engines first, prompts to prefill engines first; what is left of both
-  // shares the mixed engines, and prompts take last what decode engines have left.
+  // Output goes to decode engines first and prompts to prefill engines first; the remainder of both
+  // shares the mixed engines, and what is left of the prompts uses idle time of decode engines.
   const double decode_left = demand.decode_tokens_per_second - time_share * capacity.decode_decode;
   const double mixed_time = time_share - shareOf(decode_left, capacity.mixed_decode);
   if (mixed_time < 0) {
@@ -156,13 +156,13 @@
   const double slack = common::toSeconds(limits.long_first_token_limit) - service;
   double lost = demand.long_requests_per_second * lateShare(servers, utilisation, service, slack);
   if (capacity.mixed_engines >= 1) {
-    // Between two ways in which the router may fill the engines: evenly, and prefill ones first.
+    // The mean of two routing patterns: even load on all engines, and prefill engines first.
     const double left = demand.long_prefill_tokens_per_second -
                         settings_.late_onset_utilisation * capacity.prefill_only;
     const double overflow = std::max(0.0, left) / capacity.shared_prefill;
     const double shared_utilisation = (utilisation + overflow) / 2;
     const double shared_service = prompt * capacity.mixed_engines / capacity.shared_prefill;
-    // Decode engines get no long prompts, so short ones wait only on their share of mixed ones.
+    // Decode engines get no long prompts, so only short prompts on mixed engines can wait.
     const double exposed = (demand.requests_per_second - demand.long_requests_per_second) *
                            capacity.mixed_engines /
                            (capacity.mixed_engines + capacity.decode_engines);
--- a/src/cypresswall/planning/capacity_model.h
+++ b/src/cypresswall/planning/capacity_model.h
@@ -1,4 +1,4 @@
-/// How much of a demand a set of engines in given roles can serve in time.
+/// Estimates how much of a demand a set of engines with given roles can serve in time.
 #pragma once
 
 #include <vector>
@@ -7,31 +7,31 @@
 
 namespace cypresswall::planning {
 
-/// Speeds of roles, as shares of the speed in the role "prefill".
 struct CapacitySettings {
+  /// Prompt speed in the roles "mixed" and "decode", relative to that in the role "prefill".
   double mixed_prefill_share = 0.8;
   double decode_prefill_share = 0.5;
-  /// Above this utilisation queues begin to make answers late.
+  /// Utilisation above which queueing begins to make answers late.
   double late_onset_utilisation = 0.75;
-  /// Part of the answers that is late at full utilisation.
+  /// Fraction of answers that is late at full utilisation.
   double late_share_at_capacity = 0.15;
-  /// Prompt tokens that an engine computes in one step beside the output of its streams.
+  /// Prompt tokens that an engine computes per step alongside the output of its streams.
   double prefill_chunk_tokens = 512;
-  /// Part of the requests sent to an engine as if at random, since nodes learn of each other's
-  /// work only from the engines' reports.
+  /// Fraction of requests that are routed as if at random, because nodes learn of each other's work
+  /// only from the engines' load reports.
   double uninformed_share = 0.15;
 };
 
-/// Summed speeds of the engines of one model by role, in tokens a second.
+/// Total speeds of one model's engines by role, in tokens per second.
 struct RoleCapacity {
   double prefill_only = 0;
   double mixed_prefill = 0;
   double mixed_decode = 0;
   double decode_prefill = 0;
   double decode_decode = 0;
-  /// Prompt speed of the mixed engines while they generate output in the same steps.
+  /// Prompt speed of the mixed engines while the same steps also generate output.
   double shared_prefill = 0;
-  /// Engines in each role.
+  /// Number of engines in each role.
   double prefill_engines = 0;
   double mixed_engines = 0;
   double decode_engines = 0;
@@ -41,28 +41,28 @@
  public:
   explicit CapacityModel(const CapacitySettings& settings) : settings_(settings) {}
 
-  /// \return output tokens a second at the largest batch whose step meets the limit.
+  /// \return output tokens per second at the largest batch whose step time meets the limit.
   static double decodeSpeed(const PlannedEngine& engine, common::Duration between_tokens_limit);
-  /// Adds (or with sign -1 takes away) one engine in `role`.
+  /// Adds one engine in `role`, or removes it if `sign` is -1.
   void add(RoleCapacity& capacity, const PlannedEngine& engine, engines::EngineRole role,
            double decode_speed, double sign = 1.0) const;
-  /// \return the least part of the engines' time that serves the demand; above 1 it can't all be
-  ///   served, infinite if a kind of work has no engine.
+  /// \return the smallest share of the engines' time that serves the demand: above 1 if it can't be
+  ///   served in full, infinite if a kind of work has no engine.
   double utilisation(const RoleCapacity& capacity, const DemandRate& demand) const;
-  /// \return the part of the answers that is late or refused at a utilisation.
+  /// \return the fraction of answers that is late or refused at a given utilisation.
   double lostShare(double utilisation) const;
-  /// \return answers a second whose first token is late because they wait for long prompts: long
-  ///   ones for each other on prefill and mixed engines, short ones behind them on mixed engines.
-  ///   Decode engines get no long prompts, so short ones don't wait there.
+  /// \return answers per second whose first token is late because of queueing behind long prompts:
+  ///   long prompts on prefill and mixed engines, short ones on mixed engines. Decode engines get
+  ///   no long prompts, so short ones don't wait there.
   double lostByQueueing(const RoleCapacity& capacity, const ModelDemand& limits,
                         const DemandRate& demand) const;
-  /// \return the part of their time that long prompts would take if all engines were mixed. Does
-  ///   not depend on the roles, so that a change of roles does not change what asks for it.
+  /// \return the utilisation by long prompts if all engines were mixed. It does not depend on the
+  ///   current roles, so that a role change does not alter the condition that triggered it.
   static double longPromptUtilisation(const std::vector<const PlannedEngine*>& engines,
                                       const CapacitySettings& settings,
                                       double long_tokens_per_second);
-  /// \return the part of requests that wait longer than `slack` seconds for one of `servers`
-  ///   engines, each busy for `service` seconds with a prompt.
+  /// \return the fraction of requests that wait more than `slack` seconds for one of `servers`
+  ///   engines with a service time of `service` seconds per prompt.
   double lateShare(double servers, double utilisation, double service, double slack) const;
 
  private:
--- a/src/cypresswall/planning/demand_counter.h
+++ b/src/cypresswall/planning/demand_counter.h
@@ -1,4 +1,4 @@
-/// Counts what callers asked of each model at this node, for the planner of the zone.
+/// Counts this node's requests per model, for the zone's planner.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 namespace cypresswall::planning {
 
-/// Work asked for, since the counting began.
+/// Demand for one model since the last report.
 struct DemandCount {
   std::uint64_t requests = 0;
-  /// Prompt tokens that an engine has to compute, without those expected in its cache.
+  /// Prompt tokens that engines have to compute, excluding those expected in their caches.
   std::uint64_t prefill_tokens = 0;
   std::uint64_t decode_tokens = 0;
   /// Requests refused because no engine could meet their limits.
   std::uint64_t refused = 0;
-  /// Of these, requests whose prompt takes an engine longer than one step, and their prompt tokens.
+  /// Requests whose prompt takes more than one engine step, and their prompt tokens.
   std::uint64_t long_requests = 0;
   std::uint64_t long_prefill_tokens = 0;
-  /// Requests whose prompt a prefill engine computes for another one, and the time that takes it.
+  /// Requests whose prompt a prefill engine computes for a decode engine, and their prefill time.
   std::uint64_t prefill_engine_requests = 0;
   std::uint64_t prefill_engine_us = 0;
-  /// Time that the other prompts take the engines that also generate the output.
+  /// Prefill time of the other prompts, on the engines that also generate the output.
   std::uint64_t decode_engine_us = 0;
-  /// Of these two times, what long prompts take that an engine of either role may compute, and how
-  /// many of them are at engines that also generate the output.
+  /// The parts of these two times due to long prompts that an engine of either role may compute,
+  /// and the number of such prompts on engines that also generate the output.
   std::uint64_t flexible_prefill_us = 0;
   std::uint64_t flexible_decode_us = 0;
   std::uint64_t flexible_decode_requests = 0;
-  /// Time of an engine with all of its places taken that the output takes.
+  /// Output time, in time of an engine whose stream slots are all in use.
   std::uint64_t output_us = 0;
 
   MSGPACK_DEFINE_ARRAY(requests, prefill_tokens, decode_tokens, refused, long_requests,
@@ -41,20 +41,20 @@
                        flexible_decode_requests, output_us)
 };
 
-/// One request as it is counted.
+/// The demand of one request.
 struct RequestDemand {
   std::uint64_t prefill_tokens = 0;
   std::uint64_t decode_tokens = 0;
   bool refused = false;
-  /// The prompt takes an engine longer than one step.
+  /// The prompt takes more than one engine step.
   bool is_long = false;
-  /// A prefill engine computes the prompt for another engine.
+  /// A prefill engine computes the prompt for a decode engine.
   bool split = false;
-  /// Time that the prompt takes the engine that computes it.
+  /// Time for which the prompt occupies the engine that computes it.
   common::Duration prompt_time{0};
-  /// The prompt is long, and a decode engine may compute it without holding up output for too long.
+  /// The prompt is long, but a decode engine may compute it without delaying output too much.
   bool flexible = false;
-  /// Time that the output takes an engine of which it has one place.
+  /// Output time on a fully loaded engine, divided by the number of its concurrent streams.
   common::Duration output_time{0};
 };
 
@@ -78,7 +78,7 @@
     }
     count.output_us += static_cast<std::uint64_t>(request.output_time.count());
   }
-  /// \return everything counted since the last call.
+  /// \return the counts since the last call.
   std::map<common::ModelName, DemandCount> take() { return std::exchange(counts_, {}); }
 
  private:
--- a/src/cypresswall/planning/demand_estimator.cpp
+++ b/src/cypresswall/planning/demand_estimator.cpp
@@ -6,9 +6,9 @@
 namespace cypresswall::planning {
 namespace {
 
-/// Below this part of a window no rate is told, since the first counts would look like a flood.
+/// No rate is estimated before this share of a window has passed, since dividing the first counts
+/// by a short time would give far too high rates.
 constexpr double kMinimumObservedShare = 0.05;
-/// In a second.
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 double secondsOf(std::uint64_t microseconds) {
@@ -60,7 +60,7 @@
                                  common::Duration window) const {
   sum.decayTo(now, window);
   const double seconds = common::toSeconds(window);
-  // A window that was not seen whole holds only this part of a steady demand's sum.
+  // A window observed only in part has reached this share of its steady-state sum.
   const double seen = 1.0 - std::exp(-common::toSeconds(now - started_at_) / seconds);
   if (seen < kMinimumObservedShare) {
     return {};
--- a/src/cypresswall/planning/demand_estimator.h
+++ b/src/cypresswall/planning/demand_estimator.h
@@ -1,5 +1,5 @@
-/// Rates of demand per model over a short and a long window, from counts that the zone's nodes
-/// report. Exponentially decaying sums: constant memory per model, no buckets to rotate.
+/// Demand rates per model over a short and a long window, from counts that the zone's nodes
+/// report. Uses exponentially decaying sums: constant memory per model, no buckets to rotate.
 #pragma once
 
 #include <cstdint>
@@ -21,15 +21,15 @@
   DemandEstimator(const DemandSettings& settings, common::MonotonicTime now)
       : settings_(settings), started_at_(now) {}
 
-  /// Adds what one node counted since its last report.
+  /// Adds the counts of one node since its last report.
   void add(const common::ModelName& model, const DemandCount& count, common::MonotonicTime now);
-  /// \return the rates of a model; zero for one never asked for.
+  /// \return the rates of a model; zero if it was never requested.
   ModelDemand demand(const common::ModelName& model, common::MonotonicTime now) const;
-  /// \return true once the short window was seen whole.
+  /// \return true once the short window has been observed in full.
   bool warm(common::MonotonicTime now) const { return now - started_at_ >= settings_.short_window; }
 
  private:
-  /// A sum whose parts fade with their age.
+  /// Sums whose contributions decay exponentially with age.
   struct DecayingSum {
     double requests = 0;
     double prefill_tokens = 0;
--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -10,7 +10,7 @@
 
 using engines::EngineRole;
 
-/// Utilisation of engines that are not there, in place of infinity.
+/// Upper bound of utilisation, used instead of infinity if a role has no engines.
 constexpr double kSaturatedUtilisation = 64.0;
 
 double utilisationOf(double work, double engines) {
@@ -94,7 +94,7 @@
   const double slowdown = 1.0 / settings_.capacity.decode_prefill_share;
   const double fixed_prefill = demand.prefill_engine_seconds - demand.flexible_prefill_seconds;
   const double fixed_decode = demand.decode_engine_seconds - demand.flexible_decode_seconds;
-  // In seconds of prefill engines.
+  // Total prompt work, in prefill-engine seconds per second.
   const double total = demand.prefill_engine_seconds + demand.flexible_decode_seconds / slowdown;
   const double even = split.prefill * (fixed_decode + work.output_seconds + slowdown * total) /
                       std::max(1.0, split.decode + slowdown * split.prefill);
@@ -153,7 +153,7 @@
                    std::min(state.split.decode, after.decode)};
   const double recent = benefit(state, state.demand.short_window, away, after);
   const double past = benefit(state, state.demand.long_window, away, after);
-  // A move that the short window alone does not ask for is of the past.
+  // Without enough benefit in the short window, the reason for the move has passed.
   if (recent <= state.weight) {
     return std::min(recent, past);
   }
--- a/src/cypresswall/planning/disaggregated_planner.h
+++ b/src/cypresswall/planning/disaggregated_planner.h
@@ -1,8 +1,8 @@
 /// The planner for models whose engines have only the roles "prefill" and "decode", which change
-/// within seconds: moves engines to the role whose work would make more answers late.
+/// within seconds. Moves engines to the role whose shortage makes more answers late.
 ///
-/// The demand is taken as time of engines in each role (DemandRate), an answer as worth the time
-/// that it takes. docs/design/planning.md gives the formulas and the ways weighed.
+/// Demand is expressed in engine time per role (DemandRate), and an answer is valued by the engine
+/// time that it takes. docs/design/planning.md gives the formulas and the alternatives considered.
 #pragma once
 
 #include <vector>
@@ -14,22 +14,22 @@
 
 struct DisaggregatedPlannerSettings {
   CapacitySettings capacity;
-  /// Drain and change together, until some were measured.
+  /// Time to drain an engine and change its role, used until measurements are available.
   common::Duration expected_time_away = std::chrono::seconds(2);
-  /// Weight of the short window's demand against the long one's.
+  /// Weight of the short window's demand; the rest is the weight of the long window.
   double short_window_weight = 0.6;
-  /// Engines of one model that may be away at once: this share, at least one.
+  /// Largest share of a model's engines that may change roles at once; at least one may.
   double maximum_away_share = 0.25;
-  /// Above this utilisation prompts computed between the output of decode engines begin to stretch
-  /// the time between tokens beyond its limit.
+  /// Utilisation of decode engines above which prompts computed there begin to push the time
+  /// between tokens beyond its limit.
   double decode_late_onset_utilisation = 0.6;
-  /// Share of the answers that are late for that at full utilisation.
+  /// Fraction of answers that is late for that reason at full utilisation.
   double late_share_at_full_decode = 0.7;
-  /// Off: each role keeps `minimum_engines` only.
+  /// If false, only `minimum_engines` is enforced for each role.
   bool enforces_minimum_share = true;
-  /// Share of the engines that each role keeps, if it has them, and their least number: mixes swing
-  /// faster than engines that finish their streams can follow, and the loss of one engine must not
-  /// take a role away.
+  /// Minimum share and number of engines that moves leave in each role. The traffic mix changes
+  /// faster than engines that drain their streams can follow, and losing one engine must not leave
+  /// a role without engines.
   double minimum_share = 0.3;
   std::uint32_t minimum_engines = 2;
 };
@@ -43,57 +43,57 @@
   Plan plan(const PlanningInput& input) override;
 
  private:
-  /// Engines of one model that take work, by role.
+  /// One model's engines that accept work, by role.
   struct Split {
     double prefill = 0;
     double decode = 0;
 
-    /// \return the split once one engine more has the role `to`, and one less the other
+    /// \return the split after one engine has moved to the role `to`
     Split movedTo(engines::EngineRole to) const;
   };
-  /// The work of one model as a split of its engines would share it.
+  /// The work of one model, distributed over a split of its engines.
   struct WorkDistribution {
     double prefill_requests_per_second = 0;
-    /// Seconds a second, all together.
+    /// Engine seconds per second, totals over all engines of the role.
     double prefill_seconds = 0;
     double decode_prompt_seconds = 0;
     double output_seconds = 0;
-    /// What the answers of the decode engines are worth, in seconds a second: a prompt is not worth
-    /// more for being computed where that takes longer.
+    /// Value of the decode engines' answers, in engine seconds per second. Flexible prompts count
+    /// with their prefill-engine time: taking longer on a decode engine adds no value.
     double decode_value = 0;
   };
   struct ModelState {
     common::ModelName model;
     ModelDemand demand;
     Split split;
-    /// Output tokens a second of one engine.
+    /// Output tokens per second of one engine.
     double decode_speed = 0;
     std::uint32_t engines = 0;
     std::uint32_t under_way = 0;
-    /// Seconds.
+    /// In seconds.
     double time_away = 0;
     double horizon = 0;
     double weight = 0;
-    /// Engines that may be changed, the least busy first.
+    /// Engines whose role may be changed, the least busy first.
     std::vector<const PlannedEngine*> movable_prefill;
     std::vector<const PlannedEngine*> movable_decode;
   };
 
   ModelState stateOf(const common::ModelName& model, const PlanningInput& input) const;
-  /// \return engines that each role keeps, if it has them
+  /// \return the number of engines that moves must leave in each role
   double minimumEnginesPerRole(const ModelState& state) const;
   void planModel(ModelState& state, Plan& plan) const;
-  /// \return the most useful move, with its benefit; an empty engine name if none is possible.
+  /// \return the move with the largest benefit; with an empty engine name if none is possible.
   PlanAlternative bestMove(const ModelState& state) const;
-  /// \return engine seconds, spent on answers that come in time, gained over the horizon by moving
-  ///   one engine.
+  /// \return the gain over the horizon from moving one engine, in engine seconds spent on answers
+  ///   that are in time.
   double benefit(const ModelState& state, engines::EngineRole to) const;
   double benefit(const ModelState& state, const DemandRate& demand, const Split& away,
                  const Split& after) const;
-  /// \return engine seconds a second that are spent on answers that come late or never.
+  /// \return engine seconds per second spent on answers that are late or lost.
   double lostRate(const ModelState& state, const DemandRate& demand, const Split& split) const;
   double lateDecodeShare(double utilisation) const;
-  /// Prompts that may be computed in either role go where that makes both roles equally busy.
+  /// Distributes prompts that either role may compute so that both roles are equally utilised.
   WorkDistribution distributeWork(const ModelState& state, const DemandRate& demand,
                                   const Split& split) const;
   static double decodeUtilisation(const WorkDistribution& work, const Split& split);
--- a/src/cypresswall/planning/planner.h
+++ b/src/cypresswall/planning/planner.h
@@ -1,5 +1,5 @@
-/// Interface of everything that assigns roles to engines: the cost-based planner and the baselines
-/// against which it is measured. A planner holds no clock and does no I/O.
+/// Interface of the planners that assign roles to engines: the cost-based ones and the baselines
+/// they are compared with. A planner has no clock and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,27 @@
 
 namespace cypresswall::planning {
 
-/// Work asked of one model in one window of time.
+/// Demand for one model in one time window.
 struct DemandRate {
   double requests_per_second = 0;
   /// Prompt tokens that engines have to compute.
   double prefill_tokens_per_second = 0;
   double decode_tokens_per_second = 0;
-  /// Of these, requests whose prompt takes an engine longer than one step, and their prompts.
+  /// Requests whose prompt takes more than one engine step, and their prompt tokens.
   double long_requests_per_second = 0;
   double long_prefill_tokens_per_second = 0;
-  /// Requests whose prompt a prefill engine computes for another one.
+  /// Requests whose prompt a prefill engine computes for a decode engine.
   double prefill_engine_requests_per_second = 0;
-  /// Seconds a second that these prompts take prefill engines, and that the other prompts take the
-  /// engines that also generate the output.
+  /// Engine seconds per second that these prompts take on prefill engines, and that the other
+  /// prompts take on the engines that also generate the output.
   double prefill_engine_seconds = 0;
   double decode_engine_seconds = 0;
-  /// Of these two, what long prompts take that an engine of either role may compute, and how many
-  /// of them a second are at engines that also generate the output.
+  /// The parts of these two due to long prompts that an engine of either role may compute, and the
+  /// rate of such prompts on engines that also generate the output.
   double flexible_prefill_seconds = 0;
   double flexible_decode_seconds = 0;
   double flexible_decode_requests_per_second = 0;
-  /// Seconds a second that the output takes engines with all of their places taken.
+  /// Engine seconds per second that output takes, on engines whose stream slots are all in use.
   double output_seconds = 0;
 };
 
@@ -42,22 +42,22 @@
 struct ModelDemand {
   DemandRate short_window;
   DemandRate long_window;
-  /// Tightest limit between tokens of the services that the model backs.
+  /// Tightest limit on the time between tokens among the services that use the model.
   common::Duration between_tokens_limit = std::chrono::milliseconds(79);
-  /// Tightest and loosest limits of the first token of these services. Short prompts are taken to
+  /// Tightest and loosest first-token limits among these services. Short prompts are assumed to
   /// have the tightest, long ones the loosest.
   common::Duration short_first_token_limit = std::chrono::milliseconds(1300);
   common::Duration long_first_token_limit = std::chrono::milliseconds(1300);
 };
 
-/// One engine as the planner sees it.
+/// Planner input about one engine.
 struct PlannedEngine {
   common::EngineName name;
   common::ModelName model;
   engines::EngineRole role = engines::EngineRole::kMixed;
-  /// Takes work now.
+  /// Accepts work now.
   bool available = false;
-  /// May be given another role: available, not pinned, with no change under way.
+  /// Its role may be changed: available, not pinned, no change in progress.
   bool changeable = false;
   /// Speed in the role "prefill".
   double prefill_tokens_per_second = 0;
@@ -71,42 +71,42 @@
   std::map<common::ModelName, ModelDemand> demand;
   /// Ordered by name.
   std::vector<PlannedEngine> engines;
-  /// Changes under way, by model.
+  /// Changes in progress, by model.
   std::map<common::ModelName, std::uint32_t> changes_under_way;
   configuration::PlanningPolicy policy;
-  /// Drain and change together, as measured; zero takes the planner's own setting.
+  /// Measured time to drain an engine and change its role; zero selects the planner's own setting.
   common::Duration expected_time_away{0};
 };
 
-/// One way of changing a model's roles that was weighed.
+/// A role change that was considered.
 struct PlanAlternative {
   common::EngineName engine;
   engines::EngineRole from = engines::EngineRole::kMixed;
   engines::EngineRole to = engines::EngineRole::kMixed;
-  /// Answers in time gained over the horizon, the time away already paid.
+  /// Answers in time gained over the horizon, net of the loss while the engine is unavailable.
   double benefit = 0;
 };
 
-/// Why a model's roles were changed or left.
+/// Why a model's roles were changed or kept.
 struct ModelExplanation {
   common::ModelName model;
   ModelDemand demand;
-  /// Part of the engines' time that the demand takes, with the roles as they are.
+  /// Utilisation of the engines with the current roles.
   double utilisation_short = 0;
   double utilisation_long = 0;
-  /// The same of the decode engines alone, where roles are parted; above it is then that of the
-  /// prefill engines.
+  /// Utilisation of the decode engines, where prefill and decode are separate; the values above are
+  /// then those of the prefill engines.
   double decode_utilisation_short = 0;
   double decode_utilisation_long = 0;
-  /// Engines that take work, or will once a change under way is done.
+  /// Engines that accept work, or will after a change in progress.
   std::uint32_t prefill_engines = 0;
   std::uint32_t decode_engines = 0;
-  /// Answers late or refused over the horizon, with the roles as they are.
+  /// Answers late or refused over the horizon with the current roles.
   double lost_without_change = 0;
-  /// What a change has to gain.
+  /// Minimum benefit for a change.
   double required_benefit = 0;
   std::vector<PlanAlternative> alternatives;
-  /// One sentence for people.
+  /// Summary for operators, one sentence.
   std::string conclusion;
 };
 
@@ -123,7 +123,7 @@
 class Planner {
  public:
   virtual ~Planner() = default;
-  /// \return a word for reports, such as "cost".
+  /// \return the name used in reports, such as "cost".
   virtual std::string name() const = 0;
   virtual Plan plan(const PlanningInput& input) = 0;
 };
--- a/src/cypresswall/planning/role_planner.cpp
+++ b/src/cypresswall/planning/role_planner.cpp
@@ -16,8 +16,8 @@
       std::distance(kRoles.begin(), std::find(kRoles.begin(), kRoles.end(), role)));
 }
 
-/// Relative variance of a weighted demand estimate at one prompt a second: prompts come at random,
-/// vary in length, and fade from windows of 10 and 60 s.
+/// Relative variance of the weighted demand estimate at one prompt per second, given random
+/// arrivals, varying prompt lengths, and exponential windows of 10 and 60 s.
 constexpr double kEstimateVariance = 0.031;
 
 std::string describe(const PlanAlternative& best, double required) {
@@ -144,7 +144,7 @@
 double RolePlanner::lostOnPath(Forecast& forecast, const Path& path) const {
   const double rate = lostRate(forecast, path.capacity);
   double least = rate * path.remaining;
-  // Only waiting has gains that a single change does not show.
+  // Only queueing delays can make several changes pay off where a single one does not.
   if (path.steps <= 0 || rate <= 0 || !forecast.state.queueing_matters) {
     return least;
   }
@@ -171,8 +171,8 @@
   };
   const double gain_short = gain(recent);
   const double gain_long = gain(past);
-  // A change that only one window asks for counts for that window's weight; one that the short
-  // window does not ask for is of the past.
+  // A benefit in only one window counts with that window's weight. Without a benefit in the short
+  // window, the reason for the change has passed.
   if (gain_short <= 0) {
     return std::min(gain_short, gain_long);
   }
--- a/src/cypresswall/planning/role_planner.h
+++ b/src/cypresswall/planning/role_planner.h
@@ -1,6 +1,6 @@
-/// The cost-based planner: changes a role when the answers that would be lost without the change,
-/// over the policy's horizon, exceed those lost while the engine is away by more than the policy's
-/// weight of a role change.
+/// The cost-based planner. Changes a role when, over the policy's horizon, the change saves more
+/// answers than are lost while the engine is unavailable, by more than the policy's weight of a
+/// role change.
 #pragma once
 
 #include <array>
@@ -13,21 +13,21 @@
 
 struct RolePlannerSettings {
   CapacitySettings capacity;
-  /// Drain and change together.
+  /// Time to drain an engine and change its role.
   common::Duration expected_time_away = std::chrono::seconds(16);
-  /// Part of the engines' time, were all of them mixed, that long prompts have to take beyond doubt
-  /// before what waits for them asks for a change of roles.
+  /// Utilisation by long prompts, if all engines were mixed, above which answers delayed by
+  /// queueing behind them count in the cost of the current roles.
   double long_prompt_utilisation_threshold = 0.34;
-  /// Standard deviations of the estimated strain that count as doubt. The fewer prompts a second,
-  /// the more an estimate over seconds varies under a steady demand.
+  /// Confidence margin of that utilisation, in standard deviations of its estimate. The lower the
+  /// rate of long prompts, the more the estimate varies under a steady demand.
   double confidence_deviations = 4.0;
-  /// Changes that are looked ahead, the next one included.
+  /// Look-ahead depth in role changes, including the next one.
   int maximum_steps = 3;
-  /// Weight of the short window's demand against the long one's.
+  /// Weight of the short window's demand; the rest is the weight of the long window.
   double short_window_weight = 0.6;
-  /// Engines of one model that may be away at once: this share, at least one.
+  /// Largest share of a model's engines that may change roles at once; at least one may.
   double maximum_away_share = 0.1;
-  /// Alternatives kept for explanations.
+  /// Maximum number of alternatives in an explanation.
   std::size_t explained_alternatives = 4;
 };
 
@@ -40,36 +40,37 @@
   Plan plan(const PlanningInput& input) override;
 
  private:
-  /// One model's engines and what they can do as they are.
+  /// One model's engines and their capacity with the current roles.
   struct ModelState {
     common::ModelName model;
     ModelDemand demand;
     std::vector<const PlannedEngine*> engines;
     RoleCapacity capacity;
     std::uint32_t under_way = 0;
-    /// Seconds.
+    /// In seconds.
     double time_away = 0;
-    /// The engine of each role that is changed first, in the order of the planner's roles; null if
-    /// none may be changed.
+    /// The least busy engine of each role, in the order of kRoles, which would be changed first;
+    /// null if none may be changed.
     std::array<const PlannedEngine*, 3> least_busy{};
-    /// Long prompts strain the engines, so waiting for them counts.
+    /// Whether answers delayed by queueing behind long prompts count.
     bool queueing_matters = false;
   };
-  /// One demand on one model, with the answers lost a second by the engines in each role. Ways that
-  /// end in equal numbers share one entry, which takes a model's engines as alike.
+  /// Forecast for one demand on one model: a cache of the answers lost per second, by the number of
+  /// engines in each role. Paths to the same numbers share an entry, which assumes that a model's
+  /// engines are alike.
   struct Forecast {
     const ModelState& state;
     const DemandRate& demand;
-    /// Of each change after the first, in answers.
+    /// Cost of each change after the first, in answers.
     double weight = 0;
     std::map<std::array<double, 3>, double> rates = {};
   };
-  /// A way of changing roles: what is lost on it over the horizon.
+  /// State on a path of successive role changes within the horizon.
   struct Path {
     RoleCapacity capacity;
-    /// Engines in each role, in the order of kRoles, that may still be moved.
+    /// Engines in each role that may still be moved, in the order of kRoles.
     std::array<std::size_t, 3> movable{};
-    /// Seconds left of the horizon.
+    /// Seconds remaining of the horizon.
     double remaining = 0;
     int steps = 0;
   };
@@ -78,19 +79,19 @@
   void planModel(const ModelState& state, const configuration::PlanningPolicy& policy, Plan& plan);
   std::vector<PlanAlternative> evaluateAlternatives(
       const ModelState& state, const configuration::PlanningPolicy& policy) const;
-  /// \return answers lost a second.
+  /// \return answers lost per second.
   double lostRate(const ModelState& state, const RoleCapacity& capacity,
                   const DemandRate& demand) const;
-  /// \return the same, remembered.
+  /// \return the same, cached in the forecast.
   double lostRate(Forecast& forecast, const RoleCapacity& capacity) const;
-  /// \return answers lost until the path's horizon, with the best further changes and their weight.
+  /// \return answers lost until the horizon with the best further changes, including their weight.
   double lostOnPath(Forecast& forecast, const Path& path) const;
-  /// \return the same if `engine` goes to `to` next, without the weight of that change.
+  /// \return the same if `engine` changes to `to` next, excluding the weight of that change.
   double lostByMove(Forecast& forecast, Path path, const PlannedEngine& engine,
                     engines::EngineRole to) const;
   bool queueingMatters(const ModelState& state) const;
   Path initialPath(const ModelState& state, double horizon) const;
-  /// \return answers gained over the horizon, by the short and the long window's forecasts.
+  /// \return answers gained over the horizon, combining the short and the long window's forecasts.
   double benefit(Forecast& recent, Forecast& past, const PlannedEngine& engine,
                  engines::EngineRole to, double horizon) const;
   const PlannedEngine* leastBusyEngine(const ModelState& state, engines::EngineRole role) const;
--- a/tests/planning/disaggregated_planner_test.cpp
+++ b/tests/planning/disaggregated_planner_test.cpp
@@ -13,10 +13,10 @@
 
 using engines::EngineRole;
 
-/// Share of the engines that may be away at once in these tests.
+/// Share of the engines that may change roles at once in these tests.
 constexpr double kMaximumAwayShare = 0.12;
 
-/// Speeds of the engines of these tests.
+/// Engine speeds used in these tests.
 PlannedEngine speeds() {
   PlannedEngine engine;
   engine.prefill_tokens_per_second = 50000;
@@ -34,7 +34,8 @@
   return input;
 }
 
-/// Prompts of 0.1 s that keep `prefill_engines` busy, and others that keep `decode_engines` busy.
+/// Prompts of 0.1 s that fully occupy `prefill_engines` engines, and others that occupy
+/// `decode_engines`.
 DemandRate demandOf(double prefill_engines, double decode_engines) {
   DemandRate rate;
   rate.requests_per_second = 10 * prefill_engines + 30 * decode_engines;
@@ -88,7 +89,7 @@
     PlanningInput input = zoneOf(24, 36);
     setWindows(input, demandOf(30, 10), demandOf(30, 10));
     const Plan plan = planner_.plan(input);
-    // 12% of 60 engines may be away at once.
+    // 12% of 60 engines may change roles at once.
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, plan.changes.size());
     for (const RoleChange& change : plan.changes) {
       CPPUNIT_ASSERT(change.role == EngineRole::kPrefill);
@@ -114,9 +115,9 @@
     CPPUNIT_ASSERT(plan.changes.front().role == EngineRole::kDecode);
   }
 
-  /// Whatever the demand, no engine goes back, and the roles come to rest.
+  /// Under any constant demand, no engine changes its role twice and the changes end.
   void settlesUnderConstantDemand() {
-    testing::requireProperty("roles settle", 200, [this] {
+    testing::requireProperty("role changes end under constant demand", 200, [this] {
       PlanningInput input = zoneOf(*rc::gen::inRange(1, 40), *rc::gen::inRange(1, 40));
       const DemandRate rate = demandOf(*rc::gen::inRange(0, 100), *rc::gen::inRange(0, 100));
       setWindows(input, rate, rate);
@@ -134,7 +135,7 @@
           engine->role = change.role;
         }
       }
-      RC_FAIL("roles don't settle");
+      RC_FAIL("role changes don't end");
     });
   }
 
@@ -176,7 +177,7 @@
   void outputOfConcurrentStreamsSharesSteps() {
     PlanningInput input = zoneOf(24, 12);
     DemandRate rate = demandOf(5, 4);
-    // 12 engines generate some 61,000 tokens a second with all places taken.
+    // 12 engines generate some 61,000 tokens per second with all stream slots in use.
     rate.decode_tokens_per_second = 20000;
     setWindows(input, rate, rate);
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
@@ -185,7 +186,7 @@
     CPPUNIT_ASSERT(!planner_.plan(input).changes.empty());
   }
 
-  /// Decode engines compute prompts at half the speed: with little output to generate they earn
+  /// Decode engines compute prompts at half speed, so with little output to generate they are worth
   /// more as prefill engines.
   void flexiblePromptsMoveIdleDecodeEngines() {
     PlanningInput input = zoneOf(8, 16);
@@ -208,10 +209,10 @@
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
-  /// Only changeable engines, each once, all to one role, no more than may be away, and an engine
-  /// left in each role.
+  /// A plan changes only changeable engines, each once, all to the same role, no more than may
+  /// change at once, and leaves an engine in each role.
   void plansStayWithinLimits() {
-    testing::requireProperty("plans keep their bounds", 500, [this] {
+    testing::requireProperty("plans stay within their limits", 500, [this] {
       const int prefill = *rc::gen::inRange(0, 40);
       const int decode = *rc::gen::inRange(0, 40);
       PlanningInput input = zoneOf(prefill, decode);
@@ -247,7 +248,7 @@
   }
 
  private:
-  /// \return of 20 engines, those left for output by prompts that ask for all of them and more
+  /// \return how many of 20 engines remain decode engines when prompts could occupy twice as many
   static int decodeEnginesLeft(const DisaggregatedPlannerSettings& settings) {
     DisaggregatedPlanner planner(settings);
     int decode = 10;
--- a/tests/planning/planned_zone.h
+++ b/tests/planning/planned_zone.h
@@ -1,4 +1,4 @@
-/// Engines and demand of one zone, as planners see them.
+/// Planner input for a zone with one model.
 #pragma once
 
 #include <string>
@@ -9,10 +9,10 @@
 
 namespace cypresswall::testing {
 
-/// The one model of these zones.
+/// The only model of these zones.
 inline const common::ModelName kPlannedModel = "m";
 
-/// \return an engine that takes work and may be changed, with the speeds of `like`
+/// \return an available, changeable engine with the speeds of `like`
 inline planning::PlannedEngine plannedEngine(int number, engines::EngineRole role,
                                              planning::PlannedEngine like) {
   like.name = std::string("e").append(std::to_string(100 + number));
@@ -23,7 +23,7 @@
   return like;
 }
 
-/// \return engines with the speeds of `like`, as many of each role as given, named e100 and on
+/// \return the given number of engines per role, with the speeds of `like`, named from e100 on
 inline planning::PlanningInput plannedZone(
     const planning::PlannedEngine& like,
     const std::vector<std::pair<engines::EngineRole, int>>& counts) {
--- a/tests/planning/role_planner_test.cpp
+++ b/tests/planning/role_planner_test.cpp
@@ -13,7 +13,7 @@
 
 using engines::EngineRole;
 
-/// Speeds of the engines of these tests.
+/// Engine speeds used in these tests.
 PlannedEngine speeds() {
   PlannedEngine engine;
   engine.prefill_tokens_per_second = 16000;
@@ -33,8 +33,8 @@
                                          {EngineRole::kDecode, decode}});
 }
 
-/// Mixed engines under one zone's part of the load of the scenario portavia-ship-berths while the
-/// ship berths, times `load`.
+/// Mixed engines under one zone's share of the peak load of the scenario portavia-ship-berths,
+/// multiplied by `load`.
 PlanningInput longPromptZone(int engines, double load) {
   PlanningInput input = zoneOf(engines, 0, 0);
   const DemandRate rate{8.25 * load, 20000 * load, 750 * load, 3.25 * load, 19500 * load};
@@ -135,7 +135,7 @@
   }
 
   void planSettlesUnderConstantDemand() {
-    testing::requireProperty("constant demand ends in no change, without a circle", 200, [] {
+    testing::requireProperty("role changes end under constant demand", 200, [] {
       PlanningInput input =
           zoneOf(*rc::gen::inRange(0, 5), *rc::gen::inRange(0, 5), *rc::gen::inRange(1, 6));
       const DemandRate rate{static_cast<double>(*rc::gen::inRange(1, 100)),
@@ -165,7 +165,8 @@
   void longPromptsGetPrefillEngines() {
     RolePlanner planner({});
     PlanningInput input = longPromptZone(3, 1.0);
-    // While one of three engines is away the others are full: that takes minutes to pay off.
+    // While one of three engines changes, the other two are saturated, which takes minutes to pay
+    // off.
     input.policy.horizon = std::chrono::seconds(240);
     std::size_t changes = 0;
     for (Plan plan = planner.plan(input); !plan.changes.empty(); plan = planner.plan(input)) {
@@ -186,7 +187,7 @@
   void lowOrUncertainLongPromptLoadChangesNothing() {
     RolePlanner planner({});
     CPPUNIT_ASSERT(planner.plan(longPromptZone(3, 0.5)).changes.empty());
-    // The same strain of fewer, longer prompts may be chance.
+    // With fewer, longer prompts the same utilisation may be a random fluctuation.
     PlanningInput input = longPromptZone(3, 1.0);
     for (DemandRate* rate : {&input.demand["m"].short_window, &input.demand["m"].long_window}) {
       rate->long_requests_per_second /= 4;
