--- a/src/cypresswall/routing/long_prompt_tracker.cpp
+++ b/src/cypresswall/routing/long_prompt_tracker.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// An engine later than this with its last prompt is no place to copy from.
+/// An engine later than this with its prompts may have failed, so nothing is copied from it.
 constexpr double kOverdueSeconds = 0.4;
 
 }  // namespace
@@ -100,14 +100,15 @@
                                           bool computed) {
   if (!computed) {
     for (std::size_t i = ended.held_pieces; i < ended.shape.pieces.size(); ++i) {
-      // Another prompt may be computing the same piece.
+      // Keep pieces that another prompt is still computing.
       if (!beingComputed(slot, ended.shape.pieces[i])) {
         prefixes_.removed(slot, ended.shape.pieces[i]);
       }
     }
     return;
   }
-  // Said once more: a prompt that was to compute them before this one may have been given up.
+  // Record the pieces again: an earlier prompt that should have computed them may have been
+  // abandoned.
   prefixes_.usedBy(slot, ended.shape, clock_.now());
   if (ended.output != kNoEngineSlot) {
     prefixes_.usedBy(ended.output, ended.shape, clock_.now());
--- a/src/cypresswall/routing/long_prompt_tracker.h
+++ b/src/cypresswall/routing/long_prompt_tracker.h
@@ -1,6 +1,6 @@
-/// The long prompts under way on the zone's engines, sent by this node and, as far as told, by its
+/// Tracks the long prompts in progress on the zone's engines, sent by this node or announced by its
 /// peers: how long each engine will be busy with them, which cached pieces are still being
-/// computed, and the speed that engines showed.
+/// computed, and the engines' measured speed.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 
 namespace cypresswall::routing {
 
-/// Writes the backlogs and speeds into the estimates that the router weighs.
+/// Writes the backlogs and speeds into the router's estimates.
 class LongPromptTracker final : public WorkExchange::Listener {
  public:
   /// \pre all references outlive this object, which becomes the listener of the directory's work
@@ -28,21 +28,21 @@
   LongPromptTracker(const LongPromptTracker&) = delete;
   LongPromptTracker& operator=(const LongPromptTracker&) = delete;
 
-  /// Notes that this node sent a prompt; one that takes the engine no more than a step is left out.
-  /// \param output engine that takes the KV cache over, or kNoEngineSlot
+  /// Records that this node sent a prompt. Prompts that take no more than one step are ignored.
+  /// \param output engine that receives the KV cache, or kNoEngineSlot
   void started(const std::string& stream_id, EngineSlot engine, EngineSlot output,
                const PromptWork& prompt, const common::PromptShape& shape);
   void computed(const std::string& stream_id) { end(stream_id, true); }
-  /// The attempt ended; does nothing after computed().
+  /// The attempt ended. Does nothing after computed().
   void abandoned(const std::string& stream_id) { end(stream_id, false); }
 
-  /// \return true if the engine was sent the piece, but has not computed it yet
+  /// \return true if the engine was sent the piece but has not computed it yet
   bool beingComputed(EngineSlot engine, common::PieceHash piece) const;
-  /// \return true if the engine is so late with a prompt that it may be gone
+  /// \return true if the engine is so late with a prompt that it may have failed
   bool overdue(EngineSlot engine) const;
-  /// Brings an engine's estimate up to date; called at each of its reports.
+  /// Updates an engine's estimate; called at each of its reports.
   void refresh(EngineSlot engine);
-  /// The engine restarted, or the slot has another engine.
+  /// Drops the state of an engine that restarted or whose slot was reassigned.
   void forgetEngine(EngineSlot engine);
 
   void onPeerStarted(EngineSlot engine, EngineSlot output, PromptKey key,
@@ -50,19 +50,19 @@
   void onPeerEnded(EngineSlot engine, PromptKey key, const EndedPrompt& prompt) override;
 
  private:
-  /// One of this node's prompts.
+  /// A prompt sent by this node.
   struct LocalPrompt {
     EngineSlot engine = kNoEngineSlot;
     std::uint32_t number = 0;
   };
-  /// Pieces that one prompt makes an engine hold.
+  /// A prompt being computed, and the pieces that the engine will hold afterwards.
   struct ActivePrompt {
     PromptKey key = 0;
     common::PromptShape shape;
-    /// So many of them, from the first on, it held before.
+    /// Number of leading pieces that the engine already held.
     std::size_t held_pieces = 0;
     EngineSlot output = kNoEngineSlot;
-    /// Seconds that the engine's declared speed promises; zero if a copy is part of it.
+    /// Seconds by the engine's declared speed; zero if a copy is part of it.
     double nominal = 0;
   };
   struct Engine {
@@ -74,13 +74,13 @@
   Engine& engineAt(EngineSlot slot);
   bool isLong(const PromptWork& prompt) const;
   void add(EngineSlot slot, EngineSlot output, PromptKey key, const StartedPrompt& prompt);
-  /// Brings the index of cached pieces up to date at the end of a prompt.
+  /// Updates the prefix index at the end of a prompt.
   void updatePrefixIndex(EngineSlot slot, const ActivePrompt& ended, bool computed);
   void remove(EngineSlot slot, PromptKey key, bool computed);
   void end(const std::string& stream_id, bool computed);
-  /// Learns the engine's speed from a prompt that it has just computed.
+  /// Updates the engine's learned speed from a prompt that it has just computed.
   void learnSpeed(EngineSlot slot, const ActivePrompt& computed);
-  /// Writes what is known of the engine's speed into its estimate.
+  /// Writes the engine's learned speed into its estimate.
   void publishSpeed(EngineSlot slot);
   void publishBacklog(EngineSlot slot);
 
--- a/src/cypresswall/routing/offers.h
+++ b/src/cypresswall/routing/offers.h
@@ -1,5 +1,5 @@
-/// What one engine would make of one request: expected times, and the cost by which engines are
-/// compared. Inline, since a choice weighs every engine of the zone within microseconds.
+/// Expected times of one request on one engine, and the cost by which engines are compared. Inline,
+/// because each choice evaluates every engine of the zone within microseconds.
 #pragma once
 
 #include <algorithm>
@@ -11,10 +11,11 @@
 
 namespace cypresswall::routing {
 
-/// Added to the cost of an engine that can't meet the limits, so that any that can goes first.
+/// Added to the cost of an engine that can't meet the limits, so that any engine that can is
+/// preferred.
 inline constexpr double kLatePenalty = 100.0;
 
-/// A request in the model's numbers; times in seconds.
+/// The work of a request; times in seconds.
 struct RequestWork {
   double prompt_tokens = 0;
   double decode_tokens = 0;
@@ -22,48 +23,50 @@
   double between_tokens_limit = 0;
   double inverse_first_token_limit = 0;
   double inverse_between_tokens_limit = 0;
-  /// Piece of the prompt by which equal prompts meet, or zero if it has none that is worth it.
+  /// Piece that keys prefix affinity: prompts with the same piece are routed to the same engine.
+  /// Zero if the shared prefix is too short.
   std::uint64_t affinity = 0;
   /// Tokens up to the end of that piece.
   double affinity_tokens = 0;
 };
 
-/// What an engine has to do before it holds the whole prompt, in tokens.
+/// Work of an engine until it holds the whole prompt, in tokens.
 struct PromptWork {
-  /// Computed by the engine itself.
+  /// Computed by the engine.
   double uncached = 0;
-  /// Copied from another engine that holds them.
+  /// Copied from another engine's cache.
   double copied = 0;
-  /// Held by the engine already.
+  /// Already in the engine's cache.
   double cached = 0;
 
-  /// \return pairs of a token that is computed with one before it
+  /// \return number of pairs of a computed token and an earlier one, for the cost of attention
   double pairs() const {
     constexpr double kHalf = 0.5;
     return uncached * (cached + copied + kHalf * uncached);
   }
 };
 
-/// What one engine, or a prefill and a decode engine together, would make of it; in seconds.
+/// Expected times of a request on one engine, or on a prefill and a decode engine together; in
+/// seconds.
 struct Offer {
   double cost = 0;
-  /// Cost that others bear if prompts wait at every engine: the time for which the prompt occupies
-  /// the engine, and the cached tokens that give way to copied ones. No part of `cost`.
+  /// Cost to other requests when prompts queue at every engine: the time for which the prompt
+  /// occupies the engine, and the cached tokens displaced by copied ones. Not part of `cost`.
   double occupancy = 0;
   double wait = 0;
   double first_token = 0;
   double between_tokens = 0;
-  /// Time between tokens that is still accepted.
+  /// Largest acceptable time between tokens.
   double step_limit = 0;
-  /// The wait makes the first token late; an engine without a queue is never called late.
+  /// Queueing makes the first token late; never set for an engine without a queue.
   bool late = false;
-  /// The prompt would hold up the output of a decode engine, though prefill engines exist for it.
+  /// The prompt would delay the output of a decode engine although prefill engines exist.
   bool delays_decode = false;
 
   bool meetsLimits() const { return !late && !delays_decode && between_tokens <= step_limit; }
 };
 
-/// Formulas of offers under one router's settings.
+/// Computes offers with one router's settings.
 class OfferModel {
  public:
   explicit OfferModel(const RouterSettings& settings)
@@ -75,7 +78,7 @@
         copy_base_(common::toSeconds(settings.prefix_copy_base)),
         kv_per_token_(common::toSeconds(settings.kv_transfer_per_thousand_tokens) / kThousand) {}
 
-  /// An engine that runs the whole request.
+  /// \return the offer of an engine that runs the whole request
   Offer whole(const CostInputs& engine, const RequestWork& work, const PromptWork& prompt,
               double now) const {
     Offer offer;
@@ -86,7 +89,7 @@
     setCost(offer, work, engine);
     return offer;
   }
-  /// An engine that only computes the prompt.
+  /// \return the offer of an engine that only computes the prompt
   Offer prefill(const CostInputs& engine, const RequestWork& work, const PromptWork& prompt,
                 double now) const {
     Offer offer;
@@ -96,25 +99,25 @@
     setCost(offer, work, engine);
     return offer;
   }
-  /// \return seconds from sending the prompt to an engine without a queue until it is computed
+  /// \return seconds from sending the prompt until it is computed, without queueing
   double promptSeconds(const CostInputs& engine, const PromptWork& prompt) const {
     return engine.prefill_way + occupyingSeconds(engine, prompt);
   }
-  /// \return seconds for which the prompt keeps the engine from others
+  /// \return seconds for which the prompt occupies the engine
   double occupyingSeconds(const CostInputs& engine, const PromptWork& prompt) const {
     return computingSeconds(engine, prompt) + copyingSeconds(engine, prompt.copied);
   }
-  /// \return seconds until the engine will be through with the prompts that it has
+  /// \return seconds until the engine will have computed the prompts that it already has
   static double prefillWait(const CostInputs& engine, double now) {
     const double queue = std::max(0.0, engine.queue_empty_at - now) + engine.unreported_wait;
     return std::max(queue, backlogWait(engine, now));
   }
-  /// \return seconds that the engine computes the prompt's uncached tokens
+  /// \return seconds to compute the prompt's uncached tokens
   static double computingSeconds(const CostInputs& engine, const PromptWork& prompt) {
     return prompt.uncached * engine.seconds_per_prefill_token +
            prompt.pairs() * engine.prefill_seconds_per_pair;
   }
-  /// \return seconds that the KV cache of so many tokens takes from another engine
+  /// \return seconds to copy the KV cache of `tokens` tokens from another engine
   double copyingSeconds(const CostInputs& engine, double tokens) const {
     if (tokens <= 0) {
       return 0;
@@ -123,7 +126,7 @@
         engine.kv_seconds_per_token > 0 ? engine.kv_seconds_per_token : kv_per_token_;
     return copy_base_ + per_token * tokens;
   }
-  /// An engine that takes over a computed prompt.
+  /// \return the offer of an engine that receives a computed prompt
   Offer decode(const CostInputs& engine, const RequestWork& work, double now) const {
     Offer offer;
     offer.wait = wait(engine, now);
@@ -132,7 +135,7 @@
     setCost(offer, work, engine);
     return offer;
   }
-  /// \param decode_engine the engine behind `decode`
+  /// \param decode_engine the engine of `decode`
   Offer combined(const Offer& prefill, const Offer& decode, const CostInputs& decode_engine,
                  const RequestWork& work) const {
     Offer offer = decode;
@@ -151,7 +154,7 @@
     return prefillWait(engine, now) + engine.slot_wait;
   }
 
-  /// An engine that is late with its prompts by some time is expected to need as long again.
+  /// An engine that is overdue with its prompts is expected to need as much time again.
   static double backlogWait(const CostInputs& engine, double now) {
     return engine.has_backlog ? std::abs(engine.backlog_empty_at - now) : 0.0;
   }
@@ -168,7 +171,7 @@
     offer.late = offer.wait > negligible_wait_ && offer.first_token > work.first_token_limit;
     offer.cost = offer.first_token * work.inverse_first_token_limit +
                  between_weight_ * offer.between_tokens * work.inverse_between_tokens_limit;
-    // The cost itself ranks late engines among each other; written without branches.
+    // The cost still ranks engines that miss the limits. Without branches, for speed.
     const bool misses = offer.late | (offer.between_tokens > offer.step_limit);
     offer.cost += misses ? kLatePenalty : 0.0;
   }
@@ -183,7 +186,7 @@
 };
 
 /// \param engine the engine that generates the output
-/// \return the time until the offer's queue, and the number of streams, are short enough for the
+/// \return seconds until the offer's queue and the number of streams have shrunk enough to meet the
 ///   limits; zero if the offer meets them.
 double secondsUntilWithinLimits(const Offer& offer, const RequestWork& work,
                                 const EngineEstimate& engine);
--- a/src/cypresswall/routing/output_speed.h
+++ b/src/cypresswall/routing/output_speed.h
@@ -1,4 +1,4 @@
-/// How long decode steps really take, learnt from answers that were given whole.
+/// Learns the actual duration of decode steps from completed answers.
 #pragma once
 
 #include <map>
@@ -10,24 +10,24 @@
 
 namespace cypresswall::routing {
 
-/// Learns, by model, the factor between the time that output takes and what the engines' declared
-/// or assumed steps promise. Pure state.
+/// Learns, per model, the ratio of measured output time to the nominal time from the engines'
+/// declared or assumed step durations. Has no clock and does no I/O.
 class OutputSpeedEstimator {
  public:
   explicit OutputSpeedEstimator(const OutputSpeedSettings& settings) : settings_(settings) {}
 
-  /// The first token of an answer was received.
-  /// \param promised seconds that the rest of the output should take; zero if it is too short to
-  ///   tell of the time of a step
+  /// Records that the first token of an answer was received.
+  /// \param nominal expected seconds for the rest of the output; zero if it is too short to measure
+  ///   the duration of a step
   void begin(const std::string& stream_id, const common::ModelName& model, double nominal,
              double now);
-  /// The answer was given whole, at `now`.
+  /// Records that the answer was completed at `now`.
   void complete(const std::string& stream_id, double now);
-  /// The stream ended, in whatever way.
+  /// Drops the stream, which ended in any way.
   void forget(const std::string& stream_id) { running_.erase(stream_id); }
-  /// \return the factor on the promised time of a step
+  /// \return the factor on the nominal duration of a step
   double scale(const common::ModelName& model) const;
-  /// \return seconds for which a stream that is seen running goes on, in the mean; zero until known
+  /// \return mean remaining seconds of a stream observed while running; zero until known
   double remainingSeconds(const common::ModelName& model) const;
 
  private:
@@ -39,7 +39,7 @@
   struct Sums {
     double nominal = 0;
     double measured = 0;
-    /// Of all answers, whatever their length.
+    /// Over all answers, including those too short to measure a step.
     double seconds = 0;
     double squared_seconds = 0;
   };
--- a/src/cypresswall/routing/permit_router.h
+++ b/src/cypresswall/routing/permit_router.h
@@ -1,4 +1,4 @@
-/// Places requests only on engines that the fleet's limits leave a request for.
+/// Places requests only on engines within the fleet-wide rate limits.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 namespace cypresswall::routing {
 
-/// Passes everything on to the router that it wraps. A place on engines that named a limit is given
-/// once a permit was had of each; where one is refused, another engine is chosen. Both engines of a
-/// route are asked for before anything is sent: a computed prompt that the other engine then
-/// doesn't take would be lost.
+/// Decorates a router. A route over rate-limited engines is used only once a permit was granted for
+/// each of them; if a permit is refused, another engine is chosen. Permits for both engines of a
+/// route are acquired before anything is sent, since a prompt computed for an engine that then
+/// can't take it would be lost.
 class PermitRouter final : public Router {
  public:
   /// \pre all references outlive this object
@@ -47,13 +47,13 @@
   }
 
  private:
-  /// A request that waits for permits.
+  /// A request that is waiting for permits.
   struct PendingPlacement {
     std::uint64_t number = 0;
     RouteRequest request;
     PlacementCallback done;
     Route route;
-    /// Engines of the route of which a permit is still to be had, the next one last.
+    /// Engines of the route that still need a permit; the next one is last.
     std::vector<common::EngineName> needed;
   };
 
@@ -66,7 +66,7 @@
   const api::ProcessContext& context_;
   Router& router_;
   fleet_limits::RateLimiter& limiter_;
-  /// By stream.
+  /// By stream ID.
   std::unordered_map<std::string, PendingPlacement> pending_;
   std::uint64_t next_number_ = 1;
 };
--- a/src/cypresswall/routing/placement_messages.cpp
+++ b/src/cypresswall/routing/placement_messages.cpp
@@ -6,8 +6,8 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Engines that one request may have tried in vain, pieces of one prompt, tokens and times: all far
-/// above what is asked, so that a broken peer can't make a node work for long.
+/// Limits on excluded engines, prompt pieces, tokens and times in one request. All are far above
+/// legitimate values and bound the work that a faulty peer can cause.
 constexpr std::size_t kMaximumExcluded = 64;
 constexpr std::size_t kMaximumPieces = 16384;
 constexpr std::uint32_t kMaximumTokens = 1U << 28U;
--- a/src/cypresswall/routing/placement_messages.h
+++ b/src/cypresswall/routing/placement_messages.h
@@ -1,5 +1,5 @@
-/// Messages by which a node asks the owner of a group of engines for a place, and tells it what
-/// became of the attempt.
+/// Messages by which a node asks the owner of an engine group to place a request, and reports the
+/// progress of the attempt.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +19,12 @@
 
 namespace cypresswall::routing {
 
-/// Asks for a place on one of a group's engines. Fields as in RouteRequest; times in microseconds.
+/// Asks for a placement on one of a group's engines. Fields as in RouteRequest; times in
+/// microseconds.
 struct PlacementRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 5);
 
-  /// Tells the answers to several requests for one stream apart.
+  /// Matches answers to requests, since one stream may send several.
   std::uint64_t number = 0;
   std::string group;
   std::string stream_id;
@@ -49,13 +50,13 @@
   kPlaced = 0,
   /// No engine of the group can meet the limits.
   kOverloaded = 1,
-  /// The node can't choose now: it is no owner of the group, or knows no engine that may get work.
+  /// The node can't choose now: it doesn't own the group, or knows no engine that may get work.
   kUnable = 2,
   /// No engine is known to serve the model.
   kUnknownModel = 3,
 };
 
-/// An engine as messages name it.
+/// Identifies an engine in messages.
 struct PlacedEngine {
   common::EngineName name;
   common::Address address;
@@ -71,7 +72,7 @@
   std::string stream_id;
   PlacementOutcome outcome = PlacementOutcome::kUnable;
   PlacedEngine engine;
-  /// Empty names: the same engine computes the prompt; nothing is copied.
+  /// An empty name means that `engine` computes the prompt, or that nothing is copied.
   PlacedEngine prefill_engine;
   PlacedEngine prefix_source;
   std::string version;
@@ -93,25 +94,25 @@
                  retry_after, report_age, message)
 };
 
-/// How far an attempt got.
+/// Progress of an attempt.
 enum class AttemptStep : std::uint8_t {
   kPromptComputed = 0,
   kFirstToken = 1,
-  /// Ended with its whole answer.
+  /// Ended with a complete answer.
   kCompleted = 2,
-  /// Ended otherwise; also gives back a place that is not used.
+  /// Ended without a complete answer; also releases a placement that is not used.
   kEnded = 3,
   kFailed = 4,
 };
 
-/// Tells the owner that gave a place what became of the attempt. Nothing is sent again: a lost
-/// message costs worse estimates until the engine's next reports.
+/// Reports the progress of an attempt to the owner that placed it. Never retransmitted: a lost
+/// message only makes estimates less accurate until the engine's next reports.
 struct AttemptProgress {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 7);
 
   std::string stream_id;
   AttemptStep step = AttemptStep::kEnded;
-  /// Of a failed attempt: where, and how.
+  /// For a failed attempt: the engine and the kind of failure.
   common::EngineName engine;
   engines::StreamFailure failure = engines::StreamFailure::kNotTried;
 
@@ -119,7 +120,7 @@
 };
 
 PlacementRequest toMessage(const RouteRequest& request);
-/// \return false if the message can't be of a well-behaved node
+/// \return false if the message is invalid
 bool fromMessage(const PlacementRequest& message, RouteRequest& request);
 PlacementAnswer toMessage(const RouteChoice& choice);
 Route routeOf(const PlacementAnswer& answer);
--- a/src/cypresswall/routing/placement_router.cpp
+++ b/src/cypresswall/routing/placement_router.cpp
@@ -9,7 +9,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Above this many, owners that answer again are forgotten.
+/// Size of the table of unresponsive owners above which expired entries are removed.
 constexpr std::size_t kMaximumUnresponsiveOwners = 256;
 
 }  // namespace
@@ -204,7 +204,7 @@
 void PlacementRouter::onRefusal(PendingRequest& pending, const PlacementAnswer& answer) {
   pending.refusal = refusalOf(answer);
   if (answer.outcome == PlacementOutcome::kOverloaded) {
-    // The group's other owner knows no better.
+    // The group's other owner sees the same engines and would refuse as well.
     std::erase_if(pending.candidates, [&pending](const Candidate& candidate) {
       return candidate.group == pending.asked.group;
     });
@@ -243,7 +243,7 @@
   local_.abandonPlacement(stream_id);
 }
 
-/// An answer that came twice must not take back the place in use.
+/// A duplicated answer must not release the placement that is in use.
 void PlacementRouter::releaseUnlessInUse(const common::NodeId& owner,
                                          const std::string& stream_id) {
   const auto placed = remote_placements_.find(stream_id);
--- a/src/cypresswall/routing/placement_router.h
+++ b/src/cypresswall/routing/placement_router.h
@@ -1,7 +1,7 @@
-/// The asking side of placing: where this node decides about the engines itself it chooses at once,
-/// elsewhere it asks the owners of the groups in which the prompt is at home, one after the other,
-/// and tells the one that gave a place what becomes of the attempt. What waits for an owner waits
-/// for a bounded time; an owner that is silent is passed over.
+/// The requesting side of placement. A node that decides about the engines chooses locally. Other
+/// nodes ask the owners of the prompt's home groups one after the other and report the progress of
+/// the attempt to the owner that placed it. The wait for each owner is bounded; owners that don't
+/// answer are skipped.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 class PlacementRouter final : public Router {
  public:
   /// Registers the handler of PlacementAnswer.
-  /// \param local chooses among the engines that this node decides about
+  /// \param local chooses among the engines that this node decides about itself
   /// \pre all references outlive this object
   PlacementRouter(const PlacementSettings& settings, const RouterSettings& router_settings,
                   const api::ProcessContext& context, EngineDirectory& directory, Router& local);
@@ -39,16 +39,16 @@
   void attemptFailed(const std::string& stream_id, const common::EngineName& engine,
                      engines::StreamFailure failure) override;
 
-  /// \return requests that wait for an owner's answer.
+  /// \return number of requests waiting for an owner's answer.
   std::size_t pendingRequests() const { return pending_.size(); }
 
  private:
-  /// One owner that may be asked.
+  /// An owner that may be asked.
   struct Candidate {
     common::NodeId node;
     std::string group;
   };
-  /// A request that waits for a place.
+  /// A request that is waiting for a placement.
   struct PendingRequest {
     RouteRequest request;
     PlacementCallback done;
@@ -58,20 +58,20 @@
     std::size_t attempts = 0;
     common::TimerId timer = 0;
     common::MonotonicTime asked_at{};
-    /// The last refusal, for when nobody gives a place.
+    /// The last refusal, returned if no owner places the request.
     std::optional<RouteRefusal> refusal;
   };
-  /// A place that another node gave.
+  /// A placement made by another node.
   struct RemotePlacement {
     common::NodeId owner;
-    /// The owner's estimates rest on the time of the first token.
+    /// Whether the owner is sent the time of the first token, which its estimates need.
     bool reports_first_token = false;
     bool completed = false;
   };
 
   std::deque<Candidate> candidatesFor(const RouteRequest& request);
   bool unresponsive(const common::NodeId& node) const;
-  /// Asks the next owner, or chooses here if that is this node, or gives up.
+  /// Asks the next owner, chooses locally if that is this node, or gives up after the last one.
   void tryNextOwner(const std::string& stream_id);
   void sendRequest(PendingRequest& pending, const Candidate& candidate);
   void placeLocally(const std::string& stream_id);
@@ -80,7 +80,7 @@
   void onAnswer(const common::NodeId& sender, const PlacementAnswer& answer);
   void onRefusal(PendingRequest& pending, const PlacementAnswer& answer);
   void releaseUnlessInUse(const common::NodeId& owner, const std::string& stream_id);
-  /// \return true if the place can be used: its engines are known here and may get work
+  /// \return true if the engines of the route are known here and may get work
   bool usable(const Route& route) const;
   bool known(const engines::EngineEndpoint& engine) const;
   void sendProgress(const common::NodeId& owner, const std::string& stream_id, AttemptStep step);
--- a/src/cypresswall/routing/placement_service.cpp
+++ b/src/cypresswall/routing/placement_service.cpp
@@ -54,7 +54,7 @@
     invalid_.add();
     return;
   }
-  // Asked again, or told twice by the network: what was given before is not used.
+  // A repeated or duplicated request: the earlier placement is not used.
   release(request.stream_id);
   router_.abandonPlacement(request.stream_id);
   if (const auto refusal = refusalOfGroup(message.group)) {
--- a/src/cypresswall/routing/placement_service.h
+++ b/src/cypresswall/routing/placement_service.h
@@ -1,5 +1,5 @@
-/// The owner's side of placing: gives other nodes places on the engines of the groups that this
-/// node owns, and follows what becomes of them.
+/// The owner's side of placement: places requests of other nodes on the engines of the groups that
+/// this node owns, and tracks these placements until they are released.
 #pragma once
 
 #include <cstdint>
@@ -21,18 +21,18 @@
   PlacementService(const PlacementSettings& settings, const api::ProcessContext& context,
                    EngineDirectory& directory, Router& router);
 
-  /// \return places that were given and not given back.
+  /// \return number of placements that have not been released.
   std::size_t placements() const { return placements_.size(); }
 
  private:
   struct ActivePlacement {
-    /// The node that got it.
+    /// The node that requested it.
     common::NodeId node;
     common::MonotonicTime created_at{};
   };
 
   void onRequest(const common::NodeId& sender, const PlacementRequest& message);
-  /// \return why this node places nothing in the group; nothing if it does
+  /// \return why this node places no requests in the group; empty if it does
   std::optional<RouteRefusal> refusalOfGroup(const std::string& group);
   void answerWith(const RouteChoice& choice, const common::NodeId& node, std::uint64_t number,
                   const std::string& stream_id);
--- a/src/cypresswall/routing/prefix_index.h
+++ b/src/cypresswall/routing/prefix_index.h
@@ -1,7 +1,7 @@
-/// Which engines hold which pieces of the KV cache, as far as it is known. Fed by what nodes send
-/// to engines, corrected by the engines' cache events, which come late and with gaps. Each engine
-/// is taken to give up the pieces unused for longest once its memory is full, as engines do: under
-/// load a cache turns over within a second, which is less than events take.
+/// Tracks which engines are believed to hold which KV cache pieces. Updated from the prompts that
+/// nodes send to engines, and corrected by the engines' cache events, which are delayed and may
+/// have gaps. Eviction is predicted by assuming that a full engine evicts its least recently used
+/// pieces: under load a cache turns over within a second, which is less than the delay of events.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace cypresswall::routing {
 
-/// Position of an engine in the directory's tables. Stays with an engine's name while the engine
-/// is declared; may be given to another engine later.
+/// Index of an engine in the directory's tables. Fixed while the engine is declared; may be reused
+/// for another engine later.
 using EngineSlot = std::uint16_t;
 inline constexpr EngineSlot kNoEngineSlot = 0xffff;
 
-/// How many pieces of a prompt, from its start, one engine is believed to hold.
+/// Number of leading pieces of a prompt that an engine is believed to hold.
 struct PrefixMatch {
   EngineSlot engine = kNoEngineSlot;
   std::uint32_t pieces = 0;
@@ -30,55 +30,56 @@
  public:
   explicit PrefixIndex(const PrefixIndexSettings& settings) : settings_(settings) {}
 
-  /// Sets the tokens that an engine has memory for; zero if that is not known. Does nothing unless
-  /// caches are foretold.
+  /// Sets an engine's cache capacity in tokens; zero if unknown. Does nothing unless cache contents
+  /// are predicted.
   void setCapacity(EngineSlot engine, std::uint64_t tokens);
-  /// Sets the number of engines that share the memory of the index; as many as were ever named
-  /// unless this is called.
+  /// Sets the number of engines among which the memory of the index is divided. Defaults to the
+  /// number of engines ever recorded.
   void setEngineCount(std::size_t engines) { engine_count_ = engines; }
-  /// Notes that `engine` holds `piece`, and that it was used just now.
-  /// \param tokens length of the piece; zero takes the length known of it, or the usual one
+  /// Records that `engine` holds `piece` and used it at `now`.
+  /// \param tokens length of the piece; zero selects its known length, or else the default one
   void stored(EngineSlot engine, common::PieceHash piece, std::uint32_t tokens,
               common::MonotonicTime now);
-  /// Notes that a prompt of this shape was sent to `engine`, which will hold its pieces. Does
-  /// nothing unless caches are foretold.
+  /// Records that a prompt of this shape was sent to `engine`, which will hold its pieces. Does
+  /// nothing unless cache contents are predicted.
   void expectStored(EngineSlot engine, const common::PromptShape& shape, common::MonotonicTime now);
-  /// Notes that a prompt of this shape uses its pieces at `engine`. The start of a prompt outlives
-  /// its end.
+  /// Records that a prompt of this shape uses its pieces at `engine`. The last pieces of a prompt
+  /// are evicted before the first ones.
   void usedBy(EngineSlot engine, const common::PromptShape& shape, common::MonotonicTime now);
-  /// Notes that `engine` does not hold `piece`.
+  /// Records that `engine` does not hold `piece`.
   void removed(EngineSlot engine, common::PieceHash piece);
-  /// Takes in an event that `engine` gave `piece` up. Where caches are foretold it is passed over
-  /// if the piece was used since: events are late. \return true if it changed what is known
+  /// Processes an event that `engine` evicted `piece`. If cache contents are predicted, the event
+  /// is ignored when the piece was used recently, because events are delayed.
+  /// \return true if the index changed
   bool evictionReported(EngineSlot engine, common::PieceHash piece, common::MonotonicTime now);
-  /// Forgets all that is known of an engine: it restarted, or its slot has another engine.
+  /// Drops all pieces of an engine that restarted or whose slot was reassigned.
   void forgetEngine(EngineSlot engine);
-  /// Lowers the trust in an engine's entries: events were lost. The entries stay, since most of
-  /// them still hold.
+  /// Lowers the trust in an engine's entries because events were lost. The entries are kept, since
+  /// most of them are still valid.
   void gapSeen(EngineSlot engine);
-  /// Restores a part of the trust: a batch of events came without a gap.
+  /// Restores part of the trust after a batch of events without a gap.
   void batchWithoutGap(EngineSlot engine);
-  /// \return the part of matched pieces to count on for this engine, from minimum_trust to 1.
+  /// \return the fraction of matched pieces to rely on for this engine, from minimum_trust to 1.
   double trust(EngineSlot engine) const;
 
   /// Finds the engines that hold the start of a prompt.
   /// \param matches cleared, then filled with the engines that hold at least the first piece
   void match(const std::vector<common::PieceHash>& pieces, std::vector<PrefixMatch>& matches) const;
 
-  /// \return pairs of an engine and a piece that are remembered.
+  /// \return number of recorded pairs of an engine and a piece.
   std::size_t size() const { return size_; }
 
  private:
   using Words = std::vector<std::uint64_t>;
 
-  /// One piece at one engine.
+  /// A piece held by an engine.
   struct HeldPiece {
     common::PieceHash piece = 0;
     std::uint32_t tokens = 0;
     common::MonotonicTime used_at{};
   };
   struct Engine {
-    /// The most recently used first.
+    /// In LRU order, most recently used first.
     std::list<HeldPiece> held;
     std::unordered_map<common::PieceHash, std::list<HeldPiece>::iterator> by_piece;
     std::uint64_t tokens = 0;
@@ -88,7 +89,7 @@
   struct Piece {
     std::uint32_t tokens = 0;
     std::uint32_t holders = 0;
-    /// One bit an engine.
+    /// Bit set indexed by engine slot.
     Words engines;
   };
 
@@ -97,7 +98,7 @@
   void addHolder(EngineSlot engine, common::PieceHash piece, std::uint32_t tokens);
   void removeHolder(EngineSlot engine, common::PieceHash piece);
   void erase(EngineSlot slot, std::list<HeldPiece>::iterator held);
-  /// Gives up what was unused for longest until the engine's memory suffices.
+  /// Evicts least recently used pieces until the engine is within its capacity.
   void evictToCapacity(EngineSlot slot);
 
   PrefixIndexSettings settings_;
--- a/src/cypresswall/routing/prompt_backlog.h
+++ b/src/cypresswall/routing/prompt_backlog.h
@@ -1,5 +1,6 @@
-/// The long prompts that one engine was sent and has not computed yet, by all nodes of the zone as
-/// far as they told, and the time at which it will be through with them. Pure state.
+/// The long prompts that were sent to one engine, by this node or by peers that announced them, and
+/// are not computed yet, and the time at which the engine will have computed them all. Has no clock
+/// and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,34 +11,34 @@
 
 namespace cypresswall::routing {
 
-/// Names one prompt sent to an engine, among all nodes of the zone.
+/// Identifies a prompt sent to an engine, unique among all nodes of the zone.
 using PromptKey = std::uint64_t;
 
-/// Since when an engine was busy with a prompt that just ended.
+/// How long an engine was busy with one prompt.
 struct BusyTime {
   double seconds = 0;
-  /// The engine had nothing before it: the stretch began when the prompt was sent, and holds its
-  /// time on the way.
+  /// The engine was idle before: the time counts from sending the prompt and includes its network
+  /// latency.
   bool includes_latency = false;
 };
 
-/// An engine computes prompts in the order of their arrival, one at a time.
+/// Assumes that an engine computes prompts one at a time in order of arrival.
 class PromptBacklog {
  public:
   /// \param seconds time for which this prompt occupies the engine
   void add(PromptKey key, double started_at, double seconds);
-  /// \return for how long the engine has been busy with this prompt alone, or nothing if that can't
-  ///   be told: others are before it, or the one before it was given up
+  /// \return how long the engine has been busy with this prompt alone. Empty if unknown: other
+  ///   prompts are before it, or the previous one was abandoned.
   std::optional<BusyTime> busyTimeOf(PromptKey key, double now) const;
-  /// Takes out a prompt that was computed or given up.
-  /// \return true if it was there
+  /// Removes a prompt that was computed or abandoned.
+  /// \return true if it was present
   bool remove(PromptKey key, double now, bool computed);
-  /// Takes out prompts that are overdue by more than `limit`: their end was not told.
+  /// Removes prompts overdue by more than `limit`, whose end notice must have been lost.
   void expire(double now, double limit);
 
   bool holds(PromptKey key) const;
   bool empty() const { return prompts_.empty(); }
-  /// \return when the last prompt will be computed; meaningless while empty
+  /// \return when the last prompt will be computed; not meaningful while empty
   double emptyAt() const;
 
  private:
@@ -45,15 +46,15 @@
     PromptKey key = 0;
     double started_at = 0;
     double seconds = 0;
-    /// No other prompt was there when this one came.
+    /// The backlog was empty when this prompt was added.
     bool alone = false;
   };
 
-  /// In the order of their start.
+  /// In order of their start.
   std::vector<Prompt> prompts_;
-  /// When the engine ended the prompt before the first of `prompts_`.
+  /// When the engine finished the prompt before the first of `prompts_`.
   double last_end_ = 0;
-  /// That prompt was computed, at a moment that was told.
+  /// That prompt is known to have been computed at that time.
   bool last_end_known_ = false;
 };
 
--- a/src/cypresswall/routing/prompt_speed.cpp
+++ b/src/cypresswall/routing/prompt_speed.cpp
@@ -6,9 +6,10 @@
 namespace cypresswall::routing {
 namespace {
 
-/// A scale is never taken for smaller than this.
+/// Lower bound of the scale.
 constexpr double kMinimumScale = 1e-4;
-/// Below this part of the largest possible value, samples don't tell way and scale apart.
+/// Minimum determinant, relative to its largest possible value, at which the samples separate the
+/// fixed latency from the scale.
 constexpr double kMinimumRelativeDeterminant = 1e-9;
 
 }  // namespace
@@ -67,7 +68,7 @@
   auto [entry, first] = models_.try_emplace(model);
   ModelSums& sums = entry->second;
   if (first) {
-    // The assumptions count as samples of the first prompt's size.
+    // The prior counts as samples of the first prompt's size.
     sums.ff = settings_.prior_samples;
     sums.fy = settings_.prior_samples * assumed_latency;
     sums.xx = settings_.prior_samples * x * x;
--- a/src/cypresswall/routing/prompt_speed.h
+++ b/src/cypresswall/routing/prompt_speed.h
@@ -1,4 +1,4 @@
-/// How long prompts really take on engines, learnt from those that were computed.
+/// Learns the actual duration of prompts on engines from those that were computed.
 #pragma once
 
 #include <cstdint>
@@ -11,43 +11,45 @@
 
 namespace cypresswall::routing {
 
-/// One computed prompt of which it is known how long its engine took.
+/// A computed prompt with its measured duration.
 struct PromptSample {
-  /// Seconds that the engine's declared or assumed speed promises; positive.
+  /// Expected seconds by the engine's declared or assumed speed; positive.
   double nominal = 0;
-  /// Seconds that it took.
+  /// Measured seconds.
   double measured = 0;
-  /// `taken` was counted from the moment of sending, so that it holds the time on the way as well;
-  /// otherwise from the end of the prompt before it on the same engine.
+  /// `measured` counts from sending the prompt and so includes its fixed latency; otherwise it
+  /// counts from the end of the previous prompt on the same engine.
   bool includes_latency = false;
 };
 
-/// What one prompt takes: `way` + `scale` * the promised seconds.
+/// Duration of a prompt: `fixed_latency` + `scale` * nominal seconds.
 struct PromptSpeed {
-  /// Seconds that every prompt takes beside its computation, without occupying the engine.
+  /// Seconds per prompt in addition to its computation, during which the engine is not occupied.
   double fixed_latency = 0;
-  /// Factor on the promised seconds.
+  /// Factor on the nominal seconds.
   double scale = 1;
 };
 
-/// Learns the way and the scale of each model by weighted least squares, and each engine's own
-/// scale as a moving average that fades into the model's. Pure state.
+/// Learns the fixed latency and the scale of each model by weighted least squares, and each
+/// engine's own scale as a moving average that decays towards the model's. Has no clock and does no
+/// I/O.
 class PromptSpeedEstimator {
  public:
   explicit PromptSpeedEstimator(const PromptSpeedSettings& settings) : settings_(settings) {}
 
-  /// \param assumed_way seconds, counted until samples tell better
-  /// \param now seconds
+  /// \param assumed_latency prior for the fixed latency, in seconds
+  /// \param now in seconds
   void add(const common::ModelName& model, EngineSlot engine, const PromptSample& sample,
            double assumed_latency, double now);
-  /// The engine restarted, or the slot has another engine.
+  /// Drops the scale of an engine that restarted or whose slot was reassigned.
   void forget(EngineSlot engine);
-  /// \param assumed_way as for add()
+  /// \param assumed_latency as for add()
   PromptSpeed speed(const common::ModelName& model, EngineSlot engine, double assumed_latency,
                     double now) const;
 
  private:
-  /// Decayed sums over samples, of f (1 with the way, else 0), x (promised) and y (taken).
+  /// Decayed sums over samples, of products of f (1 if the fixed latency is included, else 0),
+  /// x (nominal seconds) and y (measured seconds).
   struct ModelSums {
     double ff = 0;
     double fx = 0;
@@ -65,8 +67,8 @@
   };
 
   PromptSpeed modelSpeed(const common::ModelName& model, double assumed_latency) const;
-  /// \return the weight of a sample, less the further it is from what was expected: a prompt that
-  ///   was held up, or found less in the cache than believed, says little of the speed
+  /// \return the weight of a sample, which decreases with its deviation from the expected value: a
+  ///   prompt that was delayed, or found less in the cache than predicted, tells little about speed
   double weightOf(double residual, double expected) const;
   double effectiveSamples(const EngineScale& engine, double now) const;
 
--- a/src/cypresswall/routing/router.h
+++ b/src/cypresswall/routing/router.h
@@ -17,7 +17,7 @@
 
 namespace cypresswall::routing {
 
-/// What routing has to know of an attempt.
+/// The properties of an attempt that routing needs.
 struct RouteRequest {
   std::string stream_id;
   common::ModelName model;
@@ -25,37 +25,37 @@
   std::string adapter;
   common::PromptShape shape;
   std::uint32_t maximum_tokens = 0;
-  /// Tokens already given to the caller by earlier attempts.
+  /// Tokens that earlier attempts already delivered to the caller.
   std::uint32_t resume_from = 0;
   std::uint8_t priority = 0;
-  /// Time left until the first token is due.
+  /// Time remaining until the first token is due.
   common::Duration first_token_limit{0};
   common::Duration between_tokens_limit{0};
   /// Engines that already failed or refused this request.
   std::vector<common::EngineName> excluded;
 };
 
-/// The engine chosen, and why.
+/// The chosen engine or engines, with the expected times.
 struct Route {
   engines::EngineEndpoint engine;
-  /// Version of the model that the engine has loaded; differs from the one asked for while a new
-  /// version is being rolled out.
+  /// Model version that the engine has loaded; differs from the requested one while a new version
+  /// is being rolled out.
   std::string version;
-  /// Set when another engine computes the prompt first and hands over the KV cache.
+  /// Set if another engine computes the prompt first and transfers the KV cache.
   std::optional<engines::EngineEndpoint> prefill_engine;
   common::Duration expected_first_token{0};
   common::Duration expected_between_tokens{0};
   std::uint32_t expected_cached_tokens = 0;
-  /// The node that chose, if it was another one.
+  /// The node that chose, if not this one.
   common::NodeId chosen_by;
-  /// Set when the engine that computes the prompt first copies a cached part of it from another.
+  /// Set if the engine that computes the prompt first copies a cached part of it from this engine.
   std::optional<engines::EngineEndpoint> prefix_source;
   std::uint32_t expected_copied_tokens = 0;
-  /// Engines believed to hold a part of the prompt, whether they may get work or not.
+  /// Number of engines believed to hold a part of the prompt, including any that get no new work.
   std::uint32_t known_holders = 0;
-  /// Names the longest part of the prompt that others share; zero if there is none.
+  /// Identifies the longest prefix that other prompts may share; zero if there is none.
   common::PieceHash shared_part = 0;
-  /// Time expected for the prompt alone, and before it begins.
+  /// Expected time to compute the prompt, and expected wait before that.
   common::Duration expected_prompt{0};
   common::Duration expected_wait{0};
 };
@@ -65,7 +65,7 @@
   kOverloaded,    ///< no engine can meet the limits; see RouteRefusal
 };
 
-/// The best engine for a refused request, and what it would have made of it.
+/// The best engine for a refused request, with the expected times there.
 struct RefusedOffer {
   common::EngineName engine;
   common::Duration expected_wait{0};
@@ -78,7 +78,7 @@
 /// Why no engine was chosen.
 struct RouteRefusal {
   RouteFailure reason = RouteFailure::kOverloaded;
-  /// When an attempt would probably be admitted, from the queues' drain time.
+  /// When an attempt would probably be admitted, estimated from the time to drain the queues.
   common::Duration retry_after{0};
   std::string message;
   /// Empty if no engine was available.
@@ -91,10 +91,10 @@
 class Router {
  public:
   virtual ~Router() = default;
-  /// Chooses by what this node knows.
+  /// Chooses with the information of this node only.
   virtual RouteChoice choose(const RouteRequest& request) = 0;
-  /// Chooses, perhaps by asking another node, and notes the attempt as started. `done` is called
-  /// once, before the call returns or later, unless the placement is abandoned.
+  /// Chooses, possibly by asking another node, and records the attempt as started. `done` is called
+  /// once, synchronously or later, unless the placement is abandoned.
   virtual void place(const RouteRequest& request, const PlacementCallback& done) {
     RouteChoice choice = choose(request);
     if (const Route* const route = std::get_if<Route>(&choice)) {
@@ -102,21 +102,22 @@
     }
     done(std::move(choice));
   }
-  /// The request ended before its placement was answered.
+  /// Called when a request ends before its placement is known.
   virtual void abandonPlacement(const std::string&) {}
-  /// Asked again before the second stream of a route that was chosen some time ago.
-  /// \return false if the engine may not be given new work by now: leaving, drained or away
+  /// Checked again before opening the second stream of a route that was chosen earlier.
+  /// \return false if the engine may no longer get new work: leaving, drained or unavailable
   virtual bool takesWork(const engines::EngineEndpoint& engine) const = 0;
-  /// Tells the router what became of a choice, so that its estimates include work that no load
-  /// report shows yet. Each started attempt ends in exactly one of finished and failed.
+  /// The following calls report the progress of an attempt, so that estimates include work that no
+  /// load report shows yet. Each started attempt ends with exactly one of attemptFinished() and
+  /// attemptFailed().
   virtual void attemptStarted(const RouteRequest& request, const Route& route) = 0;
-  /// The first of two engines of a route has computed the prompt.
+  /// The prefill engine of a route has computed the prompt.
   virtual void promptComputed(const std::string& stream_id) = 0;
   virtual void firstTokenReceived(const std::string& stream_id) = 0;
-  /// The attempt gave its whole answer; attemptFinished() follows.
+  /// The attempt delivered its complete answer; attemptFinished() follows.
   virtual void answerCompleted(const std::string& stream_id) = 0;
   virtual void attemptFinished(const std::string& stream_id) = 0;
-  /// \param engine where the attempt failed, of the one or two engines of its route
+  /// \param engine the engine of the route at which the attempt failed
   virtual void attemptFailed(const std::string& stream_id, const common::EngineName& engine,
                              engines::StreamFailure failure) = 0;
 };
--- a/src/cypresswall/routing/shared_part.cpp
+++ b/src/cypresswall/routing/shared_part.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Prompts that share fewer tokens than these needn't meet on one engine.
+/// Shared prefixes shorter than this are not worth routing by affinity.
 constexpr std::uint32_t kMinimumAffinityTokens = 1024;
 
 }  // namespace
--- a/src/cypresswall/routing/unreported_work.cpp
+++ b/src/cypresswall/routing/unreported_work.cpp
@@ -32,7 +32,8 @@
 void UnreportedWork::subtract(const WorkShare& share) {
   EngineEstimate& estimate = estimates_.edit(share.engine);
   --estimate.unreported_streams;
-  // Rounding errors must not build up over millions of attempts.
+  // Reset the sums at zero streams, so that rounding errors don't accumulate over millions of
+  // attempts.
   const double kept = estimate.unreported_streams == 0 ? 0.0 : 1.0;
   estimate.unreported_prefill_tokens =
       kept * std::max(0.0, estimate.unreported_prefill_tokens - share.prefill_tokens);
--- a/src/cypresswall/routing/unreported_work.h
+++ b/src/cypresswall/routing/unreported_work.h
@@ -1,5 +1,5 @@
-/// Work that this node sent to engines and that their load reports can't show yet. Keeps the
-/// unreported part of the estimates.
+/// Tracks work that this node sent to engines and that their load reports can't show yet, and
+/// maintains the unreported part of the estimates.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace cypresswall::routing {
 
-/// What one attempt adds to one engine.
+/// The work that one attempt adds to one engine.
 struct WorkShare {
   EngineSlot engine = kNoEngineSlot;
   double prefill_tokens = 0;
@@ -26,21 +26,21 @@
   UnreportedWork(common::Duration report_slack, EstimateTable& estimates)
       : report_slack_(report_slack), estimates_(estimates) {}
 
-  /// Notes an attempt that takes one place on each engine of `shares`.
+  /// Records an attempt that uses one stream slot on each engine of `shares`.
   void started(const std::string& stream_id, const std::vector<WorkShare>& shares,
                common::MonotonicTime now);
-  /// Notes that the prompt was computed.
+  /// Records that the prompt was computed.
   void firstToken(const std::string& stream_id);
   void ended(const std::string& stream_id);
-  /// Drops from the unreported part what a report of `observed_at` shows.
+  /// Removes work that a load report of `observed_at` includes.
   void reported(EngineSlot engine, common::MonotonicTime observed_at);
-  /// Drops everything unreported of an engine that restarted.
+  /// Removes all unreported work of an engine that restarted.
   void forgetEngine(EngineSlot engine);
-  /// \return attempts that are under way.
+  /// \return number of attempts in progress.
   std::size_t attempts() const { return attempts_.size(); }
 
  private:
-  /// One share in the order of start.
+  /// A share in an engine's queue, which is ordered by start.
   struct Unreported {
     std::uint64_t id = 0;
     common::MonotonicTime started_at{};
--- a/src/cypresswall/routing/work_exchange.h
+++ b/src/cypresswall/routing/work_exchange.h
@@ -1,6 +1,7 @@
-/// Tells the other nodes that decide about an engine at once of each long prompt that this node
-/// sends to it, and of its end. Load reports come too late for that: such a prompt holds an engine
-/// for a tenth of a second and more, and reports are a few tenths old.
+/// Notifies the other nodes that decide about an engine immediately of the start and end of each
+/// long prompt that this node sends to it. Load reports are too slow for that: such a prompt
+/// occupies an engine for a tenth of a second or more, and reports are a few tenths of a second
+/// old.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +17,22 @@
 /// A long prompt that was sent to an engine.
 struct StartedPrompt {
   common::EngineName engine;
-  /// Counts up per sender.
+  /// Increases by one for each prompt of a sender.
   std::uint32_t number = 0;
   std::uint32_t uncached_tokens = 0;
-  /// Tokens whose KV cache the engine copies from another one first.
+  /// Tokens whose KV cache the engine first copies from another engine.
   std::uint32_t copied_tokens = 0;
   std::uint32_t cached_tokens = 0;
   /// The pieces that the engine will hold afterwards, and how many of them it held before.
   std::vector<common::PieceHash> pieces;
   std::uint32_t held_pieces = 0;
-  /// Tokens up to the end of each piece; empty if all have the usual length.
+  /// Tokens up to the end of each piece; empty if all pieces have the default length.
   std::vector<std::uint32_t> piece_ends;
-  /// Engine that takes the KV cache over for the output and then holds the pieces too; empty if the
-  /// prompt stays where it is.
+  /// Engine that receives the KV cache to generate the output and then holds the pieces too; empty
+  /// if the same engine generates the output.
   common::EngineName output_engine;
 
-  /// \return the pieces as a shape, without the length of the whole prompt
+  /// \return the shape of the pieces, without the length of the whole prompt
   common::PromptShape shape() const {
     common::PromptShape shape;
     shape.pieces = pieces;
@@ -47,14 +48,14 @@
 struct EndedPrompt {
   common::EngineName engine;
   std::uint32_t number = 0;
-  /// False if the engine did not compute it, so that it does not hold its pieces.
+  /// False if the engine did not compute the prompt and so does not hold its pieces.
   bool computed = true;
 
   MSGPACK_DEFINE(engine, number, computed)
 };
 
-/// What one node did. Nothing is sent again: a lost start costs a worse choice, and a prompt whose
-/// end was lost is forgotten when it is long overdue.
+/// Prompts that one node started or ended. Never retransmitted: a lost start only leads to a less
+/// informed choice, and a prompt whose end notice was lost expires once it is long overdue.
 struct WorkNotice {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 2);
 
@@ -66,7 +67,7 @@
 
 class WorkExchange {
  public:
-  /// Is told what other nodes did.
+  /// Receives the notices of other nodes.
   class Listener {
    public:
     virtual ~Listener() = default;
@@ -82,14 +83,14 @@
   /// \param listener outlives this object, or nullptr
   void setListener(Listener* listener) { listener_ = listener; }
 
-  /// Tells them that this node sent a prompt to an engine. The names of the engines and
-  /// `prompt.number` are filled in here.
-  /// \param output kNoEngineSlot if the prompt stays where it is
-  /// \return the number to end it with
+  /// Notifies the other nodes that this node sent a prompt to an engine. Fills in the names of the
+  /// engines and `prompt.number`.
+  /// \param output kNoEngineSlot if the same engine generates the output
+  /// \return the number to pass to ended()
   std::uint32_t started(EngineSlot engine, EngineSlot output, StartedPrompt prompt);
-  /// `prompt.engine` is filled in here.
+  /// Notifies the other nodes of the end of a prompt. Fills in `prompt.engine`.
   void ended(EngineSlot engine, EndedPrompt prompt);
-  /// \return the key of this node's prompt of that number
+  /// \return the key of this node's prompt with that number
   PromptKey keyOf(std::uint32_t number) const { return keyOf(context_.self, number); }
 
  private:
--- a/tests/routing/burst_placement_test.cpp
+++ b/tests/routing/burst_placement_test.cpp
@@ -1,13 +1,14 @@
-/// Bursts on a fleet of 295 nodes and 163 engines, without a network: who waits, who is refused and
-/// where work goes when long prompts come at 1 to 5 times the usual rate.
+/// Queueing, refusals and load balance on a fleet of 295 nodes and 163 engines, without a network,
+/// when long prompts arrive at 1 to 5 times the baseline rate. Guards against routing that loses
+/// track of which engine caches which prefix, or sends bursts to the same few engines.
 ///
-/// The pattern: every few seconds the mix turns to long prompts of 17,020 tokens, of which 13,300
-/// are one of 1,096 shared texts. The figures are those of the users' large deployment: 194 such
-/// prompts a second in calm, bursts of up to 1.9 times that and their tails together some 3 times;
-/// 57 of 163 engines compute prompts, at 49.6 tokens a millisecond, and hold 29 shared texts each;
-/// an answer counts in full with its first token within 0.8 s. Computed where their text is cached,
-/// prompts take 75 ms, so the engines can do 760 a second; where nobody remembers who holds what,
-/// 167.
+/// The figures are those of the users' large deployment. Every few seconds the traffic turns to
+/// long prompts of 17,020 tokens, 13,300 of which are one of 1,096 shared prefixes. The baseline
+/// rate is 194 such prompts per second, with bursts of up to 1.9 times that, or some 3 times where
+/// the tails of bursts overlap. 57 of the 163 engines compute prompts, at 49.6 tokens per
+/// millisecond, and each caches 29 shared prefixes. An answer counts in full if its first token
+/// comes within 0.8 s. With its prefix cached a prompt takes 75 ms, so the engines can compute 760
+/// per second; without any knowledge of cache contents, 167.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -38,11 +39,11 @@
 constexpr std::uint32_t kPromptTokens = 17020;
 constexpr std::size_t kPrefixesPerEngine = 29;
 constexpr double kTargetSeconds = 0.8;
-/// Limit by which requests are admitted: the target, less what ways and estimates may take.
+/// Admission limit: the target minus a margin for latency and estimation errors.
 constexpr double kAdmissionLimitSeconds = 0.85 * kTargetSeconds;
 
-/// What an engine does with the prompts sent to it: one after the other, faster where it holds the
-/// shared text.
+/// Model of an engine that computes prompts one at a time, faster if it has the shared prefix
+/// cached.
 class EngineModel {
  public:
   /// \return when the prompt is computed, in seconds
@@ -75,7 +76,7 @@
   std::list<common::PieceHash> prefixes_;
 };
 
-/// What became of the prompts of one span of time.
+/// Results of the prompts in one period.
 struct Outcome {
   int asked = 0;
   int in_time = 0;
@@ -87,7 +88,7 @@
   double refusedShare() const { return refused / static_cast<double>(asked); }
 };
 
-/// The owners of all groups, each with its router.
+/// The owners of all engine groups, each with its router.
 class Fleet {
  public:
   Fleet() : simulation_(1), random_(5) {
@@ -109,7 +110,7 @@
     simulation_.time().runFor(seconds(2));
   }
 
-  /// Prompts come at `factor` times the usual rate.
+  /// Runs with prompts at `factor` times the baseline rate.
   Outcome run(double factor, common::Duration time) {
     Outcome outcome;
     const auto end = simulation_.time().now() + time;
@@ -121,7 +122,7 @@
     return outcome;
   }
 
-  /// \return the busiest computing engine's time, to the mean, since the last call
+  /// \return the largest busy time of a prefill engine relative to the mean, since the last call
   double peakToMeanBusyTime() {
     double most = 0;
     double sum = 0;
@@ -254,8 +255,9 @@
     }
   }
 
-  /// At three times the usual rate, three quarters of what the engines could do at best, a sixth is
-  /// refused: groups differ by chance. Nothing is let in to come late.
+  /// At three times the baseline rate, which is three quarters of the engines' maximum throughput,
+  /// about a sixth is refused because groups are loaded unevenly by chance. Requests that are
+  /// admitted must still meet the target.
   void admittedRequestsMeetTheTargetAtThreeTimesTheRate() {
     Fleet fleet;
     fleet.run(1, seconds(12));
@@ -265,7 +267,8 @@
                            outcome.inTimeShare() >= 0.8 && outcome.in_time >= 0.97 * admitted);
   }
 
-  /// Nodes that all hold alike send alike: the busiest engine got 3.9 times the mean.
+  /// Nodes that act independently on the same information choose the same engines, which gave the
+  /// busiest engine 3.9 times the mean.
   void workIsBalancedOverPrefillEngines() {
     Fleet fleet;
     fleet.run(1, seconds(12));
@@ -280,7 +283,7 @@
     fleet.run(1, seconds(12));
     fleet.run(6, seconds(2));
     const Outcome outcome = fleet.run(6, seconds(4));
-    // What is let in comes in time, and callers return one after the other.
+    // Admitted requests are in time, and retries are spread over time.
     CPPUNIT_ASSERT_MESSAGE(describe(6, outcome), outcome.refusedShare() > 0.1);
     const double admitted = outcome.asked - outcome.refused;
     CPPUNIT_ASSERT_MESSAGE(describe(6, outcome), outcome.in_time >= 0.9 * admitted);
@@ -291,7 +294,7 @@
   static std::string describe(double factor, const Outcome& outcome) {
     return std::to_string(factor) + " times: " + std::to_string(outcome.asked) + " asked, " +
            std::to_string(outcome.inTimeShare()) + " in time, " +
-           std::to_string(outcome.refusedShare()) + " refused, to come back in " +
+           std::to_string(outcome.refusedShare()) + " refused, retry after " +
            std::to_string(outcome.least_retry) + " to " + std::to_string(outcome.most_retry);
   }
 };
--- a/tests/routing/long_prompt_tracker_test.cpp
+++ b/tests/routing/long_prompt_tracker_test.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint32_t kSharedTokens = 13000;
 constexpr std::uint32_t kOwnTokens = 3000;
 
-/// Two nodes of one zone before the same engines: "p0" to "p2" compute prompts, "q0" gives output.
-/// The engines copy cached prefixes from one another.
+/// Two nodes of one zone that share engines: "p0" to "p2" compute prompts, "q0" generates output.
+/// The engines can copy cached prefixes from one another.
 class TwoNodeZone {
  public:
   explicit TwoNodeZone(bool copies = true, bool foretells = true) : simulation_(1) {
@@ -42,7 +42,7 @@
   CostRouter& router(std::size_t node) { return *nodes_[node].router; }
   void run(common::Duration time) { simulation_.time().runFor(time); }
 
-  /// Routes a prompt of `subject` at a node and starts it.
+  /// Routes and starts a prompt at a node. Prompts with the same `subject` share a prefix.
   Route begin(std::size_t node, const std::string& id, const std::string& subject) {
     const RouteRequest request = requestOf(id, subject);
     const RouteChoice choice = router(node).choose(request);
@@ -51,7 +51,7 @@
     router(node).attemptStarted(request, route);
     return route;
   }
-  /// \return the engines that a node takes to hold the start of a prompt of `subject`
+  /// \return the number of engines that a node believes to hold the prefix of `subject`
   std::uint32_t knownHolders(std::size_t node, const std::string& subject) {
     const RouteChoice choice = router(node).choose(requestOf("other", subject));
     return std::get<Route>(choice).known_holders;
@@ -166,7 +166,7 @@
     CPPUNIT_ASSERT_EQUAL(kSharedTokens, relieved.expected_copied_tokens);
   }
 
-  /// The same prompts as in aBusyHolderIsCopiedFrom.
+  /// The same prompts as in prefixIsCopiedFromABusyHolder.
   void nothingIsCopiedWhenCopyingIsDisabled() {
     TwoNodeZone zone(false);
     zone.begin(0, "a", "one");
@@ -187,13 +187,13 @@
         const std::uint32_t while_computed = zone.knownHolders(node, "one");
         CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, while_computed);
         zone.compute(0, "a", milliseconds(320));
-        // The engine that computed it, and the one that gives its output.
+        // The engine that computed it and the one that generates its output.
         CPPUNIT_ASSERT_EQUAL(2U, zone.knownHolders(node, "one"));
       }
     }
   }
 
-  /// A copy displaces cached tokens that others want: the less is copied, the more prompts wait.
+  /// A copy displaces cached tokens that other prompts need, so a short wait is preferred to it.
   void waitingForAShortQueueIsPreferredToCopying() {
     TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
@@ -220,11 +220,11 @@
     TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
-    zone.begin(0, "b", "one");  // goes to the holder, which says nothing any more
+    zone.begin(0, "b", "one");  // sent to the holder, which no longer responds
     zone.run(milliseconds(700));
     const Route elsewhere = zone.begin(1, "c", "one");
     CPPUNIT_ASSERT(elsewhere.prefill_engine->name != holder.prefill_engine->name);
-    // The engine that took the first prompt over for its output holds it as well.
+    // The engine that generates the output of the first prompt also holds its prefix.
     CPPUNIT_ASSERT_EQUAL(holder.engine.address, elsewhere.prefix_source.value().address);
   }
 
@@ -266,8 +266,9 @@
   }
 
  private:
-  /// Computes twelve prompts one after the other; the first engine chosen takes four times as long
-  /// as the others. \return its name
+  /// Computes twelve prompts one after the other, with the first chosen engine four times as slow
+  /// as the others.
+  /// \return the name of the slow engine
   static std::string useWithOneSlowEngine(TwoNodeZone& zone) {
     std::string slow;
     for (int i = 0; i < 12; ++i) {
--- a/tests/routing/node_work_test.cpp
+++ b/tests/routing/node_work_test.cpp
@@ -1,6 +1,7 @@
-/// Bounds on one node's work, counted and not timed, in zones of as many nodes as engines. Where a
-/// bound doesn't name a number of the zone, the work must not grow with it; that of a zone of few
-/// nodes, in which each decides about every engine, grows with its peers.
+/// Bounds on the work of one node, counted rather than timed, in zones with as many nodes as
+/// engines. Guards against work per request, report or notice that grows with the size of the zone.
+/// Only in small zones, where every node decides about every engine, may it grow with the number of
+/// peers.
 #include "tests/support/property.h"
 #include "tests/support/routing_node.h"
 
@@ -10,19 +11,19 @@
 using testing::RoutingNode;
 
 constexpr std::array<int, 5> kSizes = {10, 24, 65, 300, 1000};
-/// In larger zones few nodes decide about an engine: its owners, and whoever plans roles.
+/// In larger zones few nodes decide about an engine: its owners and the node that plans roles.
 constexpr int kLargestSharedZone = 24;
 constexpr std::uint64_t kOwners = 2;
-/// Estimates that a request with one computing engine and one for the output makes anew: each of
-/// the two at its start, first token and end, and the backlog and the speed of the computing one.
+/// Estimate updates per request with a prefill and a decode engine: both at start, first token and
+/// end, plus backlog and speed updates of the prefill engine.
 constexpr std::uint64_t kEstimatesPerRequest = 12;
-/// Estimates that a report makes anew: the engine's own, with its speed and backlog.
+/// Estimate updates per load report: the engine's own, its speed and its backlog.
 constexpr std::uint64_t kEstimatesPerReport = 3;
-/// Estimates that the start of a peer's prompt makes anew, and its end: backlog, then speed too.
+/// Estimate updates per start notice of a peer (backlog) and per end notice (backlog and speed).
 constexpr std::uint64_t kEstimatesPerStartNotice = 1;
 constexpr std::uint64_t kEstimatesPerEndNotice = 2;
 
-/// What a node did since the count began.
+/// Counts the work of a node since construction.
 class WorkCount {
  public:
   explicit WorkCount(RoutingNode& node)
@@ -113,8 +114,8 @@
   }
 
   void controlTrafficIsBounded() {
-    // Two heartbeats to each neighbour, and what the budget of bytes pays for: the settings' budget
-    // lets a few receivers be told of each read.
+    // Two heartbeats to each neighbour, plus load publications: the byte budget in the settings
+    // allows a few receivers to be notified of each poll.
     constexpr std::uint64_t kSeconds = 5;
     constexpr std::uint64_t kMessagesPerReceiverSecond = 6;
     constexpr std::uint64_t kNeighbours = 4;
--- a/tests/routing/output_speed_test.cpp
+++ b/tests/routing/output_speed_test.cpp
@@ -39,7 +39,8 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, speeds.scale(kModel), 1e-9);
   }
 
-  /// Nine answers of 20 ms for each one of 3 s: nearly all that are seen running are long ones.
+  /// With nine answers of 20 ms for each one of 3 s, nearly all streams observed while running are
+  /// long ones.
   void longAnswersDominateRemainingTime() {
     OutputSpeedEstimator speeds{OutputSpeedSettings{}};
     for (int i = 0; i < 1000; ++i) {
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -1,5 +1,6 @@
-/// Asking owners for places: who is asked, what becomes of silence, late and wrong answers, and how
-/// places are given back.
+/// Placement by owners: which owners are asked, how time-outs and late or invalid answers are
+/// handled, and how placements are released. Guards against requests that hang or are answered
+/// twice, and placements that are never released, under node failures and message loss.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -26,8 +27,8 @@
   return id.append(std::to_string(number));
 }
 
-/// A node's own router: gives the first engine that the node decides about, and notes what it is
-/// told.
+/// A node's local router: chooses the first engine that the node decides about, and records its
+/// calls.
 class RecordingRouter final : public Router {
  public:
   explicit RecordingRouter(EngineDirectory& directory) : directory_(directory) {}
@@ -133,7 +134,7 @@
       nodes.push_back(node);
     }
   }
-  /// All nodes see those that run.
+  /// Updates the membership view of all running nodes to the running nodes.
   void showMembers() {
     std::vector<membership::Member> members;
     for (const Node& node : nodes) {
@@ -162,7 +163,7 @@
     request.first_token_limit = seconds(1);
     return request;
   }
-  /// Asks at a node; the answer is noted under the request's stream.
+  /// Places a request at a node; the answer is recorded under the request's stream.
   void place(std::size_t node, const RouteRequest& request) {
     nodes[node].router->place(request, [this, id = request.stream_id](RouteChoice choice) {
       CPPUNIT_ASSERT_MESSAGE("answered twice", answers.count(id) == 0);
@@ -177,7 +178,7 @@
   const RouteRefusal& refusal(const std::string& id) const {
     return std::get<RouteRefusal>(answers.at(id));
   }
-  /// \return the owners of the homes of a shared part, in the order in which they are asked
+  /// \return the owners of a shared part's home groups, in the order in which they are asked
   std::vector<Node*> ownersOf(common::PieceHash part = 77) {
     std::vector<Node*> owners;
     common::SeededRandom random(1);
@@ -188,7 +189,7 @@
     }
     return owners;
   }
-  /// \return a node that decides about nothing
+  /// \return a running node that decides about no engines
   std::size_t asker() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (nodes[i].process->alive() && nodes[i].directory->groups().enginesDecided() == 0) {
@@ -309,7 +310,7 @@
     zone.run(zone.settings.answer_limit + milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("a"));
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[1]->process->id());
-    // Once its death is known the others have moved up.
+    // Once its failure is known, ownership has moved to the next nodes.
     zone.showMembers();
     zone.run(milliseconds(500));
     zone.place(asker, PlacementZone::requestOf("b"));
@@ -329,7 +330,7 @@
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("b"));
     CPPUNIT_ASSERT_EQUAL(1.0, zone.count(zone.nodes[asker], "cypresswall_placement_silent_total"));
-    // It is back, and is asked first again.
+    // It has recovered and is asked first again.
     zone.run(seconds(1));
     zone.place(asker, PlacementZone::requestOf("c"));
     zone.run(milliseconds(20));
@@ -372,7 +373,7 @@
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("a"));
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[2]->process->id());
-    // The other owner of the full group is not asked.
+    // The other owner of the overloaded group is not asked.
     CPPUNIT_ASSERT_EQUAL(0, owners[1]->local_router->chosen);
     for (const auto& owner : owners) {
       owner->local_router->refuses = true;
@@ -401,7 +402,7 @@
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
-    // The asker alone believes the first owner dead, so it asks one that is none.
+    // Only the asker considers the first owner dead, so it asks nodes that are not owners.
     std::vector<membership::Member> members = zone.nodes[asker].membership->members();
     std::erase_if(members, [&](const membership::Member& member) {
       return member.node == owners[0]->process->id();
@@ -435,7 +436,7 @@
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.run(milliseconds(20));
     const common::EngineName first = zone.route("a").engine.name;
-    // The asker knows already that the engine leaves, the owner does not.
+    // The asker already knows that the engine is leaving; the owner does not.
     zone.nodes[asker].membership->setLeaving(std::string("machine-").append(first), true);
     CPPUNIT_ASSERT(!zone.nodes[asker].router->takesWork(zone.route("a").engine));
     zone.place(asker, PlacementZone::requestOf("b"));
@@ -505,7 +506,7 @@
     context.sendTo(owner.process->id(), progress);
     progress.stream_id = "no such stream";
     context.sendTo(owner.process->id(), progress);
-    // Nor can it ask in the other's name.
+    // Another node can't send a request for a stream that it didn't place.
     PlacementRequest request = toMessage(PlacementZone::requestOf("a"));
     context.sendTo(owner.process->id(), request);
     zone.run(milliseconds(20));
@@ -546,12 +547,12 @@
     send(request);
     CPPUNIT_ASSERT_EQUAL(3.0, zone.count(owner, "cypresswall_placement_dropped_total"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
-    // A group that the node doesn't own, or that doesn't exist.
+    // A group that the node doesn't own or that doesn't exist.
     request = toMessage(PlacementZone::requestOf("a"));
     request.group = "assistant/99";
     send(request);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
-    // An answer that nobody asked for.
+    // An unsolicited answer.
     PlacementAnswer answer;
     answer.stream_id = "b";
     answer.outcome = PlacementOutcome::kPlaced;
@@ -561,7 +562,7 @@
   }
 
   void everyPlacementIsReleasedUnderFaults() {
-    testing::requireProperty("every place is given back", 30, [](std::uint32_t seed) {
+    testing::requireProperty("every placement is released", 30, [](std::uint32_t seed) {
       PlacementSettings settings;
       settings.place_time_limit = seconds(3);
       PlacementZone zone(seed, settings);
--- a/tests/routing/prefix_index_test.cpp
+++ b/tests/routing/prefix_index_test.cpp
@@ -38,7 +38,7 @@
 
  public:
   void agreesWithExactIndex() {
-    testing::requireProperty("few pieces on few engines are found exactly", 200, [] {
+    testing::requireProperty("agrees with an exact index while within its limits", 200, [] {
       PrefixIndex index({});
       std::map<EngineSlot, std::set<common::PieceHash>> exact;
       const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -148,12 +148,12 @@
       sent.tokens = common::kTokensPerCachePiece;
       index.expectStored(1, sent, kNow);
       CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, depthOf(index, 1, {11}));
-      // A full engine.
+      // An engine at capacity.
       index.setCapacity(2, 10000);
       index.stored(2, 12, 6000, kNow);
       index.stored(2, 13, 6000, kNow);
       CPPUNIT_ASSERT_EQUAL(foretells ? 0U : 1U, depthOf(index, 2, {12}));
-      // An event as soon as the last use.
+      // An event at the time of the last use.
       CPPUNIT_ASSERT_EQUAL(!foretells, index.evictionReported(2, 13, kNow));
       CPPUNIT_ASSERT_EQUAL(foretells ? 1U : 0U, depthOf(index, 2, {13}));
     }
--- a/tests/routing/prompt_backlog_test.cpp
+++ b/tests/routing/prompt_backlog_test.cpp
@@ -78,7 +78,7 @@
   }
 
   void emptiesInAnyOrderOfEnds() {
-    testing::requireProperty("every prompt can be taken out once", 200, [] {
+    testing::requireProperty("every prompt can be removed exactly once", 200, [] {
       const auto count = *rc::gen::inRange<PromptKey>(1, 20);
       PromptBacklog backlog;
       double expected = 0;
--- a/tests/routing/prompt_speed_test.cpp
+++ b/tests/routing/prompt_speed_test.cpp
@@ -88,7 +88,7 @@
   }
 
   void anySpeedIsLearned() {
-    testing::requireProperty("times are foretold within a tenth after 200 prompts", 100, [] {
+    testing::requireProperty("durations are predicted within 10% after 200 prompts", 100, [] {
       const double fixed_latency = *rc::gen::inRange(1, 40) / 1000.0;
       const double scale = std::pow(10.0, *rc::gen::inRange(-150, 150) / 100.0);
       PromptSpeedEstimator speeds{PromptSpeedSettings{}};
@@ -103,7 +103,7 @@
   }
 
  private:
-  /// Computes prompts of different lengths, every second one queued behind another.
+  /// Adds samples of prompts of different lengths, every second one queued behind another.
   static void teach(PromptSpeedEstimator& speeds, EngineSlot slot, double fixed_latency,
                     double scale, int prompts) {
     for (int i = 0; i < prompts; ++i) {
