--- a/bench/simulate/scheduled_planner.cpp
+++ b/bench/simulate/scheduled_planner.cpp
@@ -29,7 +29,7 @@
 planning::Plan ScheduledPlanner::plan(const planning::PlanningInput& input) {
   planning::Plan plan;
   const ScheduleEntry* entry = current();
-  if (entry == nullptr || start_ == common::MonotonicTime{} || !input.changes_under_way.empty()) {
+  if (entry == nullptr || start_ == common::MonotonicTime{} || !input.changes_in_progress.empty()) {
     return plan;
   }
   std::map<EngineRole, std::int64_t> present;
--- a/src/cypresswall/orders/planning_input.cpp
+++ b/src/cypresswall/orders/planning_input.cpp
@@ -94,7 +94,7 @@
     }
     const auto control = sources.controls.find(record.declaration.name);
     if (control != sources.controls.end() && control->second->changing()) {
-      ++input.changes_under_way[record.declaration.model];
+      ++input.changes_in_progress[record.declaration.model];
     }
   }
   for (const auto& [model, declaration] : sources.fleet.models) {
--- a/src/cypresswall/orders/zone_controller.cpp
+++ b/src/cypresswall/orders/zone_controller.cpp
@@ -250,7 +250,7 @@
   const auto fleet = configuration_.current();
   const PlanningSources sources{*fleet, records, controls, *demand_, planned_at_, without_lease};
   planning::PlanningInput input = makePlanningInput(sources, capacity_);
-  input.expected_time_away = time_away_;
+  input.expected_change_time = time_away_;
   planning::Plan plan = planner_->plan(input);
   explanations_ = std::move(plan.explanations);
   if (!fleet->planning.automatic_roles) {
--- a/src/cypresswall/planning/baseline_planners.cpp
+++ b/src/cypresswall/planning/baseline_planners.cpp
@@ -19,8 +19,8 @@
 }
 
 bool changeUnderWay(const PlanningInput& input, const common::ModelName& model) {
-  const auto found = input.changes_under_way.find(model);
-  return found != input.changes_under_way.end() && found->second > 0;
+  const auto found = input.changes_in_progress.find(model);
+  return found != input.changes_in_progress.end() && found->second > 0;
 }
 
 /// Adds the first change towards `wanted`, unless a change of the model is already in progress.
--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -59,12 +59,12 @@
   state.model = model;
   const auto demand = input.demand.find(model);
   state.demand = demand == input.demand.end() ? ModelDemand{} : demand->second;
-  const common::Duration away = input.expected_time_away;
-  state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_time_away);
+  const common::Duration away = input.expected_change_time;
+  state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_change_time);
   state.horizon = common::toSeconds(input.policy.horizon);
   state.weight = input.policy.role_change_weight;
-  const auto under_way = input.changes_under_way.find(model);
-  state.under_way = under_way == input.changes_under_way.end() ? 0 : under_way->second;
+  const auto under_way = input.changes_in_progress.find(model);
+  state.under_way = under_way == input.changes_in_progress.end() ? 0 : under_way->second;
   for (const PlannedEngine& engine : input.engines) {
     if (engine.model != model) {
       continue;
--- a/src/cypresswall/planning/disaggregated_planner.h
+++ b/src/cypresswall/planning/disaggregated_planner.h
@@ -15,7 +15,7 @@
 struct DisaggregatedPlannerSettings {
   CapacitySettings capacity;
   /// Time to drain an engine and change its role, used until measurements are available.
-  common::Duration expected_time_away = std::chrono::seconds(2);
+  common::Duration expected_change_time = std::chrono::seconds(2);
   /// Weight of the short window's demand; the rest is the weight of the long window.
   double short_window_weight = 0.6;
   /// Largest share of a model's engines that may change roles at once; at least one may.
--- a/src/cypresswall/planning/planner.h
+++ b/src/cypresswall/planning/planner.h
@@ -72,10 +72,10 @@
   /// Ordered by name.
   std::vector<PlannedEngine> engines;
   /// Changes in progress, by model.
-  std::map<common::ModelName, std::uint32_t> changes_under_way;
+  std::map<common::ModelName, std::uint32_t> changes_in_progress;
   configuration::PlanningPolicy policy;
   /// Measured time to drain an engine and change its role; zero selects the planner's own setting.
-  common::Duration expected_time_away{0};
+  common::Duration expected_change_time{0};
 };
 
 /// A role change that was considered.
--- a/src/cypresswall/planning/role_planner.cpp
+++ b/src/cypresswall/planning/role_planner.cpp
@@ -47,10 +47,10 @@
     if (demand != input.demand.end()) {
       state.demand = demand->second;
     }
-    const auto under_way = input.changes_under_way.find(model);
-    const common::Duration away = input.expected_time_away;
-    state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_time_away);
-    state.under_way = under_way == input.changes_under_way.end() ? 0 : under_way->second;
+    const auto under_way = input.changes_in_progress.find(model);
+    const common::Duration away = input.expected_change_time;
+    state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_change_time);
+    state.under_way = under_way == input.changes_in_progress.end() ? 0 : under_way->second;
     for (const PlannedEngine* engine : state.engines) {
       if (engine->available) {
         const double speed = CapacityModel::decodeSpeed(*engine, state.demand.between_tokens_limit);
--- a/src/cypresswall/planning/role_planner.h
+++ b/src/cypresswall/planning/role_planner.h
@@ -14,7 +14,7 @@
 struct RolePlannerSettings {
   CapacitySettings capacity;
   /// Time to drain an engine and change its role.
-  common::Duration expected_time_away = std::chrono::seconds(16);
+  common::Duration expected_change_time = std::chrono::seconds(16);
   /// Utilisation by long prompts, if all engines were mixed, above which answers delayed by
   /// queueing behind them count in the cost of the current roles.
   double long_prompt_utilisation_threshold = 0.34;
--- a/tests/planning/disaggregated_planner_test.cpp
+++ b/tests/planning/disaggregated_planner_test.cpp
@@ -155,9 +155,9 @@
   void changesInProgressCountAgainstTheLimit() {
     PlanningInput input = zoneOf(24, 36);
     setWindows(input, demandOf(30, 10), demandOf(30, 10));
-    input.changes_under_way[testing::kPlannedModel] = 5;
+    input.changes_in_progress[testing::kPlannedModel] = 5;
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, planner_.plan(input).changes.size());
-    input.changes_under_way[testing::kPlannedModel] = 7;
+    input.changes_in_progress[testing::kPlannedModel] = 7;
     CPPUNIT_ASSERT(planner_.plan(input).changes.empty());
   }
 
--- a/tests/planning/role_planner_test.cpp
+++ b/tests/planning/role_planner_test.cpp
@@ -102,7 +102,7 @@
     PlanningInput input = zoneOf(0, 2, 8);
     const DemandRate swing{20, 90000, 1500};
     testing::setDemand(input, swing, swing);
-    input.changes_under_way["m"] = 1;
+    input.changes_in_progress["m"] = 1;
     CPPUNIT_ASSERT(planner.plan(input).changes.empty());
   }
 
