--- a/src/cypresswall/planning/baseline_planners.cpp
+++ b/src/cypresswall/planning/baseline_planners.cpp
@@ -18,7 +18,7 @@
   return models;
 }
 
-bool changeUnderWay(const PlanningInput& input, const common::ModelName& model) {
+bool changeInProgress(const PlanningInput& input, const common::ModelName& model) {
   const auto found = input.changes_in_progress.find(model);
   return found != input.changes_in_progress.end() && found->second > 0;
 }
@@ -27,7 +27,7 @@
 void addFirstDifference(const PlanningInput& input, const common::ModelName& model,
                         const std::vector<const PlannedEngine*>& engines,
                         const std::vector<EngineRole>& wanted, Plan& plan) {
-  if (changeUnderWay(input, model)) {
+  if (changeInProgress(input, model)) {
     return;
   }
   for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -84,7 +84,7 @@
   Plan plan;
   for (const auto& [model, engines] : byModel(input)) {
     const auto found = input.demand.find(model);
-    if (found == input.demand.end() || changeUnderWay(input, model)) {
+    if (found == input.demand.end() || changeInProgress(input, model)) {
       continue;
     }
     const ModelDemand& demand = found->second;
--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -59,12 +59,13 @@
   state.model = model;
   const auto demand = input.demand.find(model);
   state.demand = demand == input.demand.end() ? ModelDemand{} : demand->second;
-  const common::Duration away = input.expected_change_time;
-  state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_change_time);
+  const common::Duration measured = input.expected_change_time;
+  state.change_time =
+      common::toSeconds(measured.count() > 0 ? measured : settings_.expected_change_time);
   state.horizon = common::toSeconds(input.policy.horizon);
   state.weight = input.policy.role_change_weight;
-  const auto under_way = input.changes_in_progress.find(model);
-  state.under_way = under_way == input.changes_in_progress.end() ? 0 : under_way->second;
+  const auto in_progress = input.changes_in_progress.find(model);
+  state.in_progress = in_progress == input.changes_in_progress.end() ? 0 : in_progress->second;
   for (const PlannedEngine& engine : input.engines) {
     if (engine.model != model) {
       continue;
@@ -139,20 +140,20 @@
 }
 
 double DisaggregatedPlanner::benefit(const ModelState& state, const DemandRate& demand,
-                                     const Split& away, const Split& after) const {
-  const double time_away = std::min(state.time_away, state.horizon);
+                                     const Split& during, const Split& after) const {
+  const double change_time = std::min(state.change_time, state.horizon);
   const double without = lostRate(state, demand, state.split) * state.horizon;
-  const double with = lostRate(state, demand, away) * time_away +
-                      lostRate(state, demand, after) * (state.horizon - time_away);
+  const double with = lostRate(state, demand, during) * change_time +
+                      lostRate(state, demand, after) * (state.horizon - change_time);
   return without - with;
 }
 
 double DisaggregatedPlanner::benefit(const ModelState& state, EngineRole to) const {
   const Split after = state.split.movedTo(to);
-  const Split away{std::min(state.split.prefill, after.prefill),
-                   std::min(state.split.decode, after.decode)};
-  const double recent = benefit(state, state.demand.short_window, away, after);
-  const double past = benefit(state, state.demand.long_window, away, after);
+  const Split during{std::min(state.split.prefill, after.prefill),
+                     std::min(state.split.decode, after.decode)};
+  const double recent = benefit(state, state.demand.short_window, during, after);
+  const double past = benefit(state, state.demand.long_window, during, after);
   // Without enough benefit in the short window, the reason for the move has passed.
   if (recent <= state.weight) {
     return std::min(recent, past);
@@ -198,10 +199,10 @@
   explanation.decode_engines = static_cast<std::uint32_t>(state.split.decode);
   explanation.lost_without_change =
       lostRate(state, state.demand.short_window, state.split) * state.horizon;
-  const double share = settings_.maximum_away_share * state.engines;
+  const double share = settings_.maximum_changing_share * state.engines;
   const auto allowed = std::max(1U, static_cast<std::uint32_t>(share));
   explanation.conclusion = "no change: as many engines are away as may be";
-  for (; state.under_way < allowed; ++state.under_way) {
+  for (; state.in_progress < allowed; ++state.in_progress) {
     const PlanAlternative move = bestMove(state);
     if (move.engine.empty()) {
       explanation.conclusion = "no change: no engine may be changed";
--- a/src/cypresswall/planning/disaggregated_planner.h
+++ b/src/cypresswall/planning/disaggregated_planner.h
@@ -19,7 +19,7 @@
   /// Weight of the short window's demand; the rest is the weight of the long window.
   double short_window_weight = 0.6;
   /// Largest share of a model's engines that may change roles at once; at least one may.
-  double maximum_away_share = 0.25;
+  double maximum_changing_share = 0.25;
   /// Utilisation of decode engines above which prompts computed there begin to push the time
   /// between tokens beyond its limit.
   double decode_late_onset_utilisation = 0.6;
@@ -69,9 +69,9 @@
     /// Output tokens per second of one engine.
     double decode_speed = 0;
     std::uint32_t engines = 0;
-    std::uint32_t under_way = 0;
+    std::uint32_t in_progress = 0;
     /// In seconds.
-    double time_away = 0;
+    double change_time = 0;
     double horizon = 0;
     double weight = 0;
     /// Engines whose role may be changed, the least busy first.
@@ -88,7 +88,7 @@
   /// \return the gain over the horizon from moving one engine, in engine seconds spent on answers
   ///   that are in time.
   double benefit(const ModelState& state, engines::EngineRole to) const;
-  double benefit(const ModelState& state, const DemandRate& demand, const Split& away,
+  double benefit(const ModelState& state, const DemandRate& demand, const Split& during,
                  const Split& after) const;
   /// \return engine seconds per second spent on answers that are late or lost.
   double lostRate(const ModelState& state, const DemandRate& demand, const Split& split) const;
--- a/src/cypresswall/planning/role_planner.cpp
+++ b/src/cypresswall/planning/role_planner.cpp
@@ -47,10 +47,11 @@
     if (demand != input.demand.end()) {
       state.demand = demand->second;
     }
-    const auto under_way = input.changes_in_progress.find(model);
-    const common::Duration away = input.expected_change_time;
-    state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_change_time);
-    state.under_way = under_way == input.changes_in_progress.end() ? 0 : under_way->second;
+    const auto in_progress = input.changes_in_progress.find(model);
+    const common::Duration measured = input.expected_change_time;
+    state.change_time =
+        common::toSeconds(measured.count() > 0 ? measured : settings_.expected_change_time);
+    state.in_progress = in_progress == input.changes_in_progress.end() ? 0 : in_progress->second;
     for (const PlannedEngine* engine : state.engines) {
       if (engine->available) {
         const double speed = CapacityModel::decodeSpeed(*engine, state.demand.between_tokens_limit);
@@ -93,8 +94,8 @@
   return utilisation * (1.0 - margin) > settings_.long_prompt_utilisation_threshold;
 }
 
-std::uint32_t RolePlanner::maximumAway(const ModelState& state) const {
-  const double share = settings_.maximum_away_share * static_cast<double>(state.engines.size());
+std::uint32_t RolePlanner::maximumChanging(const ModelState& state) const {
+  const double share = settings_.maximum_changing_share * static_cast<double>(state.engines.size());
   return std::max(1U, static_cast<std::uint32_t>(share));
 }
 
@@ -132,13 +133,13 @@
   const ModelState& state = forecast.state;
   const double speed = CapacityModel::decodeSpeed(engine, state.demand.between_tokens_limit);
   capacity_.add(path.capacity, engine, engine.role, speed, -1.0);
-  const double away = std::min(path.remaining, state.time_away);
-  const double lost_away = lostRate(forecast, path.capacity) * away;
+  const double change_time = std::min(path.remaining, state.change_time);
+  const double lost_during_change = lostRate(forecast, path.capacity) * change_time;
   capacity_.add(path.capacity, engine, to, speed);
-  path.remaining -= away;
+  path.remaining -= change_time;
   --path.steps;
   --path.movable[indexOf(engine.role)];
-  return lost_away + lostOnPath(forecast, path);
+  return lost_during_change + lostOnPath(forecast, path);
 }
 
 double RolePlanner::lostOnPath(Forecast& forecast, const Path& path) const {
@@ -230,7 +231,7 @@
     explanation.conclusion = "no change: roles are left to the operators";
   } else if (explanation.lost_without_change <= 0) {
     explanation.conclusion = "no change: the roles as they are lose no answers";
-  } else if (state.under_way >= maximumAway(state)) {
+  } else if (state.in_progress >= maximumChanging(state)) {
     explanation.conclusion = "no change: as many engines are away as may be";
   } else {
     explanation.alternatives = evaluateAlternatives(state, policy);
--- a/src/cypresswall/planning/role_planner.h
+++ b/src/cypresswall/planning/role_planner.h
@@ -26,7 +26,7 @@
   /// Weight of the short window's demand; the rest is the weight of the long window.
   double short_window_weight = 0.6;
   /// Largest share of a model's engines that may change roles at once; at least one may.
-  double maximum_away_share = 0.1;
+  double maximum_changing_share = 0.1;
   /// Maximum number of alternatives in an explanation.
   std::size_t explained_alternatives = 4;
 };
@@ -46,9 +46,9 @@
     ModelDemand demand;
     std::vector<const PlannedEngine*> engines;
     RoleCapacity capacity;
-    std::uint32_t under_way = 0;
+    std::uint32_t in_progress = 0;
     /// In seconds.
-    double time_away = 0;
+    double change_time = 0;
     /// The least busy engine of each role, in the order of kRoles, which would be changed first;
     /// null if none may be changed.
     std::array<const PlannedEngine*, 3> least_busy{};
@@ -95,7 +95,7 @@
   double benefit(Forecast& recent, Forecast& past, const PlannedEngine& engine,
                  engines::EngineRole to, double horizon) const;
   const PlannedEngine* leastBusyEngine(const ModelState& state, engines::EngineRole role) const;
-  std::uint32_t maximumAway(const ModelState& state) const;
+  std::uint32_t maximumChanging(const ModelState& state) const;
 
   RolePlannerSettings settings_;
   CapacityModel capacity_;
--- a/tests/planning/disaggregated_planner_test.cpp
+++ b/tests/planning/disaggregated_planner_test.cpp
@@ -14,7 +14,7 @@
 using engines::EngineRole;
 
 /// Share of the engines that may change roles at once in these tests.
-constexpr double kMaximumAwayShare = 0.12;
+constexpr double kMaximumChangingShare = 0.12;
 
 /// Engine speeds used in these tests.
 PlannedEngine speeds() {
@@ -238,7 +238,7 @@
         RC_ASSERT(named.insert(change.engine).second);
         RC_ASSERT(change.role == plan.changes.front().role);
       }
-      const auto allowed = std::max(1.0, kMaximumAwayShare * (prefill + decode));
+      const auto allowed = std::max(1.0, kMaximumChangingShare * (prefill + decode));
       RC_ASSERT(static_cast<double>(plan.changes.size()) <= allowed);
       const bool to_prefill =
           !plan.changes.empty() && plan.changes.front().role == EngineRole::kPrefill;
@@ -261,7 +261,7 @@
   }
   static DisaggregatedPlannerSettings settings() {
     DisaggregatedPlannerSettings settings;
-    settings.maximum_away_share = kMaximumAwayShare;
+    settings.maximum_changing_share = kMaximumChangingShare;
     return settings;
   }
 
