--- a/src/cypresswall/planning/baseline_planners.cpp
+++ b/src/cypresswall/planning/baseline_planners.cpp
@@ -18,16 +18,16 @@
   return models;
 }
 
-bool changeUnderWay(const PlanningInput& input, const common::ModelName& model) {
-  const auto found = input.changes_under_way.find(model);
-  return found != input.changes_under_way.end() && found->second > 0;
+bool changeInProgress(const PlanningInput& input, const common::ModelName& model) {
+  const auto found = input.changes_in_progress.find(model);
+  return found != input.changes_in_progress.end() && found->second > 0;
 }
 
-/// Adds the first change towards `wanted`, one at a time for each model.
+/// Adds the first change towards `wanted`, unless a change of the model is already in progress.
 void addFirstDifference(const PlanningInput& input, const common::ModelName& model,
                         const std::vector<const PlannedEngine*>& engines,
                         const std::vector<EngineRole>& wanted, Plan& plan) {
-  if (changeUnderWay(input, model)) {
+  if (changeInProgress(input, model)) {
     return;
   }
   for (std::size_t i = 0; i < engines.size(); ++i) {
@@ -49,8 +49,8 @@
   return found;
 }
 
-/// How full the engines of one kind of work are.
-double fullness(double demand, double speed) {
+/// \return the utilisation of the engines for one kind of work
+double utilisation(double demand, double speed) {
   if (demand <= 0) {
     return 0;
   }
@@ -84,7 +84,7 @@
   Plan plan;
   for (const auto& [model, engines] : byModel(input)) {
     const auto found = input.demand.find(model);
-    if (found == input.demand.end() || changeUnderWay(input, model)) {
+    if (found == input.demand.end() || changeInProgress(input, model)) {
       continue;
     }
     const ModelDemand& demand = found->second;
@@ -95,10 +95,10 @@
                       CapacityModel::decodeSpeed(*engine, demand.between_tokens_limit));
       }
     }
-    const double prefill = fullness(demand.short_window.prefill_tokens_per_second,
-                                    capacity.prefill_only + capacity.mixed_prefill / 2);
-    const double decode = fullness(demand.short_window.decode_tokens_per_second,
-                                   capacity.decode_decode + capacity.mixed_decode / 2);
+    const double prefill = utilisation(demand.short_window.prefill_tokens_per_second,
+                                       capacity.prefill_only + capacity.mixed_prefill / 2);
+    const double decode = utilisation(demand.short_window.decode_tokens_per_second,
+                                      capacity.decode_decode + capacity.mixed_decode / 2);
     const bool more_prefill = prefill > threshold_ && decode < threshold_;
     const bool more_decode = decode > threshold_ && prefill < threshold_;
     if (!more_prefill && !more_decode) {
--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -10,14 +10,14 @@
 
 using engines::EngineRole;
 
-/// Utilisation of engines that are not there, in place of infinity.
-constexpr double kHopeless = 64.0;
+/// Upper bound of utilisation, used instead of infinity if a role has no engines.
+constexpr double kSaturatedUtilisation = 64.0;
 
 double utilisationOf(double work, double engines) {
   if (work <= 0) {
     return 0;
   }
-  return engines > 0 ? std::min(kHopeless, work / engines) : kHopeless;
+  return engines > 0 ? std::min(kSaturatedUtilisation, work / engines) : kSaturatedUtilisation;
 }
 
 void sortByStreams(std::vector<const PlannedEngine*>& engines) {
@@ -59,12 +59,13 @@
   state.model = model;
   const auto demand = input.demand.find(model);
   state.demand = demand == input.demand.end() ? ModelDemand{} : demand->second;
-  const common::Duration away = input.expected_time_away;
-  state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_time_away);
+  const common::Duration measured = input.expected_change_time;
+  state.change_time =
+      common::toSeconds(measured.count() > 0 ? measured : settings_.expected_change_time);
   state.horizon = common::toSeconds(input.policy.horizon);
   state.weight = input.policy.role_change_weight;
-  const auto under_way = input.changes_under_way.find(model);
-  state.under_way = under_way == input.changes_under_way.end() ? 0 : under_way->second;
+  const auto in_progress = input.changes_in_progress.find(model);
+  state.in_progress = in_progress == input.changes_in_progress.end() ? 0 : in_progress->second;
   for (const PlannedEngine& engine : input.engines) {
     if (engine.model != model) {
       continue;
@@ -85,49 +86,48 @@
   return state;
 }
 
-DisaggregatedPlanner::SharedWork DisaggregatedPlanner::share(const ModelState& state,
-                                                             const DemandRate& demand,
-                                                             const Split& split) const {
-  SharedWork work;
+DisaggregatedPlanner::WorkDistribution DisaggregatedPlanner::distributeWork(
+    const ModelState& state, const DemandRate& demand, const Split& split) const {
+  WorkDistribution work;
   work.output_seconds = state.decode_speed > 0 && demand.output_seconds <= 0
                             ? demand.decode_tokens_per_second / state.decode_speed
                             : demand.output_seconds;
-  const double slowness = 1.0 / settings_.capacity.decode_prefill_share;
+  const double slowdown = 1.0 / settings_.capacity.decode_prefill_share;
   const double fixed_prefill = demand.prefill_engine_seconds - demand.flexible_prefill_seconds;
   const double fixed_decode = demand.decode_engine_seconds - demand.flexible_decode_seconds;
-  // In seconds of prefill engines.
-  const double all = demand.prefill_engine_seconds + demand.flexible_decode_seconds / slowness;
-  const double even = split.prefill * (fixed_decode + work.output_seconds + slowness * all) /
-                      std::max(1.0, split.decode + slowness * split.prefill);
+  // Total prompt work, in prefill-engine seconds per second.
+  const double total = demand.prefill_engine_seconds + demand.flexible_decode_seconds / slowdown;
+  const double even = split.prefill * (fixed_decode + work.output_seconds + slowdown * total) /
+                      std::max(1.0, split.decode + slowdown * split.prefill);
   const double flexible_requests = demand.flexible_decode_requests_per_second;
-  work.prefill_seconds = std::clamp(even, std::max(0.0, fixed_prefill), std::max(all, 0.0));
-  work.decode_prompt_seconds = fixed_decode + slowness * (all - work.prefill_seconds);
-  work.decode_worth = fixed_decode + work.output_seconds + all - work.prefill_seconds;
+  work.prefill_seconds = std::clamp(even, std::max(0.0, fixed_prefill), std::max(total, 0.0));
+  work.decode_prompt_seconds = fixed_decode + slowdown * (total - work.prefill_seconds);
+  work.decode_value = fixed_decode + work.output_seconds + total - work.prefill_seconds;
   work.prefill_requests_per_second =
-      all > 0 ? (demand.prefill_engine_requests_per_second + flexible_requests) *
-                    work.prefill_seconds / all
-              : 0;
+      total > 0 ? (demand.prefill_engine_requests_per_second + flexible_requests) *
+                      work.prefill_seconds / total
+                : 0;
   return work;
 }
 
-double DisaggregatedPlanner::prefillUtilisation(const SharedWork& work, const Split& split) {
+double DisaggregatedPlanner::prefillUtilisation(const WorkDistribution& work, const Split& split) {
   return utilisationOf(work.prefill_seconds, split.prefill);
 }
 
-double DisaggregatedPlanner::decodeUtilisation(const SharedWork& work, const Split& split) {
+double DisaggregatedPlanner::decodeUtilisation(const WorkDistribution& work, const Split& split) {
   return utilisationOf(work.decode_prompt_seconds + work.output_seconds, split.decode);
 }
 
 double DisaggregatedPlanner::lateDecodeShare(double utilisation) const {
-  const double comfortable = settings_.comfortable_decode_utilisation;
-  const double excess = std::clamp((utilisation - comfortable) / (1.0 - comfortable), 0.0, 1.0);
+  const double onset = settings_.decode_late_onset_utilisation;
+  const double excess = std::clamp((utilisation - onset) / (1.0 - onset), 0.0, 1.0);
   const double refused = utilisation > 1 ? 1.0 - 1.0 / utilisation : 0;
   return refused + (1.0 - refused) * settings_.late_share_at_full_decode * excess * excess;
 }
 
 double DisaggregatedPlanner::lostRate(const ModelState& state, const DemandRate& demand,
                                       const Split& split) const {
-  const SharedWork work = share(state, demand, split);
+  const WorkDistribution work = distributeWork(state, demand, split);
   double lost = 0;
   if (work.prefill_requests_per_second > 0) {
     const double service = work.prefill_seconds / work.prefill_requests_per_second;
@@ -136,25 +136,25 @@
         work.prefill_seconds * capacity_.lateShare(split.prefill, prefillUtilisation(work, split),
                                                    service, std::max(slack, service));
   }
-  return lost + work.decode_worth * lateDecodeShare(decodeUtilisation(work, split));
+  return lost + work.decode_value * lateDecodeShare(decodeUtilisation(work, split));
 }
 
 double DisaggregatedPlanner::benefit(const ModelState& state, const DemandRate& demand,
-                                     const Split& away, const Split& after) const {
-  const double time_away = std::min(state.time_away, state.horizon);
+                                     const Split& during, const Split& after) const {
+  const double change_time = std::min(state.change_time, state.horizon);
   const double without = lostRate(state, demand, state.split) * state.horizon;
-  const double with = lostRate(state, demand, away) * time_away +
-                      lostRate(state, demand, after) * (state.horizon - time_away);
+  const double with = lostRate(state, demand, during) * change_time +
+                      lostRate(state, demand, after) * (state.horizon - change_time);
   return without - with;
 }
 
 double DisaggregatedPlanner::benefit(const ModelState& state, EngineRole to) const {
   const Split after = state.split.movedTo(to);
-  const Split away{std::min(state.split.prefill, after.prefill),
-                   std::min(state.split.decode, after.decode)};
-  const double recent = benefit(state, state.demand.short_window, away, after);
-  const double past = benefit(state, state.demand.long_window, away, after);
-  // A move that the short window alone does not ask for is of the past.
+  const Split during{std::min(state.split.prefill, after.prefill),
+                     std::min(state.split.decode, after.decode)};
+  const double recent = benefit(state, state.demand.short_window, during, after);
+  const double past = benefit(state, state.demand.long_window, during, after);
+  // Without enough benefit in the short window, the reason for the move has passed.
   if (recent <= state.weight) {
     return std::min(recent, past);
   }
@@ -162,16 +162,16 @@
   return weight * recent + (1.0 - weight) * past;
 }
 
-double DisaggregatedPlanner::keptEngines(const ModelState& state) const {
-  const double share = settings_.keeps_share ? settings_.minimum_share : 0.0;
+double DisaggregatedPlanner::minimumEnginesPerRole(const ModelState& state) const {
+  const double share = settings_.enforces_minimum_share ? settings_.minimum_share : 0.0;
   return std::max<double>(settings_.minimum_engines, std::ceil(share * state.engines));
 }
 
-PlanAlternative DisaggregatedPlanner::best(const ModelState& state) const {
+PlanAlternative DisaggregatedPlanner::bestMove(const ModelState& state) const {
   PlanAlternative best;
-  const double kept = keptEngines(state);
+  const double minimum = minimumEnginesPerRole(state);
   const auto weigh = [&](const auto& movable, double engines, EngineRole from, EngineRole to) {
-    if (movable.empty() || engines <= kept) {
+    if (movable.empty() || engines <= minimum) {
       return;
     }
     const double gain = benefit(state, to);
@@ -189,8 +189,8 @@
   explanation.model = state.model;
   explanation.demand = state.demand;
   explanation.required_benefit = state.weight;
-  const SharedWork recent = share(state, state.demand.short_window, state.split);
-  const SharedWork past = share(state, state.demand.long_window, state.split);
+  const WorkDistribution recent = distributeWork(state, state.demand.short_window, state.split);
+  const WorkDistribution past = distributeWork(state, state.demand.long_window, state.split);
   explanation.utilisation_short = prefillUtilisation(recent, state.split);
   explanation.utilisation_long = prefillUtilisation(past, state.split);
   explanation.decode_utilisation_short = decodeUtilisation(recent, state.split);
@@ -199,11 +199,11 @@
   explanation.decode_engines = static_cast<std::uint32_t>(state.split.decode);
   explanation.lost_without_change =
       lostRate(state, state.demand.short_window, state.split) * state.horizon;
-  const double share = settings_.maximum_away_share * state.engines;
+  const double share = settings_.maximum_changing_share * state.engines;
   const auto allowed = std::max(1U, static_cast<std::uint32_t>(share));
   explanation.conclusion = "no change: as many engines are away as may be";
-  for (; state.under_way < allowed; ++state.under_way) {
-    const PlanAlternative move = best(state);
+  for (; state.in_progress < allowed; ++state.in_progress) {
+    const PlanAlternative move = bestMove(state);
     if (move.engine.empty()) {
       explanation.conclusion = "no change: no engine may be changed";
       break;
--- a/src/cypresswall/planning/role_planner.cpp
+++ b/src/cypresswall/planning/role_planner.cpp
@@ -16,11 +16,11 @@
       std::distance(kRoles.begin(), std::find(kRoles.begin(), kRoles.end(), role)));
 }
 
-/// Relative variance of a weighted demand estimate at one prompt a second: prompts come at random,
-/// vary in length, and fade from windows of 10 and 60 s.
+/// Relative variance of the weighted demand estimate at one prompt per second, given random
+/// arrivals, varying prompt lengths, and exponential windows of 10 and 60 s.
 constexpr double kEstimateVariance = 0.031;
 
-std::string sentence(const PlanAlternative& best, double required) {
+std::string describe(const PlanAlternative& best, double required) {
   const std::string gain = std::to_string(std::lround(best.benefit));
   const std::string needed = std::to_string(std::lround(required));
   const std::string move =
@@ -47,10 +47,11 @@
     if (demand != input.demand.end()) {
       state.demand = demand->second;
     }
-    const auto under_way = input.changes_under_way.find(model);
-    const common::Duration away = input.expected_time_away;
-    state.time_away = common::toSeconds(away.count() > 0 ? away : settings_.expected_time_away);
-    state.under_way = under_way == input.changes_under_way.end() ? 0 : under_way->second;
+    const auto in_progress = input.changes_in_progress.find(model);
+    const common::Duration measured = input.expected_change_time;
+    state.change_time =
+        common::toSeconds(measured.count() > 0 ? measured : settings_.expected_change_time);
+    state.in_progress = in_progress == input.changes_in_progress.end() ? 0 : in_progress->second;
     for (const PlannedEngine* engine : state.engines) {
       if (engine->available) {
         const double speed = CapacityModel::decodeSpeed(*engine, state.demand.between_tokens_limit);
@@ -58,9 +59,9 @@
       }
     }
     for (const EngineRole role : kRoles) {
-      state.cheapest[indexOf(role)] = cheapestToMove(state, role);
+      state.least_busy[indexOf(role)] = leastBusyEngine(state, role);
     }
-    state.strained = strained(state);
+    state.queueing_matters = queueingMatters(state);
     states.push_back(std::move(state));
   }
   return states;
@@ -74,7 +75,7 @@
   return plan;
 }
 
-bool RolePlanner::strained(const ModelState& state) const {
+bool RolePlanner::queueingMatters(const ModelState& state) const {
   const DemandRate& recent = state.demand.short_window;
   const DemandRate& past = state.demand.long_window;
   const double weight = settings_.short_window_weight;
@@ -87,13 +88,14 @@
   }
   const double tokens =
       mean(recent.long_prefill_tokens_per_second, past.long_prefill_tokens_per_second);
-  const double strain = CapacityModel::longPromptStrain(state.engines, settings_.capacity, tokens);
-  const double doubt = settings_.strain_doubt * std::sqrt(kEstimateVariance / requests);
-  return strain * (1.0 - doubt) > settings_.strain_threshold;
+  const double utilisation =
+      CapacityModel::longPromptUtilisation(state.engines, settings_.capacity, tokens);
+  const double margin = settings_.confidence_deviations * std::sqrt(kEstimateVariance / requests);
+  return utilisation * (1.0 - margin) > settings_.long_prompt_utilisation_threshold;
 }
 
-std::uint32_t RolePlanner::maximumAway(const ModelState& state) const {
-  const double share = settings_.maximum_away_share * static_cast<double>(state.engines.size());
+std::uint32_t RolePlanner::maximumChanging(const ModelState& state) const {
+  const double share = settings_.maximum_changing_share * static_cast<double>(state.engines.size());
   return std::max(1U, static_cast<std::uint32_t>(share));
 }
 
@@ -102,7 +104,7 @@
   const double requests = demand.requests_per_second;
   const double overloaded = requests * capacity_.lostShare(capacity_.utilisation(capacity, demand));
   const double waiting =
-      state.strained ? capacity_.lostByWaiting(capacity, state.demand, demand) : 0;
+      state.queueing_matters ? capacity_.lostByQueueing(capacity, state.demand, demand) : 0;
   return std::min(requests, overloaded + waiting);
 }
 
@@ -116,7 +118,7 @@
   return entry->second;
 }
 
-RolePlanner::Path RolePlanner::startOf(const ModelState& state, double horizon) const {
+RolePlanner::Path RolePlanner::initialPath(const ModelState& state, double horizon) const {
   Path path{state.capacity, {}, horizon, settings_.maximum_steps};
   for (std::size_t role = 0; role < kRoles.size(); ++role) {
     path.movable[role] = static_cast<std::size_t>(std::count_if(
@@ -131,24 +133,24 @@
   const ModelState& state = forecast.state;
   const double speed = CapacityModel::decodeSpeed(engine, state.demand.between_tokens_limit);
   capacity_.add(path.capacity, engine, engine.role, speed, -1.0);
-  const double away = std::min(path.left, state.time_away);
-  const double lost_away = lostRate(forecast, path.capacity) * away;
+  const double change_time = std::min(path.remaining, state.change_time);
+  const double lost_during_change = lostRate(forecast, path.capacity) * change_time;
   capacity_.add(path.capacity, engine, to, speed);
-  path.left -= away;
+  path.remaining -= change_time;
   --path.steps;
   --path.movable[indexOf(engine.role)];
-  return lost_away + lostOnPath(forecast, path);
+  return lost_during_change + lostOnPath(forecast, path);
 }
 
 double RolePlanner::lostOnPath(Forecast& forecast, const Path& path) const {
   const double rate = lostRate(forecast, path.capacity);
-  double least = rate * path.left;
-  // Only waiting has gains that a single change does not show.
-  if (path.steps <= 0 || rate <= 0 || !forecast.state.strained) {
+  double least = rate * path.remaining;
+  // Only queueing delays can make several changes pay off where a single one does not.
+  if (path.steps <= 0 || rate <= 0 || !forecast.state.queueing_matters) {
     return least;
   }
   for (std::size_t role = 0; role < kRoles.size(); ++role) {
-    const PlannedEngine* engine = forecast.state.cheapest[role];
+    const PlannedEngine* engine = forecast.state.least_busy[role];
     if (engine == nullptr || path.movable[role] == 0) {
       continue;
     }
@@ -163,15 +165,15 @@
 
 double RolePlanner::benefit(Forecast& recent, Forecast& past, const PlannedEngine& engine,
                             EngineRole to, double horizon) const {
-  const Path start = startOf(recent.state, horizon);
+  const Path start = initialPath(recent.state, horizon);
   const auto gain = [&](Forecast& forecast) {
-    return lostRate(forecast, start.capacity) * start.left -
+    return lostRate(forecast, start.capacity) * start.remaining -
            lostByMove(forecast, start, engine, to);
   };
   const double gain_short = gain(recent);
   const double gain_long = gain(past);
-  // A change that only one window asks for counts for that window's weight; one that the short
-  // window does not ask for is of the past.
+  // A benefit in only one window counts with that window's weight. Without a benefit in the short
+  // window, the reason for the change has passed.
   if (gain_short <= 0) {
     return std::min(gain_short, gain_long);
   }
@@ -179,25 +181,25 @@
   return weight * gain_short + (1.0 - weight) * gain_long;
 }
 
-const PlannedEngine* RolePlanner::cheapestToMove(const ModelState& state, EngineRole role) const {
-  const PlannedEngine* cheapest = nullptr;
+const PlannedEngine* RolePlanner::leastBusyEngine(const ModelState& state, EngineRole role) const {
+  const PlannedEngine* least_busy = nullptr;
   for (const PlannedEngine* engine : state.engines) {
     if (engine->changeable && engine->role == role &&
-        (cheapest == nullptr || engine->streams < cheapest->streams)) {
-      cheapest = engine;
+        (least_busy == nullptr || engine->streams < least_busy->streams)) {
+      least_busy = engine;
     }
   }
-  return cheapest;
+  return least_busy;
 }
 
-std::vector<PlanAlternative> RolePlanner::weigh(const ModelState& state,
-                                                const configuration::PlanningPolicy& policy) const {
+std::vector<PlanAlternative> RolePlanner::evaluateAlternatives(
+    const ModelState& state, const configuration::PlanningPolicy& policy) const {
   std::vector<PlanAlternative> alternatives;
   const double horizon = common::toSeconds(policy.horizon);
   Forecast recent{state, state.demand.short_window, policy.role_change_weight};
   Forecast past{state, state.demand.long_window, policy.role_change_weight};
   for (const EngineRole from : kRoles) {
-    const PlannedEngine* engine = state.cheapest[indexOf(from)];
+    const PlannedEngine* engine = state.least_busy[indexOf(from)];
     if (engine == nullptr) {
       continue;
     }
@@ -229,15 +231,15 @@
     explanation.conclusion = "no change: roles are left to the operators";
   } else if (explanation.lost_without_change <= 0) {
     explanation.conclusion = "no change: the roles as they are lose no answers";
-  } else if (state.under_way >= maximumAway(state)) {
+  } else if (state.in_progress >= maximumChanging(state)) {
     explanation.conclusion = "no change: as many engines are away as may be";
   } else {
-    explanation.alternatives = weigh(state, policy);
+    explanation.alternatives = evaluateAlternatives(state, policy);
     if (explanation.alternatives.empty()) {
       explanation.conclusion = "no change: no engine may be changed";
     } else {
       const PlanAlternative& best = explanation.alternatives.front();
-      explanation.conclusion = sentence(best, explanation.required_benefit);
+      explanation.conclusion = describe(best, explanation.required_benefit);
       if (best.benefit > explanation.required_benefit) {
         plan.changes.push_back({best.engine, best.to});
       }
--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -10,11 +10,11 @@
 #include "cypresswall/api/process_context.h"
 #include "cypresswall/routing/cost_model.h"
 #include "cypresswall/routing/engine_directory.h"
-#include "cypresswall/routing/long_prompts.h"
+#include "cypresswall/routing/long_prompt_tracker.h"
 #include "cypresswall/routing/offers.h"
 #include "cypresswall/routing/output_speed.h"
 #include "cypresswall/routing/router.h"
-#include "cypresswall/routing/sent_work.h"
+#include "cypresswall/routing/unreported_work.h"
 
 namespace cypresswall::routing {
 
@@ -75,7 +75,7 @@
     double tokens = 0;
   };
 
-  Work workOf(const RouteRequest& request) const;
+  RequestWork workOf(const RouteRequest& request) const;
   const std::vector<EngineSlot>& candidatesFor(const RouteRequest& request);
   void narrow(const RouteRequest& request, const std::vector<EngineSlot>& all);
   /// Excludes engines that have used up the rate limit they declared.
@@ -86,23 +86,24 @@
   void findPrefixSource(const RouteRequest& request);
   /// \return the work that the prompt causes on the engine, with missing cache pieces copied from
   ///   the prefix source where that is possible
-  PromptWork promptWork(EngineSlot slot, const Work& work) const;
+  PromptWork promptWork(EngineSlot slot, const RequestWork& work) const;
   /// Selects the decode engines on which long answers are consolidated, if that is enabled.
   void chooseOutputHosts();
   bool hostsOutput(EngineSlot slot) const { return output_hosting_[slot] == OutputHosting::kHost; }
   /// \return true if the answer is long and the engine is not a host of long answers
-  bool offOutputHost(EngineSlot slot, const Work& work) const;
+  bool offOutputHost(EngineSlot slot, const RequestWork& work) const;
   /// \return true if the engine is a decode engine, and the prompt takes more than one step and
   ///   would delay the engine's running streams for longer than permitted.
-  bool delaysDecoding(EngineSlot slot, const Work& work, const PromptWork& prompt,
+  bool delaysDecoding(EngineSlot slot, const RequestWork& work, const PromptWork& prompt,
                       double now) const;
-  void priceEngines(const Work& work, double now);
+  void priceEngines(const RequestWork& work, double now);
   /// \return the cheapest engine, kNoEngineSlot if there is none. Ties are broken by rendezvous
   ///   hashing for a prompt with whole cache pieces, by least recent use otherwise.
   /// \param tolerance cost difference to the cheapest engine up to which engines are tied
-  EngineSlot cheapest(const std::vector<PricedEngine>& engines, const Work& work, double tolerance);
+  EngineSlot cheapest(const std::vector<PricedEngine>& engines, const RequestWork& work,
+                      double tolerance);
   /// \return the cost tolerance among engines that would compute the prompt
-  double computingTolerance(const Work& work) const;
+  double computingTolerance(const RequestWork& work) const;
   /// \return the engine with the highest rendezvous rank for `piece`.
   EngineSlot preferredByHash(const std::vector<PricedEngine>& equals,
                              common::PieceHash piece) const;
@@ -110,10 +111,12 @@
   EngineSlot leastRecentlyUsed(const std::vector<PricedEngine>& equals) const;
   /// Adds the cost of delaying other requests, scaled by the share of engines with queued prompts.
   void chargeOccupancy();
-  Selection select(const Work& work, double now);
-  void countDemand(const RouteRequest& request, const Work& work, const Selection& selection);
-  Route makeRoute(const Selection& selection, const Work& work) const;
-  RouteRefusal refuse(const Selection& best, const Work& work, const common::ModelName& model);
+  Selection select(const RequestWork& work, double now);
+  void countDemand(const RouteRequest& request, const RequestWork& work,
+                   const Selection& selection);
+  Route makeRoute(const Selection& selection, const RequestWork& work) const;
+  RouteRefusal refuse(const Selection& best, const RequestWork& work,
+                      const common::ModelName& model);
   RouteRefusal refuseWithoutEngine(const common::ModelName& model) const;
   /// Refusal for the case that every candidate has used up its rate limit.
   RouteRefusal refuseExhausted(const common::ModelName& model) const;
@@ -128,9 +131,9 @@
   PrefixIndex& prefixes_;
   EstimateTable estimates_;
   std::vector<std::uint64_t> name_hashes_;
-  SentWork sent_;
-  LongPrompts long_prompts_;
-  OutputSpeeds output_speeds_;
+  UnreportedWork sent_;
+  LongPromptTracker long_prompts_;
+  OutputSpeedEstimator output_speeds_;
   /// By stream.
   std::unordered_map<std::string, AwaitedOutput> awaited_outputs_;
   /// By slot, the sequence number of the last attempt; zero if there was none.
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -79,7 +79,7 @@
       prefixes_.forgetEngine(slot);
     }
   }
-  prefixes_.shareAmong(groups_.routedEngineCount());
+  prefixes_.setEngineCount(groups_.routedEngineCount());
 }
 
 void EngineDirectory::assignWatches() {
--- a/src/cypresswall/routing/placement_messages.cpp
+++ b/src/cypresswall/routing/placement_messages.cpp
@@ -6,8 +6,8 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Engines that one request may have tried in vain, pieces of one prompt, tokens and times: all far
-/// above what is asked, so that a broken peer can't make a node work for long.
+/// Limits on excluded engines, prompt pieces, tokens and times in one request. All are far above
+/// legitimate values and bound the work that a faulty peer can cause.
 constexpr std::size_t kMaximumExcluded = 64;
 constexpr std::size_t kMaximumPieces = 16384;
 constexpr std::uint32_t kMaximumTokens = 1U << 28U;
@@ -88,10 +88,10 @@
 }
 
 bool fromMessage(const PlacementRequest& message, RouteRequest& request) {
-  const bool ends_fit =
+  const bool ends_match =
       message.piece_ends.empty() || message.piece_ends.size() == message.pieces.size();
-  const bool ends_rise = std::is_sorted(message.piece_ends.begin(), message.piece_ends.end());
-  if (!ends_fit || !ends_rise || message.pieces.size() > kMaximumPieces ||
+  const bool ends_sorted = std::is_sorted(message.piece_ends.begin(), message.piece_ends.end());
+  if (!ends_match || !ends_sorted || message.pieces.size() > kMaximumPieces ||
       message.excluded.size() > kMaximumExcluded || message.tokens > kMaximumTokens ||
       message.maximum_tokens > kMaximumTokens || message.resume_from > kMaximumTokens) {
     return false;
--- a/tests/routing/burst_placement_test.cpp
+++ b/tests/routing/burst_placement_test.cpp
@@ -1,13 +1,14 @@
-/// Bursts on a fleet of 295 nodes and 163 engines, without a network: who waits, who is refused and
-/// where work goes when long prompts come at 1 to 5 times the usual rate.
+/// Queueing, refusals and load balance on a fleet of 295 nodes and 163 engines, without a network,
+/// when long prompts arrive at 1 to 5 times the baseline rate. Guards against routing that loses
+/// track of which engine caches which prefix, or sends bursts to the same few engines.
 ///
-/// The pattern: every few seconds the mix turns to long prompts of 17,020 tokens, of which 13,300
-/// are one of 1,096 shared texts. The figures are those of the users' large deployment: 194 such
-/// prompts a second in calm, bursts of up to 1.9 times that and their tails together some 3 times;
-/// 57 of 163 engines compute prompts, at 49.6 tokens a millisecond, and hold 29 shared texts each;
-/// an answer counts in full with its first token within 0.8 s. Computed where their text is cached,
-/// prompts take 75 ms, so the engines can do 760 a second; where nobody remembers who holds what,
-/// 167.
+/// The figures are those of the users' large deployment. Every few seconds the traffic turns to
+/// long prompts of 17,020 tokens, 13,300 of which are one of 1,096 shared prefixes. The baseline
+/// rate is 194 such prompts per second, with bursts of up to 1.9 times that, or some 3 times where
+/// the tails of bursts overlap. 57 of the 163 engines compute prompts, at 49.6 tokens per
+/// millisecond, and each caches 29 shared prefixes. An answer counts in full if its first token
+/// comes within 0.8 s. With its prefix cached a prompt takes 75 ms, so the engines can compute 760
+/// per second; without any knowledge of cache contents, 167.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -31,23 +32,23 @@
 constexpr int kNodes = 295;
 constexpr int kEngines = 163;
 constexpr int kPrefillEngines = 57;
-constexpr int kSharedTexts = 1096;
-constexpr double kCalmRate = 194;
+constexpr int kSharedPrefixes = 1096;
+constexpr double kBaselineRate = 194;
 constexpr double kTokensPerSecond = 49600;
 constexpr std::uint32_t kSharedTokens = 13300;
 constexpr std::uint32_t kPromptTokens = 17020;
-constexpr std::size_t kTextsPerEngine = 29;
-constexpr double kTarget = 0.8;
-/// Limit by which requests are admitted: the target, less what ways and estimates may take.
-constexpr double kAdmissionLimit = 0.85 * kTarget;
+constexpr std::size_t kPrefixesPerEngine = 29;
+constexpr double kTargetSeconds = 0.8;
+/// Admission limit: the target minus a margin for latency and estimation errors.
+constexpr double kAdmissionLimitSeconds = 0.85 * kTargetSeconds;
 
-/// What an engine does with the prompts sent to it: one after the other, faster where it holds the
-/// shared text.
+/// Model of an engine that computes prompts one at a time, faster if it has the shared prefix
+/// cached.
 class EngineModel {
  public:
   /// \return when the prompt is computed, in seconds
-  double compute(double now, common::PieceHash text) {
-    const bool held = touch(text);
+  double compute(double now, common::PieceHash prefix) {
+    const bool held = usePrefix(prefix);
     const double tokens = held ? kPromptTokens - kSharedTokens : kPromptTokens;
     const double time = tokens / kTokensPerSecond;
     busy += time;
@@ -58,24 +59,24 @@
   double busy = 0;
 
  private:
-  bool touch(common::PieceHash text) {
-    const auto found = std::find(texts_.begin(), texts_.end(), text);
-    const bool held = found != texts_.end();
+  bool usePrefix(common::PieceHash prefix) {
+    const auto found = std::find(prefixes_.begin(), prefixes_.end(), prefix);
+    const bool held = found != prefixes_.end();
     if (held) {
-      texts_.erase(found);
+      prefixes_.erase(found);
     }
-    texts_.push_front(text);
-    if (texts_.size() > kTextsPerEngine) {
-      texts_.pop_back();
+    prefixes_.push_front(prefix);
+    if (prefixes_.size() > kPrefixesPerEngine) {
+      prefixes_.pop_back();
     }
     return held;
   }
 
   double free_at_ = 0;
-  std::list<common::PieceHash> texts_;
+  std::list<common::PieceHash> prefixes_;
 };
 
-/// What became of the prompts of one span of time.
+/// Results of the prompts in one period.
 struct Outcome {
   int asked = 0;
   int in_time = 0;
@@ -87,7 +88,7 @@
   double refusedShare() const { return refused / static_cast<double>(asked); }
 };
 
-/// The owners of all groups, each with its router.
+/// The owners of all engine groups, each with its router.
 class Fleet {
  public:
   Fleet() : simulation_(1), random_(5) {
@@ -109,20 +110,20 @@
     simulation_.time().runFor(seconds(2));
   }
 
-  /// Prompts come at `factor` times the usual rate.
+  /// Runs with prompts at `factor` times the baseline rate.
   Outcome run(double factor, common::Duration time) {
     Outcome outcome;
     const auto end = simulation_.time().now() + time;
     while (simulation_.time().now() < end) {
-      const double gap = -std::log(1 - random_.unit()) / (kCalmRate * factor);
+      const double gap = -std::log(1 - random_.unit()) / (kBaselineRate * factor);
       simulation_.time().runFor(common::fromSeconds(gap));
-      ask(outcome);
+      placeRequest(outcome);
     }
     return outcome;
   }
 
-  /// \return the busiest computing engine's time, to the mean, since the last call
-  double busiestToMean() {
+  /// \return the largest busy time of a prefill engine relative to the mean, since the last call
+  double peakToMeanBusyTime() {
     double most = 0;
     double sum = 0;
     for (auto& [name, engine] : engines_) {
@@ -159,7 +160,7 @@
       load.maximum_streams = 16;
       load.prefill_tokens_per_second = kTokensPerSecond / (i < kPrefillEngines ? 1 : 2);
       load.decode_step_base = std::chrono::microseconds(5180);
-      load.cache_pieces_total = kTextsPerEngine * kSharedTokens / common::kTokensPerCachePiece;
+      load.cache_pieces_total = kPrefixesPerEngine * kSharedTokens / common::kTokensPerCachePiece;
     }
   }
 
@@ -180,20 +181,20 @@
     }
   }
 
-  void ask(Outcome& outcome) {
+  void placeRequest(Outcome& outcome) {
     ++outcome.asked;
     RouteRequest request;
     request.stream_id = std::to_string(++requests_);
     request.model = kModel;
-    const common::PieceHash text = 1 + random_.below(kSharedTexts);
+    const common::PieceHash prefix = 1 + random_.below(kSharedPrefixes);
     request.shape.tokens = kPromptTokens;
-    request.shape.pieces = {text, common::hash64(request.stream_id)};
+    request.shape.pieces = {prefix, common::hash64(request.stream_id)};
     request.shape.piece_ends = {kSharedTokens, kPromptTokens};
     request.maximum_tokens = 8;
-    request.first_token_limit = common::fromSeconds(kAdmissionLimit);
+    request.first_token_limit = common::fromSeconds(kAdmissionLimitSeconds);
     request.between_tokens_limit = milliseconds(250);
     std::optional<RouteRefusal> refusal;
-    for (const EngineGroup* home : groups_->candidateGroupsFor(kModel, text, random_)) {
+    for (const EngineGroup* home : groups_->candidateGroupsFor(kModel, prefix, random_)) {
       CostRouter& router = *owners_.at(home->owners.front()).router;
       RouteChoice choice = router.choose(request);
       if (const Route* const route = std::get_if<Route>(&choice)) {
@@ -213,11 +214,11 @@
     router.attemptStarted(request, route);
     const auto& engine = route.prefill_engine ? route.prefill_engine->name : route.engine.name;
     const double computed = engines_[engine].compute(now(), request.shape.pieces.front());
-    constexpr double kHandOver = 0.03;
-    outcome.in_time += computed + kHandOver - now() <= kTarget ? 1 : 0;
+    constexpr double kHandoverSeconds = 0.03;
+    outcome.in_time += computed + kHandoverSeconds - now() <= kTargetSeconds ? 1 : 0;
     simulation_.time().schedule(common::fromSeconds(computed - now()),
                                 [&router, id = request.stream_id] { router.promptComputed(id); });
-    simulation_.time().schedule(common::fromSeconds(computed - now() + 2 * kHandOver),
+    simulation_.time().schedule(common::fromSeconds(computed - now() + 2 * kHandoverSeconds),
                                 [&router, id = request.stream_id] { router.attemptFinished(id); });
   }
 
@@ -237,14 +238,14 @@
 
 class BurstPlacementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BurstPlacementTest);
-  CPPUNIT_TEST(burstsAreServedAsInCalm);
-  CPPUNIT_TEST(whatIsLetInAtThreeTimesTheRateComesInTime);
-  CPPUNIT_TEST(workIsSpreadOverTheComputingEngines);
-  CPPUNIT_TEST(beyondWhatCanBeComputedIsRefusedAtOnce);
+  CPPUNIT_TEST(burstsUpToTwiceTheRateMeetTheTarget);
+  CPPUNIT_TEST(admittedRequestsMeetTheTargetAtThreeTimesTheRate);
+  CPPUNIT_TEST(workIsBalancedOverPrefillEngines);
+  CPPUNIT_TEST(excessLoadIsRefusedImmediately);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void burstsAreServedAsInCalm() {
+  void burstsUpToTwiceTheRateMeetTheTarget() {
     Fleet fleet;
     fleet.run(1, seconds(12));
     for (const double factor : {1.0, 1.5, 2.0}) {
@@ -254,9 +255,10 @@
     }
   }
 
-  /// At three times the usual rate, three quarters of what the engines could do at best, a sixth is
-  /// refused: groups differ by chance. Nothing is let in to come late.
-  void whatIsLetInAtThreeTimesTheRateComesInTime() {
+  /// At three times the baseline rate, which is three quarters of the engines' maximum throughput,
+  /// about a sixth is refused because groups are loaded unevenly by chance. Requests that are
+  /// admitted must still meet the target.
+  void admittedRequestsMeetTheTargetAtThreeTimesTheRate() {
     Fleet fleet;
     fleet.run(1, seconds(12));
     const Outcome outcome = fleet.run(3, seconds(4));
@@ -265,22 +267,23 @@
                            outcome.inTimeShare() >= 0.8 && outcome.in_time >= 0.97 * admitted);
   }
 
-  /// Nodes that all hold alike send alike: the busiest engine got 3.9 times the mean.
-  void workIsSpreadOverTheComputingEngines() {
+  /// Nodes that act independently on the same information choose the same engines, which gave the
+  /// busiest engine 3.9 times the mean.
+  void workIsBalancedOverPrefillEngines() {
     Fleet fleet;
     fleet.run(1, seconds(12));
-    fleet.busiestToMean();
+    fleet.peakToMeanBusyTime();
     fleet.run(2, seconds(8));
-    const double ratio = fleet.busiestToMean();
+    const double ratio = fleet.peakToMeanBusyTime();
     CPPUNIT_ASSERT_MESSAGE(std::to_string(ratio), ratio <= 1.5);
   }
 
-  void beyondWhatCanBeComputedIsRefusedAtOnce() {
+  void excessLoadIsRefusedImmediately() {
     Fleet fleet;
     fleet.run(1, seconds(12));
     fleet.run(6, seconds(2));
     const Outcome outcome = fleet.run(6, seconds(4));
-    // What is let in comes in time, and callers return one after the other.
+    // Admitted requests are in time, and retries are spread over time.
     CPPUNIT_ASSERT_MESSAGE(describe(6, outcome), outcome.refusedShare() > 0.1);
     const double admitted = outcome.asked - outcome.refused;
     CPPUNIT_ASSERT_MESSAGE(describe(6, outcome), outcome.in_time >= 0.9 * admitted);
@@ -291,7 +294,7 @@
   static std::string describe(double factor, const Outcome& outcome) {
     return std::to_string(factor) + " times: " + std::to_string(outcome.asked) + " asked, " +
            std::to_string(outcome.inTimeShare()) + " in time, " +
-           std::to_string(outcome.refusedShare()) + " refused, to come back in " +
+           std::to_string(outcome.refusedShare()) + " refused, retry after " +
            std::to_string(outcome.least_retry) + " to " + std::to_string(outcome.most_retry);
   }
 };
--- a/tests/routing/long_prompts_test.cpp
+++ b/tests/routing/long_prompt_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/routing/long_prompts.h"
+#include "cypresswall/routing/long_prompt_tracker.h"
 
 #include "cypresswall/routing/cost_router.h"
 #include "tests/support/engine_world.h"
@@ -14,11 +14,11 @@
 constexpr std::uint32_t kSharedTokens = 13000;
 constexpr std::uint32_t kOwnTokens = 3000;
 
-/// Two nodes of one zone before the same engines: "p0" to "p2" compute prompts, "q0" gives output.
-/// The engines copy cached prefixes from one another.
-class TwoNodes {
+/// Two nodes of one zone that share engines: "p0" to "p2" compute prompts, "q0" generates output.
+/// The engines can copy cached prefixes from one another.
+class TwoNodeZone {
  public:
-  explicit TwoNodes(bool copies = true, bool predicts_unreported = true) : simulation_(1) {
+  explicit TwoNodeZone(bool copies = true, bool predicts_unreported = true) : simulation_(1) {
     settings_.copies_prefixes = copies;
     settings_.kv_transfer_per_thousand_tokens = milliseconds(1);
     directory_settings_.prefix_index.predicts_unreported = predicts_unreported;
@@ -42,7 +42,7 @@
   CostRouter& router(std::size_t node) { return *nodes_[node].router; }
   void run(common::Duration time) { simulation_.time().runFor(time); }
 
-  /// Routes a prompt of `subject` at a node and starts it.
+  /// Routes and starts a prompt at a node. Prompts with the same `subject` share a prefix.
   Route begin(std::size_t node, const std::string& id, const std::string& subject) {
     const RouteRequest request = requestOf(id, subject);
     const RouteChoice choice = router(node).choose(request);
@@ -51,7 +51,7 @@
     router(node).attemptStarted(request, route);
     return route;
   }
-  /// \return the engines that a node takes to hold the start of a prompt of `subject`
+  /// \return the number of engines that a node believes to hold the prefix of `subject`
   std::uint32_t knownHolders(std::size_t node, const std::string& subject) {
     const RouteChoice choice = router(node).choose(requestOf("other", subject));
     return std::get<Route>(choice).known_holders;
@@ -107,25 +107,25 @@
   std::vector<Node> nodes_;
 };
 
-class LongPromptsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LongPromptsTest);
+class LongPromptTrackerTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LongPromptTrackerTest);
   CPPUNIT_TEST(peersAvoidAnEngineThatIsBusy);
-  CPPUNIT_TEST(peersKnowWhereASharedPartIs);
-  CPPUNIT_TEST(aBusyHolderIsCopiedFrom);
-  CPPUNIT_TEST(nothingIsCopiedWhereThatIsSwitchedOff);
-  CPPUNIT_TEST(sentPromptsAreHeldOnceComputedUnlessForetold);
-  CPPUNIT_TEST(aShortQueueIsWaitedFor);
+  CPPUNIT_TEST(peersKnowWhichEngineHoldsASharedPrefix);
+  CPPUNIT_TEST(prefixIsCopiedFromABusyHolder);
+  CPPUNIT_TEST(nothingIsCopiedWhenCopyingIsDisabled);
+  CPPUNIT_TEST(sentPromptsCountAsCachedBeforeCompletionOnlyWithPrediction);
+  CPPUNIT_TEST(waitingForAShortQueueIsPreferredToCopying);
   CPPUNIT_TEST(nothingIsCopiedBeforeItIsComputed);
   CPPUNIT_TEST(nothingIsCopiedFromASilentHolder);
-  CPPUNIT_TEST(anAbandonedPromptLeavesNothingBehind);
-  CPPUNIT_TEST(aSlowEngineIsLearnt);
-  CPPUNIT_TEST(peersLearnOfASlowEngine);
-  CPPUNIT_TEST(aLostEndIsForgotten);
+  CPPUNIT_TEST(abandonedPromptLeavesNoState);
+  CPPUNIT_TEST(slowEngineIsLearned);
+  CPPUNIT_TEST(peersLearnThatAnEngineIsSlow);
+  CPPUNIT_TEST(promptWithALostEndNoticeExpires);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void peersAvoidAnEngineThatIsBusy() {
-    TwoNodes zone;
+    TwoNodeZone zone;
     const Route first = zone.begin(0, "a", "one");
     zone.run(milliseconds(5));
     const Route second = zone.begin(1, "b", "two");
@@ -139,8 +139,8 @@
     CPPUNIT_ASSERT(fourth.expected_wait > milliseconds(200));
   }
 
-  void peersKnowWhereASharedPartIs() {
-    TwoNodes zone;
+  void peersKnowWhichEngineHoldsASharedPrefix() {
+    TwoNodeZone zone;
     const Route first = zone.begin(0, "a", "one");
     CPPUNIT_ASSERT_EQUAL(0U, first.expected_cached_tokens);
     zone.compute(0, "a", milliseconds(320));
@@ -150,8 +150,8 @@
     CPPUNIT_ASSERT(!second.prefix_source.has_value());
   }
 
-  void aBusyHolderIsCopiedFrom() {
-    TwoNodes zone;
+  void prefixIsCopiedFromABusyHolder() {
+    TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     for (const char* id : {"b", "c", "e", "f"}) {
@@ -166,9 +166,9 @@
     CPPUNIT_ASSERT_EQUAL(kSharedTokens, relieved.expected_copied_tokens);
   }
 
-  /// The same prompts as in aBusyHolderIsCopiedFrom.
-  void nothingIsCopiedWhereThatIsSwitchedOff() {
-    TwoNodes zone(false);
+  /// The same prompts as in prefixIsCopiedFromABusyHolder.
+  void nothingIsCopiedWhenCopyingIsDisabled() {
+    TwoNodeZone zone(false);
     zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     for (const char* id : {"b", "c", "e", "f"}) {
@@ -178,24 +178,24 @@
     CPPUNIT_ASSERT(!zone.begin(1, "d", "one").prefix_source.has_value());
   }
 
-  void sentPromptsAreHeldOnceComputedUnlessForetold() {
+  void sentPromptsCountAsCachedBeforeCompletionOnlyWithPrediction() {
     for (const bool predicts_unreported : {true, false}) {
       for (const std::size_t node : {0U, 1U}) {
-        TwoNodes zone(true, predicts_unreported);
+        TwoNodeZone zone(true, predicts_unreported);
         zone.begin(0, "a", "one");
         zone.run(milliseconds(5));
         const std::uint32_t while_computed = zone.knownHolders(node, "one");
         CPPUNIT_ASSERT_EQUAL(predicts_unreported ? 1U : 0U, while_computed);
         zone.compute(0, "a", milliseconds(320));
-        // The engine that computed it, and the one that gives its output.
+        // The engine that computed it and the one that generates its output.
         CPPUNIT_ASSERT_EQUAL(2U, zone.knownHolders(node, "one"));
       }
     }
   }
 
-  /// A copy displaces cached tokens that others want: the less is copied, the more prompts wait.
-  void aShortQueueIsWaitedFor() {
-    TwoNodes zone;
+  /// A copy displaces cached tokens that other prompts need, so a short wait is preferred to it.
+  void waitingForAShortQueueIsPreferredToCopying() {
+    TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
     zone.begin(0, "b", "one");
@@ -208,7 +208,7 @@
   }
 
   void nothingIsCopiedBeforeItIsComputed() {
-    TwoNodes zone;
+    TwoNodeZone zone;
     zone.begin(0, "a", "one");
     for (const char* id : {"b", "c", "d", "e"}) {
       zone.run(milliseconds(5));
@@ -217,19 +217,19 @@
   }
 
   void nothingIsCopiedFromASilentHolder() {
-    TwoNodes zone;
+    TwoNodeZone zone;
     const Route holder = zone.begin(0, "a", "one");
     zone.compute(0, "a", milliseconds(320));
-    zone.begin(0, "b", "one");  // goes to the holder, which says nothing any more
+    zone.begin(0, "b", "one");  // sent to the holder, which no longer responds
     zone.run(milliseconds(700));
     const Route elsewhere = zone.begin(1, "c", "one");
     CPPUNIT_ASSERT(elsewhere.prefill_engine->name != holder.prefill_engine->name);
-    // The engine that took the first prompt over for its output holds it as well.
+    // The engine that generates the output of the first prompt also holds its prefix.
     CPPUNIT_ASSERT_EQUAL(holder.engine.address, elsewhere.prefix_source.value().address);
   }
 
-  void anAbandonedPromptLeavesNothingBehind() {
-    TwoNodes zone;
+  void abandonedPromptLeavesNoState() {
+    TwoNodeZone zone;
     const Route first = zone.begin(0, "a", "one");
     zone.run(milliseconds(50));
     zone.router(0).attemptFailed("a", first.engine.name, engines::StreamFailure::kBroken);
@@ -239,23 +239,23 @@
     CPPUNIT_ASSERT(again.expected_wait == common::Duration{0});
   }
 
-  void aSlowEngineIsLearnt() {
-    TwoNodes zone;
+  void slowEngineIsLearned() {
+    TwoNodeZone zone;
     const std::string slow = useWithOneSlowEngine(zone);
     const Route later = zone.begin(0, "later", "later");
     CPPUNIT_ASSERT(later.prefill_engine->name != slow);
   }
 
-  void peersLearnOfASlowEngine() {
-    TwoNodes zone;
+  void peersLearnThatAnEngineIsSlow() {
+    TwoNodeZone zone;
     const std::string slow = useWithOneSlowEngine(zone);
     const Route elsewhere = zone.begin(1, "elsewhere", "elsewhere");
     CPPUNIT_ASSERT(elsewhere.prefill_engine->name != slow);
     CPPUNIT_ASSERT(elsewhere.expected_prompt < milliseconds(400));
   }
 
-  void aLostEndIsForgotten() {
-    TwoNodes zone;
+  void promptWithALostEndNoticeExpires() {
+    TwoNodeZone zone;
     for (const char* id : {"a", "b", "c"}) {
       zone.begin(0, id, id);
     }
@@ -266,9 +266,10 @@
   }
 
  private:
-  /// Computes twelve prompts one after the other; the first engine chosen takes four times as long
-  /// as the others. \return its name
-  static std::string useWithOneSlowEngine(TwoNodes& zone) {
+  /// Computes twelve prompts one after the other, with the first chosen engine four times as slow
+  /// as the others.
+  /// \return the name of the slow engine
+  static std::string useWithOneSlowEngine(TwoNodeZone& zone) {
     std::string slow;
     for (int i = 0; i < 12; ++i) {
       const std::string id = std::to_string(i);
@@ -281,7 +282,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LongPromptsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LongPromptTrackerTest);
 
 }  // namespace
 }  // namespace cypresswall::routing
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -1,5 +1,6 @@
-/// Asking owners for places: who is asked, what becomes of silence, late and wrong answers, and how
-/// places are given back.
+/// Placement by owners: which owners are asked, how time-outs and late or invalid answers are
+/// handled, and how placements are released. Guards against requests that hang or are answered
+/// twice, and placements that are never released, under node failures and message loss.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -26,18 +27,18 @@
   return id.append(std::to_string(number));
 }
 
-/// A node's own router: gives the first engine that the node decides about, and notes what it is
-/// told.
-class OwnRouter final : public Router {
+/// A node's local router: chooses the first engine that the node decides about, and records its
+/// calls.
+class RecordingRouter final : public Router {
  public:
-  explicit OwnRouter(EngineDirectory& directory) : directory_(directory) {}
+  explicit RecordingRouter(EngineDirectory& directory) : directory_(directory) {}
 
   RouteChoice choose(const RouteRequest& request) override {
     ++chosen;
     if (refuses) {
       RouteRefusal refusal;
       refusal.retry_after = seconds(3);
-      if (!knows_nothing) {
+      if (!has_no_offer) {
         refusal.best = RefusedOffer{"engine", {}, {}, {}, {}};
       }
       return refusal;
@@ -72,7 +73,7 @@
   }
 
   bool refuses = false;
-  bool knows_nothing = false;
+  bool has_no_offer = false;
   bool wrong_address = false;
   int chosen = 0;
   int started = 0;
@@ -92,7 +93,7 @@
     testing::SettableMembership* membership = nullptr;
     testing::SettableConfiguration* configuration = nullptr;
     EngineDirectory* directory = nullptr;
-    OwnRouter* own = nullptr;
+    RecordingRouter* local_router = nullptr;
     PlacementService* service = nullptr;
     PlacementRouter* router = nullptr;
   };
@@ -120,11 +121,11 @@
     auto& client = process.emplace<testing::ScriptedEngineClient>(process, engines_);
     node.directory = &process.emplace<EngineDirectory>(
         DirectorySettings{}, process.context(), client, *node.configuration, *node.membership);
-    node.own = &process.emplace<OwnRouter>(*node.directory);
-    node.service =
-        &process.emplace<PlacementService>(settings, process.context(), *node.directory, *node.own);
+    node.local_router = &process.emplace<RecordingRouter>(*node.directory);
+    node.service = &process.emplace<PlacementService>(settings, process.context(), *node.directory,
+                                                      *node.local_router);
     node.router = &process.emplace<PlacementRouter>(settings, RouterSettings{}, process.context(),
-                                                    *node.directory, *node.own);
+                                                    *node.directory, *node.local_router);
     node.directory->start();
     node.configuration->set(fleet);
     if (static_cast<std::size_t>(index) < nodes.size()) {
@@ -133,7 +134,7 @@
       nodes.push_back(node);
     }
   }
-  /// All nodes see those that run.
+  /// Updates the membership view of all running nodes to the running nodes.
   void showMembers() {
     std::vector<membership::Member> members;
     for (const Node& node : nodes) {
@@ -162,7 +163,7 @@
     request.first_token_limit = seconds(1);
     return request;
   }
-  /// Asks at a node; the answer is noted under the request's stream.
+  /// Places a request at a node; the answer is recorded under the request's stream.
   void place(std::size_t node, const RouteRequest& request) {
     nodes[node].router->place(request, [this, id = request.stream_id](RouteChoice choice) {
       CPPUNIT_ASSERT_MESSAGE("answered twice", answers.count(id) == 0);
@@ -177,7 +178,7 @@
   const RouteRefusal& refusal(const std::string& id) const {
     return std::get<RouteRefusal>(answers.at(id));
   }
-  /// \return the owners of the homes of a shared part, in the order in which they are asked
+  /// \return the owners of a shared part's home groups, in the order in which they are asked
   std::vector<Node*> ownersOf(common::PieceHash part = 77) {
     std::vector<Node*> owners;
     common::SeededRandom random(1);
@@ -189,7 +190,7 @@
     }
     return owners;
   }
-  /// \return a node that decides about nothing
+  /// \return a running node that decides about no engines
   std::size_t asker() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (nodes[i].process->alive() && nodes[i].directory->groups().routedEngineCount() == 0) {
@@ -204,10 +205,10 @@
       return node.process->id().address == address;
     });
   }
-  std::size_t openPlaces() const {
+  std::size_t openPlacements() const {
     std::size_t open = 0;
     for (const Node& node : nodes) {
-      open += node.process->alive() ? node.own->open.size() : 0;
+      open += node.process->alive() ? node.local_router->open.size() : 0;
     }
     return open;
   }
@@ -227,29 +228,29 @@
 
 class PlacementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlacementTest);
-  CPPUNIT_TEST(theFirstOwnerGivesThePlace);
-  CPPUNIT_TEST(fewMessagesForARequest);
-  CPPUNIT_TEST(anOwnerChoosesByItself);
-  CPPUNIT_TEST(aKilledOwnerIsPassedOver);
-  CPPUNIT_TEST(aSilentOwnerIsAskedLast);
-  CPPUNIT_TEST(aFrozenOwnersLatePlaceIsGivenBack);
-  CPPUNIT_TEST(anOwnerCutOffOneWayIsPassedOver);
-  CPPUNIT_TEST(aFullGroupLeadsToTheSecondHome);
-  CPPUNIT_TEST(nobodyAnswers);
-  CPPUNIT_TEST(nodesThatSeeOtherMembersFindAPlace);
-  CPPUNIT_TEST(abandonedRequestsGiveTheirPlacesBack);
-  CPPUNIT_TEST(aPlaceOnALeavingEngineIsNotUsed);
-  CPPUNIT_TEST(aPlaceOnAnUnknownEngineIsNotUsed);
-  CPPUNIT_TEST(placesThatNobodyGivesBackExpire);
-  CPPUNIT_TEST(placesAreBounded);
-  CPPUNIT_TEST(strangersProgressIsDropped);
-  CPPUNIT_TEST(failuresAreTheAskersWordOnly);
-  CPPUNIT_TEST(brokenMessagesAreCountedAndRefused);
-  CPPUNIT_TEST(everyPlaceIsGivenBackUnderFaults);
+  CPPUNIT_TEST(firstOwnerPlacesTheRequest);
+  CPPUNIT_TEST(oneRequestAndOneAnswerPerPlacement);
+  CPPUNIT_TEST(ownerPlacesItsOwnRequestsLocally);
+  CPPUNIT_TEST(killedOwnerIsSkipped);
+  CPPUNIT_TEST(unresponsiveOwnerIsAskedLast);
+  CPPUNIT_TEST(latePlacementOfAPausedOwnerIsReleased);
+  CPPUNIT_TEST(ownerBehindAOneWayPartitionIsSkipped);
+  CPPUNIT_TEST(overloadedGroupLeadsToTheSecondHome);
+  CPPUNIT_TEST(requestIsRefusedWhenNoOwnerAnswers);
+  CPPUNIT_TEST(requestsArePlacedDespiteDifferingMembershipViews);
+  CPPUNIT_TEST(abandonedRequestsReleaseTheirPlacements);
+  CPPUNIT_TEST(placementOnALeavingEngineIsNotUsed);
+  CPPUNIT_TEST(placementOnAnUnknownEngineIsNotUsed);
+  CPPUNIT_TEST(unreleasedPlacementsExpire);
+  CPPUNIT_TEST(placementsAreBounded);
+  CPPUNIT_TEST(progressFromOtherNodesIsDropped);
+  CPPUNIT_TEST(reportedFailureDoesNotEjectTheEngine);
+  CPPUNIT_TEST(invalidMessagesAreCountedAndDropped);
+  CPPUNIT_TEST(everyPlacementIsReleasedUnderFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void theFirstOwnerGivesThePlace() {
+  void firstOwnerPlacesTheRequest() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -257,19 +258,19 @@
     CPPUNIT_ASSERT(zone.placed("a"));
     PlacementZone::Node& owner = *zone.ownersOf().front();
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owner.process->id());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->placements());
     auto& router = *zone.nodes[asker].router;
     router.firstTokenReceived("a");
     router.answerCompleted("a");
     router.attemptFinished("a");
     zone.run(milliseconds(20));
-    CPPUNIT_ASSERT_EQUAL(1, owner.own->first_tokens);
-    CPPUNIT_ASSERT_EQUAL(1, owner.own->completed);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(1, owner.local_router->first_tokens);
+    CPPUNIT_ASSERT_EQUAL(1, owner.local_router->completed);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
   }
 
-  void fewMessagesForARequest() {
+  void oneRequestAndOneAnswerPerPlacement() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -288,7 +289,7 @@
     CPPUNIT_ASSERT_EQUAL(2.0, messages);
   }
 
-  void anOwnerChoosesByItself() {
+  void ownerPlacesItsOwnRequestsLocally() {
     PlacementZone zone;
     PlacementZone::Node* const owner = zone.ownersOf().front();
     for (std::size_t i = 0; i < zone.nodes.size(); ++i) {
@@ -301,7 +302,7 @@
     CPPUNIT_ASSERT_EQUAL(0.0, zone.count(*owner, "cypresswall_placement_asked_total"));
   }
 
-  void aKilledOwnerIsPassedOver() {
+  void killedOwnerIsSkipped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -310,7 +311,7 @@
     zone.run(zone.settings.answer_limit + milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("a"));
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[1]->process->id());
-    // Once its death is known the others have moved up.
+    // Once its failure is known, ownership has moved to the next nodes.
     zone.showMembers();
     zone.run(milliseconds(500));
     zone.place(asker, PlacementZone::requestOf("b"));
@@ -318,7 +319,7 @@
     CPPUNIT_ASSERT(zone.placed("b"));
   }
 
-  void aSilentOwnerIsAskedLast() {
+  void unresponsiveOwnerIsAskedLast() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -330,14 +331,14 @@
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("b"));
     CPPUNIT_ASSERT_EQUAL(1.0, zone.count(zone.nodes[asker], "cypresswall_placement_silent_total"));
-    // It is back, and is asked first again.
+    // It has recovered and is asked first again.
     zone.run(seconds(1));
     zone.place(asker, PlacementZone::requestOf("c"));
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.route("c").chosen_by == owners[0]->process->id());
   }
 
-  void aFrozenOwnersLatePlaceIsGivenBack() {
+  void latePlacementOfAPausedOwnerIsReleased() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -346,13 +347,13 @@
     zone.run(milliseconds(200));
     CPPUNIT_ASSERT(zone.placed("a"));
     zone.run(seconds(1));
-    CPPUNIT_ASSERT_EQUAL(1, owners[0]->own->started);
-    CPPUNIT_ASSERT(owners[0]->own->open.empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(1, owners[0]->local_router->started);
+    CPPUNIT_ASSERT(owners[0]->local_router->open.empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.openPlacements());
     CPPUNIT_ASSERT_EQUAL(1.0, zone.count(zone.nodes[asker], "cypresswall_placement_late_total"));
   }
 
-  void anOwnerCutOffOneWayIsPassedOver() {
+  void ownerBehindAOneWayPartitionIsSkipped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
@@ -364,19 +365,19 @@
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[1]->process->id());
   }
 
-  void aFullGroupLeadsToTheSecondHome() {
+  void overloadedGroupLeadsToTheSecondHome() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
-    owners[0]->own->refuses = true;
+    owners[0]->local_router->refuses = true;
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("a"));
     CPPUNIT_ASSERT(zone.route("a").chosen_by == owners[2]->process->id());
-    // The other owner of the full group is not asked.
-    CPPUNIT_ASSERT_EQUAL(0, owners[1]->own->chosen);
+    // The other owner of the overloaded group is not asked.
+    CPPUNIT_ASSERT_EQUAL(0, owners[1]->local_router->chosen);
     for (const auto& owner : owners) {
-      owner->own->refuses = true;
+      owner->local_router->refuses = true;
     }
     zone.place(asker, PlacementZone::requestOf("b"));
     zone.run(milliseconds(20));
@@ -384,7 +385,7 @@
     CPPUNIT_ASSERT(zone.refusal("b").reason == RouteFailure::kOverloaded);
   }
 
-  void nobodyAnswers() {
+  void requestIsRefusedWhenNoOwnerAnswers() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     for (const auto& owner : zone.ownersOf()) {
@@ -395,14 +396,14 @@
     CPPUNIT_ASSERT(zone.refusal("a").retry_after == zone.settings.retry_after);
     CPPUNIT_ASSERT_EQUAL(1.0,
                          zone.count(zone.nodes[asker], "cypresswall_placement_no_owner_total"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodes[asker].router->waiting());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodes[asker].router->pendingRequests());
   }
 
-  void nodesThatSeeOtherMembersFindAPlace() {
+  void requestsArePlacedDespiteDifferingMembershipViews() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
-    // The asker alone believes the first owner dead, so it asks one that is none.
+    // Only the asker considers the first owner dead, so it asks nodes that are not owners.
     std::vector<membership::Member> members = zone.nodes[asker].membership->members();
     std::erase_if(members, [&](const membership::Member& member) {
       return member.node == owners[0]->process->id();
@@ -419,51 +420,51 @@
     }
   }
 
-  void abandonedRequestsGiveTheirPlacesBack() {
+  void abandonedRequestsReleaseTheirPlacements() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.nodes[asker].router->abandonPlacement("a");
     zone.run(milliseconds(50));
     CPPUNIT_ASSERT(zone.answers.empty());
-    CPPUNIT_ASSERT_EQUAL(1, zone.ownersOf().front()->own->started);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(1, zone.ownersOf().front()->local_router->started);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
   }
 
-  void aPlaceOnALeavingEngineIsNotUsed() {
+  void placementOnALeavingEngineIsNotUsed() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.run(milliseconds(20));
     const common::EngineName first = zone.route("a").engine.name;
-    // The asker knows already that the engine leaves, the owner does not.
+    // The asker already knows that the engine is leaving; the owner does not.
     zone.nodes[asker].membership->setLeaving(std::string("machine-").append(first), true);
     CPPUNIT_ASSERT(!zone.nodes[asker].router->takesWork(zone.route("a").engine));
     zone.place(asker, PlacementZone::requestOf("b"));
     zone.run(milliseconds(20));
     CPPUNIT_ASSERT(zone.placed("b"));
     CPPUNIT_ASSERT(zone.route("b").engine.name != first);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, zone.openPlacements());
     CPPUNIT_ASSERT_EQUAL(1.0,
                          zone.count(zone.nodes[asker], "cypresswall_placement_unusable_total"));
   }
 
-  void aPlaceOnAnUnknownEngineIsNotUsed() {
+  void placementOnAnUnknownEngineIsNotUsed() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     const auto owners = zone.ownersOf();
-    owners[0]->own->wrong_address = true;
-    owners[1]->own->wrong_address = true;
-    owners[2]->own->wrong_address = true;
-    owners[3]->own->wrong_address = true;
+    owners[0]->local_router->wrong_address = true;
+    owners[1]->local_router->wrong_address = true;
+    owners[2]->local_router->wrong_address = true;
+    owners[3]->local_router->wrong_address = true;
     zone.place(asker, PlacementZone::requestOf("a"));
     zone.run(milliseconds(100));
     CPPUNIT_ASSERT(!zone.placed("a"));
     CPPUNIT_ASSERT(zone.answers.count("a") != 0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
   }
 
-  void placesThatNobodyGivesBackExpire() {
+  void unreleasedPlacementsExpire() {
     PlacementSettings settings;
     settings.placement_time_limit = seconds(5);
     PlacementZone zone(1, settings);
@@ -473,11 +474,11 @@
     const PlacementZone::Node& owner = *zone.ownersOf().front();
     zone.simulation.kill(*zone.nodes[asker].process);
     zone.run(seconds(7));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
     CPPUNIT_ASSERT_EQUAL(1.0, zone.count(owner, "cypresswall_placement_expired_total"));
   }
 
-  void placesAreBounded() {
+  void placementsAreBounded() {
     PlacementSettings settings;
     settings.maximum_placements = 10;
     PlacementZone zone(1, settings);
@@ -487,13 +488,13 @@
     }
     zone.run(milliseconds(500));
     for (const auto& node : zone.nodes) {
-      CPPUNIT_ASSERT(node.service->places() <= 10);
+      CPPUNIT_ASSERT(node.service->placements() <= 10);
     }
-    CPPUNIT_ASSERT(zone.openPlaces() <= 40);
+    CPPUNIT_ASSERT(zone.openPlacements() <= 40);
     CPPUNIT_ASSERT_EQUAL(std::size_t{100}, zone.answers.size());
   }
 
-  void strangersProgressIsDropped() {
+  void progressFromOtherNodesIsDropped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -506,15 +507,15 @@
     context.sendTo(owner.process->id(), progress);
     progress.stream_id = "no such stream";
     context.sendTo(owner.process->id(), progress);
-    // Nor can it ask in the other's name.
+    // Another node can't send a request for a stream that it didn't place.
     PlacementRequest request = toMessage(PlacementZone::requestOf("a"));
     context.sendTo(owner.process->id(), request);
     zone.run(milliseconds(20));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->places());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, owner.service->placements());
     CPPUNIT_ASSERT_EQUAL(3.0, zone.count(owner, "cypresswall_placement_dropped_total"));
   }
 
-  void failuresAreTheAskersWordOnly() {
+  void reportedFailureDoesNotEjectTheEngine() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     zone.place(asker, PlacementZone::requestOf("a"));
@@ -522,13 +523,13 @@
     const common::EngineName engine = zone.route("a").engine.name;
     zone.nodes[asker].router->attemptFailed("a", engine, engines::StreamFailure::kNotSent);
     zone.run(milliseconds(20));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlaces());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.openPlacements());
     for (const auto& node : zone.nodes) {
       CPPUNIT_ASSERT_EQUAL(0.0, zone.count(node, "cypresswall_engine_ejections_total"));
     }
   }
 
-  void brokenMessagesAreCountedAndRefused() {
+  void invalidMessagesAreCountedAndDropped() {
     PlacementZone zone;
     const std::size_t asker = zone.asker();
     PlacementZone::Node& owner = *zone.ownersOf().front();
@@ -546,13 +547,13 @@
     request.excluded.resize(1000);
     send(request);
     CPPUNIT_ASSERT_EQUAL(3.0, zone.count(owner, "cypresswall_placement_dropped_total"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->places());
-    // A group that the node doesn't own, or that doesn't exist.
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
+    // A group that the node doesn't own or that doesn't exist.
     request = toMessage(PlacementZone::requestOf("a"));
     request.group = "assistant/99";
     send(request);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->places());
-    // An answer that nobody asked for.
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, owner.service->placements());
+    // An unsolicited answer.
     PlacementAnswer answer;
     answer.stream_id = "b";
     answer.outcome = PlacementOutcome::kPlaced;
@@ -561,8 +562,8 @@
     CPPUNIT_ASSERT(zone.count(zone.nodes[asker], "cypresswall_placement_late_total") >= 1);
   }
 
-  void everyPlaceIsGivenBackUnderFaults() {
-    testing::requireProperty("every place is given back", 30, [](std::uint32_t seed) {
+  void everyPlacementIsReleasedUnderFaults() {
+    testing::requireProperty("every placement is released", 30, [](std::uint32_t seed) {
       PlacementSettings settings;
       settings.placement_time_limit = seconds(3);
       PlacementZone zone(seed, settings);
@@ -603,7 +604,7 @@
         }
       }
       zone.run(seconds(6));
-      RC_ASSERT(zone.openPlaces() == 0);
+      RC_ASSERT(zone.openPlacements() == 0);
     });
   }
 };
