--- a/src/cypresswall/execution/execution_settings.h
+++ b/src/cypresswall/execution/execution_settings.h
@@ -33,7 +33,7 @@
   /// at least this share of the limit, is given up if a retry can be afforded.
   double first_token_silence_factor = 4;
   common::Duration first_token_silence_margin = std::chrono::milliseconds(200);
-  double first_token_silence_share = 0.5;
+  double first_token_stall_share = 0.5;
   /// The same between tokens, as a multiple of the limit and at least the floor.
   double between_tokens_silence_factor = 20;
   common::Duration between_tokens_silence_floor = std::chrono::seconds(2);
--- a/src/cypresswall/execution/model_request_recovery.cpp
+++ b/src/cypresswall/execution/model_request_recovery.cpp
@@ -41,7 +41,7 @@
     limits.soft =
         std::max(scaled(route_->expected_first_token, settings.first_token_silence_factor) +
                      settings.first_token_silence_margin,
-                 scaled(target_.service.first_token_limit, settings.first_token_silence_share));
+                 scaled(target_.service.first_token_limit, settings.first_token_stall_share));
   }
   limits.hard = std::max(limits.soft * kSoftLimitsPerHardLimit, settings.silence_maximum);
   return limits;
--- a/src/cypresswall/execution/traffic_split.cpp
+++ b/src/cypresswall/execution/weighted_round_robin.cpp
@@ -1,11 +1,11 @@
-#include "cypresswall/execution/traffic_split.h"
+#include "cypresswall/execution/weighted_round_robin.h"
 
 #include <algorithm>
 #include <numeric>
 
 namespace cypresswall::execution {
 
-std::size_t TrafficSplit::next(const std::string& name, const std::vector<double>& weights) {
+std::size_t WeightedRoundRobin::next(const std::string& name, const std::vector<double>& weights) {
   std::vector<double>& credits = credits_[name];
   if (credits.size() != weights.size()) {
     credits.assign(weights.size(), 0.0);
--- a/src/cypresswall/execution/traffic_split.h
+++ b/src/cypresswall/execution/weighted_round_robin.h
@@ -10,7 +10,7 @@
 
 /// Smooth weighted round robin: over any run of requests each part's number of turns stays within
 /// one of its share, so that a small node keeps the shares too.
-class TrafficSplit {
+class WeightedRoundRobin {
  public:
   /// Takes the next turn of a division.
   /// \param name names the division; its state starts anew when the number of parts changes
--- a/src/cypresswall/settings/settings_loader.cpp
+++ b/src/cypresswall/settings/settings_loader.cpp
@@ -107,7 +107,7 @@
     settings.node.execution.charge_refused_attempts = true;
     settings.node.fleet_part.waits_after_start = true;
     settings.node.router.copies_prefixes = settings.copied_prefixes;
-    settings.node.execution.first_token_silence_share = kSilenceShareOfCountingPlatform;
+    settings.node.execution.first_token_stall_share = kSilenceShareOfCountingPlatform;
     // Its engines have only the roles "prefill" and "decode", and its store outlives the nodes.
     settings.node.lease_in_store = true;
     settings.node.controller.order.engines_finish_streams = true;
--- a/tests/execution/engine_model_executor_test.cpp
+++ b/tests/execution/engine_model_executor_test.cpp
@@ -3,7 +3,7 @@
 #include <optional>
 #include <vector>
 
-#include "tests/execution/model_world.h"
+#include "tests/execution/model_executor_fixture.h"
 #include "tests/support/property.h"
 
 namespace cypresswall::execution {
@@ -11,7 +11,7 @@
 
 using testing::RecordingObserver;
 using testing::StreamScript;
-using World = testing::ModelWorld;
+using World = testing::ModelExecutorFixture;
 using Kind = StreamScript::Kind;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
--- a/tests/execution/model_world.h
+++ b/tests/execution/model_executor_fixture.h
@@ -51,12 +51,12 @@
 }
 
 /// One node with an executor over fake engines.
-struct ModelWorld {
-  explicit ModelWorld(const execution::ExecutionSettings& settings = {})
-      : ModelWorld(settings, {}) {}
+struct ModelExecutorFixture {
+  explicit ModelExecutorFixture(const execution::ExecutionSettings& settings = {})
+      : ModelExecutorFixture(settings, {}) {}
   /// \param retry_limits what this node alone may repeat
-  ModelWorld(const execution::ExecutionSettings& settings,
-             const fleet_limits::RetryLimitSettings& retry_limits)
+  ModelExecutorFixture(const execution::ExecutionSettings& settings,
+                       const fleet_limits::RetryLimitSettings& retry_limits)
       : retries(retry_limits, process.context, [] { return 1.0; }),
         executor(process.context, configuration, admission, router, engines, retries, rate_limiter,
                  quarantine, usage, settings) {
--- a/tests/execution/model_request_test.cpp
+++ b/tests/execution/model_request_test.cpp
@@ -3,7 +3,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "cypresswall/admission/engine_priority.h"
-#include "tests/execution/model_world.h"
+#include "tests/execution/model_executor_fixture.h"
 
 namespace cypresswall::execution {
 namespace {
@@ -12,7 +12,7 @@
 using testing::RecordingObserver;
 using testing::StreamScript;
 using Kind = StreamScript::Kind;
-using World = testing::ModelWorld;
+using World = testing::ModelExecutorFixture;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/fleet_limits/arrivals_test.cpp
+++ b/tests/fleet_limits/arrivals_test.cpp
@@ -5,13 +5,13 @@
 /// Cause: a repeat was paid for by attempt, not by arrival.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "tests/execution/model_world.h"
+#include "tests/execution/model_executor_fixture.h"
 
 namespace cypresswall::fleet_limits {
 namespace {
 
 using testing::RecordingObserver;
-using World = testing::ModelWorld;
+using World = testing::ModelExecutorFixture;
 using Kind = testing::StreamScript::Kind;
 
 constexpr auto kLongRun = std::chrono::minutes(5);
