--- a/src/cypresswall/admission/admission.h
+++ b/src/cypresswall/admission/admission.h
@@ -1,4 +1,4 @@
-/// Decides at once whether a request may start: tenants' limits, classes, load.
+/// Admission decisions based on tenant limits, urgency and load.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
   common::TenantName tenant;
   common::ServiceName service;
   configuration::Urgency urgency = configuration::Urgency::kNormal;
-  /// Prompt tokens plus the output tokens asked for; zero for plain HTTP services.
+  /// Prompt tokens plus requested output tokens; zero for plain HTTP services.
   std::uint32_t tokens = 0;
 };
 
 enum class RefusalReason { kTenantRequestLimit, kTenantTokenLimit, kShedding, kDraining };
 
-/// A refusal is final and given at once.
+/// A refusal; final and returned without delay.
 struct Refusal {
   RefusalReason reason = RefusalReason::kShedding;
-  /// When the caller should ask again.
+  /// Time after which the caller should retry.
   common::Duration retry_after{0};
   std::string message;
 };
@@ -32,7 +32,7 @@
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
-  /// \return nothing if admitted, after which released() must be called once.
+  /// \return empty if admitted, in which case released() must be called once when the request ends
   virtual std::optional<Refusal> admit(const AdmissionRequest& request) = 0;
   virtual void released(const AdmissionRequest& request) = 0;
 };
--- a/src/cypresswall/admission/admission_settings.h
+++ b/src/cypresswall/admission/admission_settings.h
@@ -1,4 +1,4 @@
-/// Limits and periods of admission.
+/// Limits and intervals of admission control.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,28 @@
 namespace cypresswall::admission {
 
 struct AdmissionSettings {
-  /// How much unused allowance a tenant may save up, as a time at its full rate.
+  /// Bucket capacity of a tenant, as time at its full rate.
   common::Duration burst = std::chrono::seconds(2);
-  /// Bounds of the Retry-After of a refusal.
+  /// Bounds of the Retry-After returned with a refusal.
   common::Duration minimum_retry_after = std::chrono::seconds(1);
   common::Duration maximum_retry_after = std::chrono::seconds(30);
-  /// Retry-After while this node drains: another node takes the request at once.
+  /// Retry-After while this node drains; other nodes accept the request immediately.
   common::Duration draining_retry_after = std::chrono::seconds(1);
-  /// Requests that this node serves at a time, which bounds its memory.
+  /// Maximum concurrent requests on this node, which bounds its memory use.
   std::uint32_t maximum_in_flight = 5000;
-  /// A tenant short of allowance asks one peer for some of its own this often at most.
+  /// Minimum interval between allowance requests to peers for the same tenant.
   common::Duration exchange_period = std::chrono::milliseconds(250);
-  /// Part of its saved allowance that a peer gives away.
-  double exchange_share = 0.5;
+  /// Fraction of its bucket level that a peer donates.
+  double donated_share = 0.5;
 };
 
-/// How fast shedding reacts to the router's refusals.
+/// Rate at which load shedding reacts to refusals by the router.
 struct SheddingSettings {
   common::Duration window = std::chrono::milliseconds(250);
-  /// Share of refused requests in a window above which more is shed.
+  /// Fraction of refused requests in a window above which the shedding level rises.
   double refused_share = 0.02;
-  /// Classes shed more after a window with refusals, and less after one without.
+  /// Change of the shedding level, in urgency classes, after an overloaded window and after any
+  /// other window.
   double step_up = 0.2;
   double step_down = 0.05;
 };
--- a/src/cypresswall/admission/engine_priority.h
+++ b/src/cypresswall/admission/engine_priority.h
@@ -1,4 +1,4 @@
-/// How an urgency is written as an engine's priority (0 to 9, higher first).
+/// Mapping of urgencies to engine priorities (0 to 9, higher is served first).
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace cypresswall::admission {
 
-/// Each urgency has two priorities; the higher one is for answers that are resumed half-way.
+/// Each urgency has two priorities; the higher one is for resumed answers.
 constexpr std::uint8_t kPrioritiesPerUrgency = 2;
 constexpr std::uint8_t kLowestPriority = 1;
 
@@ -17,7 +17,7 @@
                                    (resuming ? 1 : 0));
 }
 
-/// \param priority made by enginePriority()
+/// \param priority a value returned by enginePriority()
 constexpr configuration::Urgency urgencyOfPriority(std::uint8_t priority) {
   return static_cast<configuration::Urgency>((priority - kLowestPriority) / kPrioritiesPerUrgency);
 }
--- a/src/cypresswall/admission/load_probe.h
+++ b/src/cypresswall/admission/load_probe.h
@@ -1,4 +1,4 @@
-/// What admission knows of the load on a model's engines.
+/// Admission's view of the load on a model's engines.
 #pragma once
 
 #include "cypresswall/common/identifiers.h"
@@ -10,10 +10,10 @@
 class LoadProbe {
  public:
   virtual ~LoadProbe() = default;
-  /// \return part of the requests of this urgency to admit, 0 to 1.
+  /// \return fraction of the requests of this urgency to admit, 0 to 1
   virtual double admittedShare(const common::ModelName& model,
                                configuration::Urgency urgency) const = 0;
-  /// \return when the model's queues will probably have drained enough.
+  /// \return estimated time until the model's queues have drained far enough
   virtual common::Duration drainTime(const common::ModelName& model) const = 0;
 };
 
--- a/src/cypresswall/admission/messages.h
+++ b/src/cypresswall/admission/messages.h
@@ -1,4 +1,4 @@
-/// Messages by which the nodes of a zone pass on unused allowance of a tenant.
+/// Messages for transferring unused tenant allowance between the nodes of a zone.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 
 namespace cypresswall::admission {
 
-/// "This tenant has used up its share here; give away some of yours."
-struct AllowanceAsk {
+/// Requests allowance from a peer because the tenant has used up its share on this node.
+struct AllowanceRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kAdmissionFirst, 0);
   std::uint64_t sequence = 0;
   common::TenantName tenant;
   MSGPACK_DEFINE(sequence, tenant)
 };
 
-/// What the asked node took out of its own buckets.
+/// Allowance that the requested node has taken out of its own buckets.
 struct AllowanceGrant {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kAdmissionFirst, 1);
   std::uint64_t sequence = 0;
--- a/src/cypresswall/admission/observed_router.cpp
+++ b/src/cypresswall/admission/observed_router.cpp
@@ -9,18 +9,18 @@
 namespace cypresswall::admission {
 namespace {
 
-/// The level at which everything but the highest urgency is shed.
+/// Level at which all urgencies except the highest are shed.
 constexpr double kHighestLevel = 3;
 
 }  // namespace
 
-void SheddingLevel::onChoice(configuration::Urgency urgency, bool refused,
-                             common::MonotonicTime now) {
+void SheddingLevel::recordChoice(configuration::Urgency urgency, bool refused,
+                                 common::MonotonicTime now) {
   if (now - window_start_ >= settings_.window) {
     closeWindow(now);
   }
   auto& count = counts_[static_cast<std::size_t>(urgency)];
-  ++count.asked;
+  ++count.routed;
   count.refused += refused ? 1 : 0;
 }
 
@@ -34,15 +34,15 @@
   window_start_ = now;
 }
 
-/// Only refusals of classes above the one that is shed next count: the router refuses the others by
-/// itself, and shedding them would help nobody.
+/// Counts only refusals of classes above the one currently being shed. Lower classes are already
+/// refused by the router, and shedding them would not help the classes above.
 bool SheddingLevel::overloaded() const {
-  Count kept;
+  Count remaining;
   for (auto rank = static_cast<std::size_t>(level_) + 1; rank < kClasses; ++rank) {
-    kept.asked += counts_[rank].asked;
-    kept.refused += counts_[rank].refused;
+    remaining.routed += counts_[rank].routed;
+    remaining.refused += counts_[rank].refused;
   }
-  return kept.refused > settings_.refused_share * kept.asked;
+  return remaining.refused > settings_.refused_share * remaining.routed;
 }
 
 double SheddingLevel::levelAt(common::MonotonicTime now) const {
@@ -63,7 +63,7 @@
 
 routing::RouteChoice ObservedRouter::choose(const routing::RouteRequest& request) {
   auto choice = router_.choose(request);
-  note(request.model, request.priority, choice);
+  recordChoice(request.model, request.priority, choice);
   return choice;
 }
 
@@ -71,18 +71,18 @@
                            const routing::PlacementCallback& done) {
   router_.place(request, [this, model = request.model, priority = request.priority,
                           done](routing::RouteChoice choice) {
-    note(model, priority, choice);
+    recordChoice(model, priority, choice);
     done(std::move(choice));
   });
 }
 
-void ObservedRouter::note(const common::ModelName& model, std::uint8_t priority,
-                          const routing::RouteChoice& choice) {
+void ObservedRouter::recordChoice(const common::ModelName& model, std::uint8_t priority,
+                                  const routing::RouteChoice& choice) {
   const auto* const refusal = std::get_if<routing::RouteRefusal>(&choice);
   const bool overloaded =
       refusal != nullptr && refusal->reason == routing::RouteFailure::kOverloaded;
   auto& load = models_.try_emplace(model, ModelLoad{SheddingLevel(settings_)}).first->second;
-  load.level.onChoice(urgencyOfPriority(priority), overloaded, clock_.now());
+  load.level.recordChoice(urgencyOfPriority(priority), overloaded, clock_.now());
   if (overloaded) {
     load.last_retry_after = refusal->retry_after;
   }
--- a/src/cypresswall/admission/observed_router.h
+++ b/src/cypresswall/admission/observed_router.h
@@ -1,4 +1,4 @@
-/// Learns from the router's refusals how much to shed.
+/// Derives the amount of load shedding from the router's refusals.
 #pragma once
 
 #include <array>
@@ -11,19 +11,20 @@
 
 namespace cypresswall::admission {
 
-/// How much of one model's load is shed, in classes: 1.3 means all of the lowest urgency and three
-/// tenths of the next. Rises while the router refuses requests of a class above the one that is
-/// shed next, falls while it does not. The highest urgency is never shed.
+/// Load shedding of one model, measured in urgency classes: a level of 1.3 sheds all requests of
+/// the lowest urgency and 30 % of the next. The level rises while the router refuses requests of a
+/// class above the one currently being shed, and falls otherwise. The highest urgency is never
+/// shed.
 class SheddingLevel {
  public:
   explicit SheddingLevel(const SheddingSettings& settings) : settings_(settings) {}
-  void onChoice(configuration::Urgency urgency, bool refused, common::MonotonicTime now);
+  void recordChoice(configuration::Urgency urgency, bool refused, common::MonotonicTime now);
   double admittedShare(configuration::Urgency urgency, common::MonotonicTime now) const;
 
  private:
   static constexpr std::size_t kClasses = 4;
   struct Count {
-    std::uint32_t asked = 0;
+    std::uint32_t routed = 0;
     std::uint32_t refused = 0;
   };
 
@@ -37,7 +38,7 @@
   double level_ = 0;
 };
 
-/// Passes everything on to the router that it wraps, and keeps a shedding level for each model.
+/// Decorator that forwards all calls to a router and maintains a shedding level for each model.
 class ObservedRouter final : public routing::Router, public LoadProbe {
  public:
   ObservedRouter(routing::Router& router, const common::Clock& clock,
@@ -79,8 +80,8 @@
     common::Duration last_retry_after{0};
   };
 
-  void note(const common::ModelName& model, std::uint8_t priority,
-            const routing::RouteChoice& choice);
+  void recordChoice(const common::ModelName& model, std::uint8_t priority,
+                    const routing::RouteChoice& choice);
 
   routing::Router& router_;
   const common::Clock& clock_;
--- a/src/cypresswall/admission/tenant_limits.cpp
+++ b/src/cypresswall/admission/tenant_limits.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kOneRequest = 1;
-/// A bucket that could not hold one request would admit nothing.
+/// Minimum bucket capacity; a bucket that cannot hold one request would never admit any.
 constexpr double kSmallestRequestCapacity = 1;
 const char* const kDefaultTenant = "default";
 
@@ -16,7 +16,7 @@
          member.state == membership::MemberState::kSuspect;
 }
 
-common::Counter& exchanged(common::CounterRegistry& registry, const char* step) {
+common::Counter& exchangeCounter(common::CounterRegistry& registry, const char* step) {
   return registry.counter("cypresswall_admission_exchange_total",
                           "Messages that pass on unused allowance of tenants", "step", step);
 }
@@ -37,19 +37,21 @@
       configuration_(configuration),
       membership_(membership),
       settings_(settings),
-      asks_(exchanged(process.counters, "asked")),
-      grants_given_(exchanged(process.counters, "given")),
-      grants_received_(exchanged(process.counters, "received")),
-      grants_dropped_(exchanged(process.counters, "dropped")) {
-  divideAnew();
-  membership.onChange([this] { divideAnew(); });
-  process.dispatcher.handle<AllowanceAsk>(
-      [this](const common::NodeId& sender, const AllowanceAsk& ask) { onAsk(sender, ask); });
+      allowance_requests_(exchangeCounter(process.counters, "asked")),
+      grants_given_(exchangeCounter(process.counters, "given")),
+      grants_received_(exchangeCounter(process.counters, "received")),
+      grants_dropped_(exchangeCounter(process.counters, "dropped")) {
+  recomputeShares();
+  membership.onChange([this] { recomputeShares(); });
+  process.dispatcher.handle<AllowanceRequest>(
+      [this](const common::NodeId& sender, const AllowanceRequest& request) {
+        onAllowanceRequest(sender, request);
+      });
   process.dispatcher.handle<AllowanceGrant>(
-      [this](const common::NodeId&, const AllowanceGrant& grant) { onGrant(grant); });
+      [this](const common::NodeId&, const AllowanceGrant& grant) { onAllowanceGrant(grant); });
 }
 
-void TenantLimits::divideAnew() {
+void TenantLimits::recomputeShares() {
   peers_.clear();
   for (const auto& member : membership_.members()) {
     if (servesCallers(member) && member.node != process_.self) {
@@ -86,14 +88,14 @@
 std::optional<Refusal> TenantLimits::take(const AdmissionRequest& request) {
   auto& buckets = bucketsOf(request.tenant);
   const auto now = process_.clock.now();
-  const bool requests_left = buckets.requests.affords(kOneRequest, now);
-  const bool tokens_left = buckets.tokens.affords(request.tokens, now);
+  const bool requests_left = buckets.requests.canTake(kOneRequest, now);
+  const bool tokens_left = buckets.tokens.canTake(request.tokens, now);
   if (requests_left && tokens_left) {
     buckets.requests.take(kOneRequest);
     buckets.tokens.take(request.tokens);
     return std::nullopt;
   }
-  askPeer(request.tenant, buckets);
+  requestAllowance(request.tenant, buckets);
   if (!requests_left) {
     return refuse(RefusalReason::kTenantRequestLimit, buckets.requests, kOneRequest,
                   request.tenant);
@@ -105,49 +107,51 @@
                              const common::TenantName& tenant) {
   Refusal refusal;
   refusal.reason = reason;
-  refusal.retry_after = std::clamp(bucket.promise(cost, process_.clock.now()),
+  refusal.retry_after = std::clamp(bucket.reserveRetry(cost, process_.clock.now()),
                                    settings_.minimum_retry_after, settings_.maximum_retry_after);
   refusal.message = "tenant " + tenant + " has used up its " +
                     (reason == RefusalReason::kTenantRequestLimit ? "requests" : "tokens");
   return refusal;
 }
 
-void TenantLimits::askPeer(const common::TenantName& tenant, Buckets& buckets) {
+void TenantLimits::requestAllowance(const common::TenantName& tenant, Buckets& buckets) {
   const auto now = process_.clock.now();
-  const bool asked_lately = buckets.asked_at && now - *buckets.asked_at < settings_.exchange_period;
-  if (peers_.empty() || asked_lately) {
+  const bool requested_recently =
+      buckets.requested_at && now - *buckets.requested_at < settings_.exchange_period;
+  if (peers_.empty() || requested_recently) {
     return;
   }
-  buckets.asked = next_sequence_++;
-  buckets.asked_at = now;
-  asks_.add();
+  buckets.pending_sequence = next_sequence_++;
+  buckets.requested_at = now;
+  allowance_requests_.add();
   process_.sendTo(peers_[process_.random.below(peers_.size())],
-                  AllowanceAsk{buckets.asked, tenant});
+                  AllowanceRequest{buckets.pending_sequence, tenant});
 }
 
-void TenantLimits::onAsk(const common::NodeId& sender, const AllowanceAsk& ask) {
-  auto& buckets = bucketsOf(ask.tenant);
+void TenantLimits::onAllowanceRequest(const common::NodeId& sender,
+                                      const AllowanceRequest& request) {
+  auto& buckets = bucketsOf(request.tenant);
   const auto now = process_.clock.now();
   AllowanceGrant grant;
-  grant.sequence = ask.sequence;
-  grant.tenant = ask.tenant;
-  grant.requests = buckets.requests.giveAway(settings_.exchange_share, now);
-  grant.tokens = buckets.tokens.giveAway(settings_.exchange_share, now);
+  grant.sequence = request.sequence;
+  grant.tenant = request.tenant;
+  grant.requests = buckets.requests.donate(settings_.donated_share, now);
+  grant.tokens = buckets.tokens.donate(settings_.donated_share, now);
   if (grant.requests > 0 || grant.tokens > 0) {
     grants_given_.add();
     process_.sendTo(sender, grant);
   }
 }
 
-void TenantLimits::onGrant(const AllowanceGrant& grant) {
+void TenantLimits::onAllowanceGrant(const AllowanceGrant& grant) {
   auto& buckets = bucketsOf(grant.tenant);
-  if (grant.sequence == 0 || grant.sequence != std::exchange(buckets.asked, 0)) {
+  if (grant.sequence == 0 || grant.sequence != std::exchange(buckets.pending_sequence, 0)) {
     grants_dropped_.add();
     return;
   }
   grants_received_.add();
-  buckets.requests.receive(grant.requests);
-  buckets.tokens.receive(grant.tokens);
+  buckets.requests.credit(grant.requests);
+  buckets.tokens.credit(grant.tokens);
 }
 
 }  // namespace cypresswall::admission
--- a/src/cypresswall/admission/tenant_limits.h
+++ b/src/cypresswall/admission/tenant_limits.h
@@ -1,5 +1,5 @@
-/// Tenants' limits over a zone without a central counter: each node holds its share of a limit, and
-/// a node that runs short asks a peer for allowance that it does not use.
+/// Zone-wide tenant limits without a central counter: each node enforces its share of a limit, and
+/// a node that runs short requests unused allowance from a peer.
 #pragma once
 
 #include <cstdint>
@@ -17,47 +17,47 @@
 
 namespace cypresswall::admission {
 
-/// The share is the limit over the number of nodes that serve callers, divided anew whenever that
-/// changes. Allowance that is passed on leaves one bucket before it enters another, so lost or
-/// doubled messages can only lose some of it. While a zone is split, each part divides the whole
-/// limit among its own nodes.
+/// A node's share is the limit divided by the number of nodes that serve callers, recomputed when
+/// that number changes. Transferred allowance is taken from the donor's bucket before it is sent,
+/// and grants are accepted once, so lost or duplicate messages can only reduce it. During a network
+/// partition each side divides the full limit among its own nodes.
 class TenantLimits {
  public:
   TenantLimits(const api::ProcessContext& process,
                const configuration::ConfigurationView& configuration,
                membership::MembershipView& membership, const AdmissionSettings& settings);
 
-  /// Takes one request and its tokens out of the tenant's share.
-  /// \return the refusal if the share does not suffice; nothing is taken then
+  /// Takes one request and its tokens from the tenant's share.
+  /// \return a refusal if the share does not suffice, in which case nothing is taken
   std::optional<Refusal> take(const AdmissionRequest& request);
 
  private:
   struct Buckets {
     TokenBucket requests;
     TokenBucket tokens;
-    /// Sequence number of the ask that waits for its answer, zero if none does.
-    std::uint64_t asked = 0;
-    std::optional<common::MonotonicTime> asked_at;
+    /// Sequence number of the pending allowance request, zero if there is none.
+    std::uint64_t pending_sequence = 0;
+    std::optional<common::MonotonicTime> requested_at;
   };
 
   Buckets& bucketsOf(const common::TenantName& tenant);
   void configure(Buckets& buckets, const common::TenantName& tenant);
-  void divideAnew();
+  void recomputeShares();
   Refusal refuse(RefusalReason reason, TokenBucket& bucket, double cost,
                  const common::TenantName& tenant);
-  void askPeer(const common::TenantName& tenant, Buckets& buckets);
-  void onAsk(const common::NodeId& sender, const AllowanceAsk& ask);
-  void onGrant(const AllowanceGrant& grant);
+  void requestAllowance(const common::TenantName& tenant, Buckets& buckets);
+  void onAllowanceRequest(const common::NodeId& sender, const AllowanceRequest& request);
+  void onAllowanceGrant(const AllowanceGrant& grant);
 
   const api::ProcessContext& process_;
   const configuration::ConfigurationView& configuration_;
   const membership::MembershipView& membership_;
   const AdmissionSettings settings_;
   std::map<common::TenantName, Buckets> buckets_;
-  /// Other nodes that serve callers.
+  /// The other nodes that serve callers.
   std::vector<common::NodeId> peers_;
   std::uint64_t next_sequence_ = 1;
-  common::Counter& asks_;
+  common::Counter& allowance_requests_;
   common::Counter& grants_given_;
   common::Counter& grants_received_;
   common::Counter& grants_dropped_;
--- a/src/cypresswall/admission/token_bucket.cpp
+++ b/src/cypresswall/admission/token_bucket.cpp
@@ -5,9 +5,10 @@
 namespace cypresswall::admission {
 namespace {
 
-/// Below this part of its capacity a bucket gives nothing away.
-constexpr double kKeptShare = 0.5;
-/// Rounding errors of repeated refills must not refuse a caller that waited as told.
+/// Fraction of its capacity below which a bucket donates nothing.
+constexpr double kMinimumDonorShare = 0.5;
+/// Absorbs rounding errors of repeated refills, so that a caller that honored its Retry-After is
+/// not refused.
 constexpr double kTolerance = 1e-6;
 
 }  // namespace
@@ -16,31 +17,31 @@
   if (rate == rate_ && capacity == capacity_) {
     return;
   }
-  const bool fresh = rate_ <= 0;
+  const bool newly_limited = rate_ <= 0;
   refill(now);
   rate_ = rate;
   capacity_ = capacity;
-  level_ = fresh ? capacity : std::min(level_, capacity);
-  refilled_ = now;
+  level_ = newly_limited ? capacity : std::min(level_, capacity);
+  last_refill_ = now;
 }
 
 void TokenBucket::refill(common::MonotonicTime now) {
-  const double gained = rate_ * common::toSeconds(now - refilled_);
-  refilled_ = now;
-  promised_ = std::max(0.0, promised_ - gained);
+  const double gained = rate_ * common::toSeconds(now - last_refill_);
+  last_refill_ = now;
+  reserved_ = std::max(0.0, reserved_ - gained);
   if (level_ < capacity_) {
     level_ = std::min(capacity_, level_ + gained);
   }
 }
 
-double TokenBucket::needed(double cost) const { return std::min(cost, capacity_); }
+double TokenBucket::requiredLevel(double cost) const { return std::min(cost, capacity_); }
 
-bool TokenBucket::affords(double cost, common::MonotonicTime now) {
+bool TokenBucket::canTake(double cost, common::MonotonicTime now) {
   if (!limited()) {
     return true;
   }
   refill(now);
-  return level_ + kTolerance >= needed(cost);
+  return level_ + kTolerance >= requiredLevel(cost);
 }
 
 void TokenBucket::take(double cost) {
@@ -49,19 +50,19 @@
   }
 }
 
-common::Duration TokenBucket::promise(double cost, common::MonotonicTime now) {
+common::Duration TokenBucket::reserveRetry(double cost, common::MonotonicTime now) {
   refill(now);
-  const double missing = std::max(0.0, needed(cost) - level_) + promised_;
-  promised_ += cost;
+  const double missing = std::max(0.0, requiredLevel(cost) - level_) + reserved_;
+  reserved_ += cost;
   return common::fromSeconds(missing / rate_);
 }
 
-double TokenBucket::giveAway(double share, common::MonotonicTime now) {
+double TokenBucket::donate(double share, common::MonotonicTime now) {
   if (!limited()) {
     return 0;
   }
   refill(now);
-  if (level_ < capacity_ * kKeptShare) {
+  if (level_ < capacity_ * kMinimumDonorShare) {
     return 0;
   }
   const double given = level_ * share;
--- a/src/cypresswall/admission/zone_admission_controller.cpp
+++ b/src/cypresswall/admission/zone_admission_controller.cpp
@@ -6,9 +6,9 @@
 namespace cypresswall::admission {
 namespace {
 
-/// Retry-After of shed requests is drawn out at random by up to this part, so that they don't all
-/// come back at once.
-constexpr double kRetrySpread = 0.5;
+/// Maximum random extension of the Retry-After of shed requests, as a fraction, so that their
+/// retries are spread over time.
+constexpr double kRetryAfterJitter = 0.5;
 
 const char* nameOf(RefusalReason reason) {
   switch (reason) {
@@ -61,28 +61,28 @@
                   "this node serves as many requests as it can hold");
   }
   const auto model = modelOf(request.service);
-  if (!model.empty() && sheds(request, model)) {
+  if (!model.empty() && shouldShed(request, model)) {
     return refuse(RefusalReason::kShedding, load_.drainTime(model),
                   "requests of this urgency are shed while model " + model + " is overloaded");
   }
   return tenants_.take(request);
 }
 
-bool ZoneAdmissionController::sheds(const AdmissionRequest& request,
-                                    const common::ModelName& model) {
+bool ZoneAdmissionController::shouldShed(const AdmissionRequest& request,
+                                         const common::ModelName& model) {
   const double admitted_share = load_.admittedShare(model, request.urgency);
   return admitted_share < 1 && process_.random.unit() >= admitted_share;
 }
 
 Refusal ZoneAdmissionController::refuse(RefusalReason reason, common::Duration retry_after,
                                         std::string message) {
-  const double spread =
-      reason == RefusalReason::kShedding ? 1 + kRetrySpread * process_.random.unit() : 1;
-  const auto drawn_out = common::fromSeconds(common::toSeconds(retry_after) * spread);
+  const double jitter =
+      reason == RefusalReason::kShedding ? 1 + kRetryAfterJitter * process_.random.unit() : 1;
+  const auto jittered = common::fromSeconds(common::toSeconds(retry_after) * jitter);
   Refusal refusal;
   refusal.reason = reason;
   refusal.retry_after =
-      std::clamp(drawn_out, settings_.minimum_retry_after, settings_.maximum_retry_after);
+      std::clamp(jittered, settings_.minimum_retry_after, settings_.maximum_retry_after);
   refusal.message = std::move(message);
   return refusal;
 }
--- a/src/cypresswall/admission/zone_admission_controller.h
+++ b/src/cypresswall/admission/zone_admission_controller.h
@@ -1,4 +1,4 @@
-/// The admission controller of a gateway node.
+/// Admission controller of a gateway node.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,8 @@
 
 namespace cypresswall::admission {
 
-/// Refuses, in this order: everything while the node drains; what is beyond the requests that the
-/// node can hold; low urgencies first while a model is overloaded; what is beyond a tenant's share.
+/// Refuses, in this order: all requests while the node drains; requests above the in-flight limit;
+/// requests to an overloaded model, lowest urgency first; requests above the tenant's share.
 class ZoneAdmissionController final : public AdmissionController {
  public:
   ZoneAdmissionController(const api::ProcessContext& process,
@@ -21,15 +21,15 @@
 
   std::optional<Refusal> admit(const AdmissionRequest& request) override;
   void released(const AdmissionRequest& request) override;
-  /// From now on new work is refused; requests that run are not touched.
+  /// While draining, new requests are refused; running requests are not affected.
   void setDraining(bool draining) { draining_ = draining; }
   std::uint32_t inFlight() const { return in_flight_; }
 
  private:
   std::optional<Refusal> decide(const AdmissionRequest& request);
-  bool sheds(const AdmissionRequest& request, const common::ModelName& model);
+  bool shouldShed(const AdmissionRequest& request, const common::ModelName& model);
   Refusal refuse(RefusalReason reason, common::Duration retry_after, std::string message);
-  /// \return the model behind a service, empty for plain HTTP services
+  /// \return the model of a service, empty for plain HTTP services
   common::ModelName modelOf(const common::ServiceName& service) const;
   common::Counter& refusedCounter(RefusalReason reason);
 
--- a/src/cypresswall/execution/backend_choice.cpp
+++ b/src/cypresswall/execution/backend_choice.cpp
@@ -17,8 +17,8 @@
                                              const membership::MembershipView& membership,
                                              const std::set<common::Address>& excluded,
                                              common::RandomSource& random) {
-  std::vector<common::Address> near;
-  std::vector<common::Address> far;
+  std::vector<common::Address> local;
+  std::vector<common::Address> remote;
   for (const auto& backend : service.backends) {
     const bool leaving = membership.machineLeaving(backend.machine) ||
                          membership.addressLeaving(backend.address) ||
@@ -26,10 +26,10 @@
     if (leaving || excluded.count(backend.address) != 0) {
       continue;
     }
-    auto& candidates = backend.zone == membership.zone() ? near : far;
+    auto& candidates = backend.zone == membership.zone() ? local : remote;
     candidates.push_back(backend.address);
   }
-  const auto& candidates = near.empty() ? far : near;
+  const auto& candidates = local.empty() ? remote : local;
   if (candidates.empty()) {
     return std::nullopt;
   }
--- a/src/cypresswall/execution/backend_choice.h
+++ b/src/cypresswall/execution/backend_choice.h
@@ -1,4 +1,4 @@
-/// Choice of the back end for one attempt at a service request.
+/// Selection of the back end for one attempt at a service request.
 #pragma once
 
 #include <optional>
@@ -10,9 +10,9 @@
 
 namespace cypresswall::execution {
 
-/// Chooses at random among the back ends of the own zone, or, if it has none, among the others.
-/// Machines that are leaving or drained and excluded addresses are never chosen.
-/// \return nothing if no back end is left
+/// Picks a random back end in the local zone or, if there is none, in another zone. Never picks
+/// excluded addresses or machines that are leaving or drained.
+/// \return empty if no back end is eligible
 std::optional<common::Address> chooseBackend(const configuration::HttpServiceDeclaration& service,
                                              const configuration::FleetConfiguration& fleet,
                                              const membership::MembershipView& membership,
--- a/src/cypresswall/execution/backoff.cpp
+++ b/src/cypresswall/execution/backoff.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Beyond this many doublings every pause has reached any sensible maximum.
+/// Bounds the shift below; after this many doublings the delay exceeds any practical maximum.
 constexpr std::uint32_t kMaximumDoublings = 16;
 
 }  // namespace
@@ -16,9 +16,9 @@
     return common::Duration{0};
   }
   const auto doublings = std::min(retry - 2, kMaximumDoublings);
-  const auto whole = std::min(settings.backoff_base * (1 << doublings), settings.backoff_maximum);
-  const auto half = static_cast<std::uint64_t>(whole.count()) / 2;
-  return whole - common::Duration{static_cast<common::Duration::rep>(random.below(half + 1))};
+  const auto full = std::min(settings.backoff_base * (1 << doublings), settings.backoff_maximum);
+  const auto half = static_cast<std::uint64_t>(full.count()) / 2;
+  return full - common::Duration{static_cast<common::Duration::rep>(random.below(half + 1))};
 }
 
 }  // namespace cypresswall::execution
--- a/src/cypresswall/execution/backoff.h
+++ b/src/cypresswall/execution/backoff.h
@@ -1,4 +1,4 @@
-/// The pause before a further attempt.
+/// Exponential back-off between attempts.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace cypresswall::execution {
 
-/// \param retry number of the retry, from 1
-/// \return the pause before it, with jitter; zero before the first
+/// \param retry number of the retry, starting at 1
+/// \return the delay before that retry, with jitter; zero for the first retry
 common::Duration backoffBefore(std::uint32_t retry, const ExecutionSettings& settings,
                                common::RandomSource& random);
 
--- a/src/cypresswall/execution/deferred_destruction.h
+++ b/src/cypresswall/execution/deferred_destruction.h
@@ -1,4 +1,4 @@
-/// Destroys objects on the scheduler's next turn.
+/// Deferred destruction of objects in a scheduler callback.
 #pragma once
 
 #include <memory>
@@ -9,8 +9,8 @@
 
 namespace cypresswall::execution {
 
-/// Takes streams and calls that are over. One of them may be in the middle of a callback, from
-/// which it must not be destroyed.
+/// Takes ownership of finished streams and calls and destroys them in the next scheduler callback,
+/// because an object must not be destroyed from within its own callback.
 template <typename Object>
 class DeferredDestruction {
  public:
--- a/src/cypresswall/execution/engine_attempt.cpp
+++ b/src/cypresswall/execution/engine_attempt.cpp
@@ -19,10 +19,10 @@
 
 StreamEventCounters::StreamEventCounters(common::CounterRegistry& registry)
     : late(droppedEvents(registry, "late")),
-      crossed(droppedEvents(registry, "crossed")),
-      doubled(droppedEvents(registry, "doubled")),
+      wrong_attempt(droppedEvents(registry, "crossed")),
+      duplicate(droppedEvents(registry, "doubled")),
       gap(brokenAttempts(registry, "gap")),
-      short_of(brokenAttempts(registry, "short")) {}
+      truncated(brokenAttempts(registry, "short")) {}
 
 EngineAttempt::EngineAttempt(Listener& listener, StreamEventCounters& counters)
     : listener_(&listener), counters_(counters) {}
@@ -48,34 +48,34 @@
 }
 
 void EngineAttempt::onRateLimit(std::uint32_t attempt, const common::RateLimitNotice& notice) {
-  if (belongsHere(attempt)) {
+  if (belongsToAttempt(attempt)) {
     listener_->onAttemptRateLimit(notice);
   }
 }
 
 void EngineAttempt::onHead(std::uint32_t attempt, const engines::AnswerHead& head) {
-  if (!belongsHere(attempt)) {
+  if (!belongsToAttempt(attempt)) {
     return;
   }
-  if (head_given_ || phase_ == engines::StreamPhase::kPrefillOnly) {
-    counters_.doubled.add();
+  if (head_forwarded_ || phase_ == engines::StreamPhase::kPrefillOnly) {
+    counters_.duplicate.add();
     return;
   }
-  head_given_ = true;
+  head_forwarded_ = true;
   listener_->onAttemptHead(head);
 }
 
 void EngineAttempt::onToken(std::uint32_t attempt, std::uint32_t index, const std::string& text) {
-  if (!belongsHere(attempt)) {
+  if (!belongsToAttempt(attempt)) {
     return;
   }
   if (index < next_index_ || phase_ == engines::StreamPhase::kPrefillOnly) {
-    counters_.doubled.add();
+    counters_.duplicate.add();
     return;
   }
   if (index > next_index_) {
     counters_.gap.add();
-    breakOff("token " + std::to_string(index) + " came in place of token " +
+    failWith("token " + std::to_string(index) + " came in place of token " +
              std::to_string(next_index_));
     return;
   }
@@ -84,14 +84,14 @@
 }
 
 void EngineAttempt::onFinished(std::uint32_t attempt, const engines::StreamUsage& usage) {
-  if (!belongsHere(attempt)) {
+  if (!belongsToAttempt(attempt)) {
     return;
   }
-  const bool whole =
+  const bool complete =
       phase_ == engines::StreamPhase::kPrefillOnly || usage.output_tokens == next_index_;
-  if (!whole) {
-    counters_.short_of.add();
-    breakOff("stream of " + std::to_string(usage.output_tokens) + " tokens ended after token " +
+  if (!complete) {
+    counters_.truncated.add();
+    failWith("stream of " + std::to_string(usage.output_tokens) + " tokens ended after token " +
              std::to_string(next_index_));
     return;
   }
@@ -106,19 +106,19 @@
   std::exchange(listener_, nullptr)->onAttemptFailed(failure, message);
 }
 
-bool EngineAttempt::belongsHere(std::uint32_t attempt) {
+bool EngineAttempt::belongsToAttempt(std::uint32_t attempt) {
   if (listener_ == nullptr) {
     counters_.late.add();
     return false;
   }
   if (attempt != number_) {
-    counters_.crossed.add();
+    counters_.wrong_attempt.add();
     return false;
   }
   return true;
 }
 
-void EngineAttempt::breakOff(const std::string& message) {
+void EngineAttempt::failWith(const std::string& message) {
   std::exchange(listener_, nullptr)->onAttemptFailed(engines::StreamFailure::kMalformed, message);
 }
 
--- a/src/cypresswall/execution/engine_attempt.h
+++ b/src/cypresswall/execution/engine_attempt.h
@@ -1,4 +1,4 @@
-/// One attempt at a model request on one engine: lets through only the events that belong to it.
+/// One attempt at a model request on one engine, with filtering of its stream events.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,25 @@
 
 namespace cypresswall::execution {
 
-/// Counters of stream events that were not passed on.
+/// Counters of dropped stream events and of malformed streams.
 struct StreamEventCounters {
   explicit StreamEventCounters(common::CounterRegistry& registry);
-  common::Counter& late;      ///< after the attempt had ended
-  common::Counter& crossed;   ///< of another attempt
-  common::Counter& doubled;   ///< tokens or heads already given
-  common::Counter& gap;       ///< attempts broken by a jump of the token index
-  common::Counter& short_of;  ///< attempts broken by an end before the last token
+  common::Counter& late;           ///< events received after the attempt ended
+  common::Counter& wrong_attempt;  ///< events that carry another attempt's number
+  common::Counter& duplicate;      ///< tokens or heads that were already forwarded
+  common::Counter& gap;            ///< attempts failed because a token index was skipped
+  common::Counter& truncated;      ///< attempts failed because the stream ended early
 };
 
-/// Passes on the head of one attempt, its tokens, in order and each once, and how it ended. Events
-/// that carry another attempt number, that repeat a head or token or that come after the end are
-/// dropped and counted. A token that skips one, or an end that comes too early, breaks the attempt.
+/// Forwards the response head, the tokens (in order, each once) and the final status of one attempt
+/// to its listener. Drops and counts events with another attempt number, duplicate heads or tokens
+/// and events after the end. Fails the attempt if a token is missing or the stream ends early.
 class EngineAttempt final : public engines::StreamHandler {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
-    /// What the answer says of the requests that its engine takes, at once when it begins.
+    /// Reports the engine's rate limit from the response headers, before any token.
     virtual void onAttemptRateLimit(const common::RateLimitNotice& notice) = 0;
     virtual void onAttemptHead(const engines::AnswerHead& head) = 0;
     virtual void onAttemptToken(std::uint32_t index, const std::string& text) = 0;
@@ -37,10 +37,10 @@
   };
 
   EngineAttempt(Listener& listener, StreamEventCounters& counters);
-  /// Starts the stream; called once. Never calls the listener before it returns.
+  /// Starts the stream. Must be called once. Never calls the listener synchronously.
   void begin(engines::EngineClient& client, const engines::EngineEndpoint& engine,
              engines::StreamRequest request);
-  /// From now on every event is dropped. The stream itself ends with this object.
+  /// Drops all further events. The stream itself is closed by the destructor.
   void detach() { listener_ = nullptr; }
   void pause();
   void resume();
@@ -52,14 +52,14 @@
   void onFailed(engines::StreamFailure failure, const std::string& message) override;
 
  private:
-  bool belongsHere(std::uint32_t attempt);
-  void breakOff(const std::string& message);
+  bool belongsToAttempt(std::uint32_t attempt);
+  void failWith(const std::string& message);
 
   Listener* listener_;
   StreamEventCounters& counters_;
   std::uint32_t number_ = 0;
   std::uint32_t next_index_ = 0;
-  bool head_given_ = false;
+  bool head_forwarded_ = false;
   engines::StreamPhase phase_ = engines::StreamPhase::kWhole;
   std::unique_ptr<engines::Stream> stream_;
 };
--- a/src/cypresswall/execution/engine_model_executor.cpp
+++ b/src/cypresswall/execution/engine_model_executor.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::execution {
 namespace {
 
-/// The caller's handle on its request.
+/// Caller's handle of a running request; cancels the request when destroyed.
 class RequestHandle final : public ModelExecution {
  public:
   explicit RequestHandle(std::shared_ptr<ModelRequest> request) : request_(std::move(request)) {}
--- a/src/cypresswall/execution/engine_model_executor.h
+++ b/src/cypresswall/execution/engine_model_executor.h
@@ -1,4 +1,4 @@
-/// The executor of model requests over model engines.
+/// Executes model requests on model engines.
 #pragma once
 
 #include <memory>
@@ -9,8 +9,8 @@
 
 namespace cypresswall::execution {
 
-/// Runs each request on an engine that the router chooses, and goes on elsewhere when an engine
-/// fails. All references must outlive it.
+/// Runs each request on an engine chosen by the router and fails over to another engine on error.
+/// All referenced objects must outlive the executor.
 class EngineModelExecutor final : public ModelExecutor {
  public:
   EngineModelExecutor(const api::ProcessContext& process,
--- a/src/cypresswall/execution/execution_settings.h
+++ b/src/cypresswall/execution/execution_settings.h
@@ -1,4 +1,4 @@
-/// Limits and periods of request execution.
+/// Limits and timeouts of request execution.
 #pragma once
 
 #include <cstddef>
@@ -8,51 +8,53 @@
 
 namespace cypresswall::execution {
 
-/// How attempts at model requests and service requests are made and repeated.
+/// Retry, time-out and admission parameters of model and service requests.
 struct ExecutionSettings {
-  /// Attempts of one request that may have run on a back end.
+  /// Maximum attempts of one request that may have run on a back end.
   std::uint32_t maximum_runs = 4;
-  /// Attempts of one request that surely did not run (refused or not sent).
+  /// Maximum attempts of one request that provably did not run (refused or not sent).
   std::uint32_t maximum_unrun_attempts = 8;
-  /// An attempt that a back end refused counts as one of the request's runs, and the next one is
-  /// paid for from the retry budget: for platforms that count whatever arrives at a back end.
+  /// Counts refused attempts as runs and charges the following attempt to the retry budget, for
+  /// platforms that count every request that reaches a back end.
   bool charge_refused_attempts = false;
-  /// The first retry goes out at once, the second after this pause, and each later one after twice
-  /// the pause before; each pause is shortened at random by up to a half.
+  /// Delay before the second retry; the first is sent immediately. The delay doubles with each
+  /// further retry, and jitter reduces it by up to one half.
   common::Duration backoff_base = std::chrono::milliseconds(10);
   common::Duration backoff_maximum = std::chrono::milliseconds(200);
-  /// Off: requests are admitted by the callers' patience, which is the time limit to the first
-  /// token, whatever the operators' target.
+  /// If false, requests are admitted by the first-token time limit alone and the first-token target
+  /// set by operators is ignored.
   bool admits_within_target = true;
-  /// Share of the operators' target within which the first token has to be expected for a request
-  /// to be admitted; the rest is time on the way and the error of estimates. Under a load beyond
-  /// what engines can compute, a queue up to the callers' patience makes nearly every answer late:
-  /// planned within the target, half as many answers again come in time.
+  /// Fraction of the first-token target within which the first token must be predicted for a
+  /// request to be admitted; the remainder covers network time and estimation error. Under
+  /// overload, queueing up to the first-token limit makes nearly every answer miss the target;
+  /// admitting against the target delivers 1.5 times as many answers on time.
   double planned_target_share = 0.85;
-  /// An engine silent for this many times its expected first-token time, plus the margin, and for
-  /// at least this share of the limit, is given up if a retry can be afforded.
-  double first_token_silence_factor = 4;
-  common::Duration first_token_silence_margin = std::chrono::milliseconds(200);
+  /// An attempt without a first token is abandoned, if the retry budget allows a retry, after this
+  /// multiple of the predicted first-token time plus the margin, but not before this fraction of
+  /// the first-token limit.
+  double first_token_stall_factor = 4;
+  common::Duration first_token_stall_margin = std::chrono::milliseconds(200);
   double first_token_stall_share = 0.5;
-  /// The same between tokens, as a multiple of the limit and at least the floor.
-  double between_tokens_silence_factor = 20;
-  common::Duration between_tokens_silence_floor = std::chrono::seconds(2);
-  /// Silence after which an attempt is given up even if no retry can be afforded.
-  common::Duration silence_maximum = std::chrono::seconds(10);
-  /// A timer later than this shows that the process itself was paused: answers may wait unread.
+  /// Stall timeout between tokens: a multiple of the inter-token limit, but at least the floor.
+  double between_tokens_stall_factor = 20;
+  common::Duration between_tokens_stall_floor = std::chrono::seconds(2);
+  /// Time without progress after which an attempt is abandoned even without budget for a retry.
+  common::Duration stall_maximum = std::chrono::seconds(10);
+  /// A timer that fires later than this indicates that this process was paused, so that received
+  /// data may still be unread.
   common::Duration pause_detection = std::chrono::milliseconds(250);
-  /// How long an answer that lost its engine half-way looks for another one.
+  /// How long a partially delivered answer waits for another engine after its engine failed.
   common::Duration resume_time_limit = std::chrono::seconds(5);
-  /// Shortest Retry-After of a refusal for load.
+  /// Minimum Retry-After of an overload refusal.
   common::Duration minimum_retry_after = std::chrono::milliseconds(100);
-  /// Retry-After where no estimate is known.
+  /// Retry-After if no estimate is available.
   common::Duration default_retry_after = std::chrono::seconds(1);
-  /// A granted claim of an idempotency key is used only this long after it was asked for; it must
-  /// be far below the time for which claims are kept.
+  /// Maximum age, counted from the claim request, at which a granted idempotency-key claim is still
+  /// used. Must be far below the retention time of claims.
   common::Duration claim_use_limit = std::chrono::seconds(10);
-  /// Ended requests that operators can still ask about, for models and for services.
+  /// Finished requests kept for operator queries, separately for models and for services.
   std::size_t kept_request_records = 1000;
-  /// Longest recorded answer of an operation with an idempotency key.
+  /// Maximum size of the recorded answer of an operation with an idempotency key.
   std::size_t maximum_recorded_bytes = 16U << 10;
 };
 
--- a/src/cypresswall/execution/http_service_executor.cpp
+++ b/src/cypresswall/execution/http_service_executor.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::execution {
 namespace {
 
-/// The caller's handle on its request.
+/// Caller's handle of a running request; the core owns the request itself.
 class RunHandle final : public ServiceExecution {
  public:
   explicit RunHandle(std::weak_ptr<ServiceRun> run) : run_(std::move(run)) {}
--- a/src/cypresswall/execution/http_service_executor.h
+++ b/src/cypresswall/execution/http_service_executor.h
@@ -1,4 +1,4 @@
-/// The executor of requests to plain HTTP services.
+/// Executes requests to plain HTTP services.
 #pragma once
 
 #include <cstddef>
@@ -15,8 +15,8 @@
                       const ExecutionSettings& settings = {});
   std::unique_ptr<ServiceExecution> start(ServiceCallRequest request,
                                           ServiceCallCallback callback) override;
-  /// \return requests not ended, those included that run on without their caller; a planned stop
-  ///   waits until there are none
+  /// \return requests in progress, including those whose caller has disconnected; a graceful
+  ///   shutdown waits until this is zero
   std::size_t running() const { return core_.running(); }
   const RequestJournal& journal() const { return core_.journal; }
 
--- a/src/cypresswall/execution/model_execution_core.cpp
+++ b/src/cypresswall/execution/model_execution_core.cpp
@@ -9,10 +9,11 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Attempt numbers start below this, so that two lives of a process seldom use the same ones.
-constexpr std::uint64_t kFirstAttemptBound = 1U << 30;
+/// Upper bound of the random first attempt number. The random start makes it unlikely that a
+/// restarted process reuses the attempt numbers of its previous incarnation.
+constexpr std::uint64_t kFirstAttemptNumberBound = 1U << 30;
 
-common::Counter& ended(common::CounterRegistry& registry, const char* outcome) {
+common::Counter& outcomeCounter(common::CounterRegistry& registry, const char* outcome) {
   return registry.counter("cypresswall_execution_model_requests_total",
                           "Model requests by how they ended", "outcome", outcome);
 }
@@ -34,21 +35,22 @@
 ModelRequestCounters::ModelRequestCounters(common::CounterRegistry& registry)
     : started(registry.counter("cypresswall_execution_model_requests_started_total",
                                "Model requests taken from callers")),
-      done(ended(registry, "done")),
-      abandoned(ended(registry, "abandoned")),
-      failed_not_run(ended(registry, "not_run")),
-      failed_unknown(ended(registry, "unknown")),
-      refused(ended(registry, "refused")),
+      done(outcomeCounter(registry, "done")),
+      abandoned(outcomeCounter(registry, "abandoned")),
+      failed_not_run(outcomeCounter(registry, "not_run")),
+      failed_unknown(outcomeCounter(registry, "unknown")),
+      refused(outcomeCounter(registry, "refused")),
       attempts(registry.counter("cypresswall_execution_model_attempts_total",
                                 "Streams started on engines")),
       retries_after_run(retriesCounter(registry, "broken")),
       retries_after_no_run(retriesCounter(registry, "not_run")),
       resumed(registry.counter("cypresswall_execution_model_resumed_total",
                                "Answers resumed after their first token")),
-      silent(registry.counter("cypresswall_execution_model_silent_total",
-                              "Attempts given up because the engine was silent")),
-      budget_spent(registry.counter("cypresswall_execution_model_retry_budget_spent_total",
-                                    "Retries not made because the budget was spent")) {}
+      stalled(registry.counter("cypresswall_execution_model_silent_total",
+                               "Attempts given up because the engine was silent")),
+      retry_budget_exhausted(
+          registry.counter("cypresswall_execution_model_retry_budget_spent_total",
+                           "Retries not made because the budget was spent")) {}
 
 ModelExecutionCore::ModelExecutionCore(const api::ProcessContext& process_context,
                                        const configuration::ConfigurationView& configuration_view,
@@ -75,8 +77,8 @@
       journal(execution_settings.kept_request_records),
       retired_(process_context.scheduler),
       stream_prefix_(streamPrefix(process_context.self)),
-      next_attempt_(static_cast<std::uint32_t>(process_context.random.below(kFirstAttemptBound)) +
-                    1) {}
+      next_attempt_(
+          static_cast<std::uint32_t>(process_context.random.below(kFirstAttemptNumberBound)) + 1) {}
 
 std::string ModelExecutionCore::nextStreamId() {
   return stream_prefix_ + std::to_string(next_stream_++);
--- a/src/cypresswall/execution/model_execution_core.h
+++ b/src/cypresswall/execution/model_execution_core.h
@@ -1,4 +1,4 @@
-/// What all model requests of a node share.
+/// State and dependencies shared by all model requests of a node.
 #pragma once
 
 #include <cstdint>
@@ -34,11 +34,12 @@
   common::Counter& retries_after_run;
   common::Counter& retries_after_no_run;
   common::Counter& resumed;
-  common::Counter& silent;
-  common::Counter& budget_spent;
+  common::Counter& stalled;
+  common::Counter& retry_budget_exhausted;
 };
 
-/// Names streams and attempts, pays for retries, and ends streams outside their own callbacks.
+/// Allocates stream identifiers and attempt numbers, holds the dependencies of model requests and
+/// destroys finished attempts outside their own callbacks.
 class ModelExecutionCore {
  public:
   ModelExecutionCore(const api::ProcessContext& process_context,
@@ -51,12 +52,12 @@
                      duties::UsageRecorder& usage_recorder,
                      const ExecutionSettings& execution_settings);
 
-  /// \return an identifier that no other request of any process has
+  /// \return a stream identifier that is unique across all processes
   std::string nextStreamId();
-  /// \return a number that no other attempt of this process has
+  /// \return an attempt number that is unique within this process
   std::uint32_t nextAttemptNumber() { return next_attempt_++; }
-  /// Takes an attempt that is over. It is destroyed on the next turn, since its own stream may be
-  /// in the middle of a call to it.
+  /// Detaches a finished attempt and destroys it in the next scheduler callback, because its stream
+  /// may be calling it right now.
   void retire(std::unique_ptr<EngineAttempt> attempt);
 
   const api::ProcessContext& process;
--- a/src/cypresswall/execution/model_executor.h
+++ b/src/cypresswall/execution/model_executor.h
@@ -1,4 +1,5 @@
-/// Runs model requests: admission, routing, attempts, resume on another engine.
+/// Interface for running model requests: admission, routing, attempts and resumption on another
+/// engine.
 #pragma once
 
 #include <cstdint>
@@ -16,49 +17,51 @@
 
 namespace cypresswall::execution {
 
-/// One model request of a caller.
+/// A caller's model request.
 struct ModelCall {
   std::string request_id;
-  /// By what the request is known again when its caller sends it anew; zero if not worked out.
+  /// Identifies the same request when the caller sends it again; zero if not computed.
   common::RequestFingerprint fingerprint = 0;
   common::TenantName tenant;
-  /// The tenant's own urgency, which goes before the service's.
+  /// The tenant's urgency; overrides that of the service.
   std::optional<configuration::Urgency> urgency;
-  /// Asked before each attempt: false once the caller's key has been taken away. Empty: always.
+  /// Called before each attempt; returns false once the caller's API key was revoked. If empty,
+  /// attempts are always allowed.
   std::function<bool()> still_allowed;
-  /// Declared model service, or a model's own name.
+  /// Name of a declared model service or of a model.
   common::ServiceName service;
   std::string prompt;
-  /// Zero asks for the service's maximum.
+  /// Zero requests the service's maximum.
   std::uint32_t maximum_tokens = 0;
-  /// For the simulator, which has no text: used instead of measuring `prompt` if its tokens are
-  /// not zero.
+  /// Prompt size given by the simulator, which has no prompt text. Used instead of `prompt` if the
+  /// token count is not zero.
   common::PromptShape shape;
-  /// Set if the caller's own request is handed on unchanged (engines::StreamRequest).
+  /// Set if the caller's request is forwarded unchanged (see engines::StreamRequest).
   std::shared_ptr<const engines::PassThroughRequest> pass_through;
-  /// How long the caller waits for the whole answer; zero leaves it to the service's time limit.
+  /// Caller's time limit for the complete answer; zero means that only the service's limit applies.
   common::Duration time_limit{0};
 };
 
-/// Receives the answer. Exactly one of onFinished and onError is called, as the last call.
+/// Receives the answer. Exactly one of onFinished() and onError() is called, as the last call.
 class ModelCallObserver {
  public:
   virtual ~ModelCallObserver() = default;
-  /// Gives the head of an answer that is passed through, once, before the first token; the answer
-  /// keeps the head of its first engine though another one resumes it.
+  /// Called once, before the first token, with the response head of a passed-through answer. A
+  /// resumed answer keeps the head from its first engine.
   virtual void onHead(const engines::AnswerHead& /*head*/) {}
-  /// Tokens come in order, each index once.
+  /// Called in index order, once for each index.
   virtual void onToken(std::uint32_t index, const std::string& text) = 0;
   virtual void onFinished(const engines::StreamUsage& usage) = 0;
   virtual void onError(const ExecutionError& error) = 0;
 };
 
-/// Holds a running request; destroying it means that the caller went away: the stream on the
-/// engine is cancelled and the observer is not called again.
+/// Handle of a running request. Destroying it cancels the request: the stream on the engine is
+/// cancelled and the observer is not called again.
 class ModelExecution {
  public:
   virtual ~ModelExecution() = default;
-  /// Stops taking tokens from the engine until resume(), for a caller that reads slowly.
+  /// Stops reading tokens from the engine until resume() is called (back-pressure from a slow
+  /// caller).
   virtual void pause() = 0;
   virtual void resume() = 0;
 };
@@ -66,8 +69,8 @@
 class ModelExecutor {
  public:
   virtual ~ModelExecutor() = default;
-  /// Starts a request. `observer` must outlive the returned object and is never called before the
-  /// call returns.
+  /// Starts a request. `observer` must outlive the returned object and is never called
+  /// synchronously.
   virtual std::unique_ptr<ModelExecution> start(ModelCall call, ModelCallObserver& observer) = 0;
 };
 
--- a/src/cypresswall/execution/model_request.cpp
+++ b/src/cypresswall/execution/model_request.cpp
@@ -13,7 +13,7 @@
       call_(std::move(call)),
       observer_(&observer),
       stream_id_(core.nextStreamId()),
-      silence_(core.process.clock, core.process.scheduler, core.settings.pause_detection) {}
+      stall_detector_(core.process.clock, core.process.scheduler, core.settings.pause_detection) {}
 
 void ModelRequest::start() {
   starting_ = true;
@@ -27,12 +27,12 @@
     target_ = std::move(*target);
     target_.service.urgency = call_.urgency.value_or(target_.service.urgency);
   }
-  if (target && maySend()) {
+  if (target && checkPermitted()) {
     account().requestStarted();
     record_->model = target_.service.model;
     record_->prompt_tokens = target_.shape.tokens;
     record_->maximum_tokens = target_.maximum_tokens;
-    first_token_due_ = core_.process.clock.now() + target_.service.first_token_limit;
+    first_token_deadline_ = core_.process.clock.now() + target_.service.first_token_limit;
     setDeadline();
     if (admit()) {
       nextAttempt();
@@ -41,20 +41,21 @@
   starting_ = false;
 }
 
-/// A request that ends each engine, sent a few times a second, ended 46 engines of a fleet of 18.
-/// This leaves the three by which it is known, and what is under way meanwhile.
-bool ModelRequest::maySend() {
+/// Without quarantine, a request that crashes every engine, sent a few times a second, caused 46
+/// engine crashes in a fleet of 18. With it, only the three crashes that identify the request
+/// occur, plus those of attempts already in progress.
+bool ModelRequest::checkPermitted() {
   if (call_.still_allowed && !call_.still_allowed()) {
-    leaveRoute();
+    releaseRoute();
     giveUp(ErrorKind::kKeyRevoked, "the caller's key was taken away", common::Duration{0});
     return false;
   }
-  const auto kept_away = core_.quarantine.keptAway(call_.fingerprint);
-  if (kept_away) {
-    leaveRoute();
-    giveUp(ErrorKind::kQuarantined, "engines end under this request", *kept_away);
+  const auto quarantined_for = core_.quarantine.keptAway(call_.fingerprint);
+  if (quarantined_for) {
+    releaseRoute();
+    giveUp(ErrorKind::kQuarantined, "engines end under this request", *quarantined_for);
   }
-  return !kept_away;
+  return !quarantined_for;
 }
 
 bool ModelRequest::admit() {
@@ -73,7 +74,7 @@
 }
 
 void ModelRequest::nextAttempt() {
-  if (!maySend()) {
+  if (!checkPermitted()) {
     return;
   }
   if (timeToFirstToken() <= common::Duration{0}) {
@@ -81,7 +82,7 @@
            core_.settings.default_retry_after);
     return;
   }
-  placing_ = true;
+  awaiting_placement_ = true;
   core_.router.place(routeRequest(), [weak = weak_from_this()](routing::RouteChoice choice) {
     if (const auto self = weak.lock()) {
       self->onPlaced(std::move(choice));
@@ -90,18 +91,19 @@
 }
 
 void ModelRequest::onPlaced(routing::RouteChoice choice) {
-  placing_ = false;
+  awaiting_placement_ = false;
   if (const auto* refusal = std::get_if<routing::RouteRefusal>(&choice)) {
     onRefused(*refusal);
     return;
   }
   route_ = std::get<routing::Route>(std::move(choice));
-  if (!maySend()) {
+  if (!checkPermitted()) {
     return;
   }
   recordAttempt();
   logRoute();
-  if (payUpTo(repeatsWithRoute(), ErrorKind::kOverloaded, "a further attempt can't be paid for")) {
+  if (chargeRepeats(repeatsForRoute(), ErrorKind::kOverloaded,
+                    "a further attempt can't be paid for")) {
     beginAttempt();
   }
 }
@@ -116,13 +118,13 @@
   request.maximum_tokens = target_.maximum_tokens;
   request.resume_from = tokens_given_;
   request.priority = admission::enginePriority(target_.service.urgency, resuming());
-  request.first_token_limit = plannedFirstToken();
+  request.first_token_limit = plannedFirstTokenLimit();
   request.between_tokens_limit = target_.service.between_tokens_limit;
   request.excluded = excluded_;
   return request;
 }
 
-common::Duration ModelRequest::plannedFirstToken() const {
+common::Duration ModelRequest::plannedFirstTokenLimit() const {
   const auto left = timeToFirstToken();
   const auto target = target_.service.first_token_target;
   const bool begun = !record_->attempts.empty();
@@ -135,14 +137,14 @@
 
 common::Duration ModelRequest::timeToFirstToken() const {
   const auto now = core_.process.clock.now();
-  const auto left = resuming() ? target_.service.first_token_limit : first_token_due_ - now;
+  const auto left = resuming() ? target_.service.first_token_limit : first_token_deadline_ - now;
   return deadline_ ? std::min(left, *deadline_ - now) : left;
 }
 
 void ModelRequest::onRefused(const routing::RouteRefusal& refusal) {
   logRefusal(refusal);
   if (resuming() && core_.process.clock.now() < resume_until_) {
-    // The caller reads a half-given answer: look again, also on engines that failed before.
+    // The caller already has part of the answer: retry, including engines that failed before.
     excluded_.clear();
     scheduleAttempt(core_.settings.backoff_maximum);
     return;
@@ -160,8 +162,9 @@
   }
 }
 
-std::uint32_t ModelRequest::repeatsWithRoute() const {
-  return route_->prefill_engine ? arrivals_.repeatsWithPromptApart() : arrivals_.repeatsWithWhole();
+std::uint32_t ModelRequest::repeatsForRoute() const {
+  return route_->prefill_engine ? repeat_counter_.repeatsWithSeparatePrefill()
+                                : repeat_counter_.repeatsWithSingleEngine();
 }
 
 void ModelRequest::beginStream(const engines::EngineEndpoint& engine, engines::StreamPhase phase) {
@@ -191,9 +194,9 @@
   }
   core_.counters.attempts.add();
   if (phase == engines::StreamPhase::kPrefillOnly) {
-    arrivals_.promptSent();
+    repeat_counter_.promptSent();
   } else {
-    arrivals_.outputSent();
+    repeat_counter_.outputSent();
   }
   EngineAttempt::Listener& listener = *this;
   attempt_sent_at_ = core_.process.clock.now();
@@ -202,7 +205,7 @@
   if (paused_) {
     attempt_->pause();
   } else {
-    watchSilence();
+    watchForStall();
   }
 }
 
@@ -211,11 +214,11 @@
 }
 
 void ModelRequest::onAttemptHead(const engines::AnswerHead& head) {
-  if (head_given_) {
+  if (head_forwarded_) {
     return;
   }
   const auto self = shared_from_this();
-  head_given_ = true;
+  head_forwarded_ = true;
   observer_->onHead(head);
 }
 
@@ -227,15 +230,15 @@
   }
   record_->tokens_given = tokens_given_;
   if (token_seen_in_attempt_) {
-    silence_.progress();
+    stall_detector_.progress();
   } else {
     token_seen_in_attempt_ = true;
-    if (!std::exchange(began_, true)) {
+    if (!std::exchange(usage_recorded_, true)) {
       core_.usage.requestBegan(call_.tenant);
     }
     logFirstToken();
     core_.router.firstTokenReceived(stream_id_);
-    silence_.progress(silenceLimits());
+    stall_detector_.progress(stallLimits());
   }
   observer_->onToken(index, text);
 }
@@ -243,9 +246,9 @@
 void ModelRequest::onAttemptFinished(const engines::StreamUsage& usage) {
   const auto self = shared_from_this();
   if (phase_ == engines::StreamPhase::kPrefillOnly) {
-    may_have_run_ = may_have_run_ || attemptRuns();
+    may_have_run_ = may_have_run_ || attemptCountsAsRun();
     logPrompt();
-    arrivals_.promptComputed();
+    repeat_counter_.promptComputed();
     core_.router.promptComputed(stream_id_);
     handOverToDecode();
     return;
@@ -262,17 +265,18 @@
 
 void ModelRequest::handOverToDecode() {
   retireAttempt();
-  silence_.stop();
+  stall_detector_.stop();
   scheduleStep(common::Duration{0}, [this] { beginDecode(); });
 }
 
-/// The prompt may have taken seconds, in which the decode engine may have begun to leave.
+/// Checks everything again: prefill may have taken seconds, during which the decode engine may have
+/// started draining.
 void ModelRequest::beginDecode() {
   if (deadlinePassed()) {
     onDeadline();
     return;
   }
-  if (!maySend()) {
+  if (!checkPermitted()) {
     return;
   }
   phase_ = engines::StreamPhase::kDecodeOnly;
@@ -280,7 +284,7 @@
     beginStream(route_->engine, engines::StreamPhase::kDecodeOnly);
     return;
   }
-  attemptLost(engines::StreamFailure::kNotTried, "the engine takes no new work any more");
+  onAttemptLost(engines::StreamFailure::kNotTried, "the engine takes no new work any more");
 }
 
 void ModelRequest::onAttemptFailed(engines::StreamFailure failure, const std::string& message) {
@@ -288,7 +292,7 @@
   if (failure == engines::StreamFailure::kBroken) {
     core_.quarantine.streamBroken(call_.fingerprint, attemptedEngine());
   }
-  attemptLost(failure, message);
+  onAttemptLost(failure, message);
 }
 
 const engines::EngineEndpoint& ModelRequest::attemptedEngine() const {
@@ -327,7 +331,7 @@
   });
 }
 
-void ModelRequest::leaveRoute() {
+void ModelRequest::releaseRoute() {
   if (route_) {
     core_.router.attemptFinished(stream_id_);
     route_.reset();
@@ -339,18 +343,18 @@
   if (closed_) {
     return;
   }
-  leaveRoute();
+  releaseRoute();
   core_.counters.abandoned.add();
   close("the caller went away");
 }
 
 void ModelRequest::close(const std::string& state) {
   closed_ = true;
-  if (std::exchange(placing_, false)) {
+  if (std::exchange(awaiting_placement_, false)) {
     core_.router.abandonPlacement(stream_id_);
   }
   core_.journal.end(record_, state, core_.process.clock.now());
-  silence_.stop();
+  stall_detector_.stop();
   core_.process.scheduler.cancel(std::exchange(step_timer_, 0));
   core_.process.scheduler.cancel(std::exchange(deadline_timer_, 0));
   retireAttempt();
@@ -368,7 +372,7 @@
 
 void ModelRequest::pause() {
   paused_ = true;
-  silence_.stop();
+  stall_detector_.stop();
   if (attempt_) {
     attempt_->pause();
   }
@@ -379,7 +383,7 @@
     return;
   }
   attempt_->resume();
-  watchSilence();
+  watchForStall();
 }
 
 void ModelRequest::openRecord() {
--- a/src/cypresswall/execution/model_request_log.cpp
+++ b/src/cypresswall/execution/model_request_log.cpp
@@ -1,4 +1,4 @@
-/// The lines that tell where a model request went and what came of it.
+/// Log events of routing decisions and progress of a model request.
 #include <chrono>
 
 #include "cypresswall/execution/model_request.h"
--- a/src/cypresswall/execution/model_request_recovery.cpp
+++ b/src/cypresswall/execution/model_request_recovery.cpp
@@ -1,4 +1,4 @@
-/// How a model request goes on when an attempt fails, its engine is silent or its time is over.
+/// Recovery of a model request after a failed attempt, a stalled engine or an expired deadline.
 #include <algorithm>
 #include <utility>
 
@@ -8,10 +8,10 @@
 namespace cypresswall::execution {
 namespace {
 
-/// A hard limit is at least this many soft ones.
+/// Minimum ratio of the hard stall limit to the soft one.
 constexpr int kSoftLimitsPerHardLimit = 2;
 
-bool provedNotRun(engines::StreamFailure failure) {
+bool provenNotRun(engines::StreamFailure failure) {
   return failure == engines::StreamFailure::kNotTried ||
          failure == engines::StreamFailure::kNotSent || failure == engines::StreamFailure::kRefused;
 }
@@ -22,50 +22,50 @@
 
 }  // namespace
 
-void ModelRequest::watchSilence() {
-  silence_.start(silenceLimits(), [weak = weak_from_this()](bool beyond_hard) {
+void ModelRequest::watchForStall() {
+  stall_detector_.start(stallLimits(), [weak = weak_from_this()](bool hard_limit_exceeded) {
     if (const auto self = weak.lock()) {
-      self->onSilence(beyond_hard);
+      self->onStall(hard_limit_exceeded);
     }
   });
 }
 
-SilenceWatch::Limits ModelRequest::silenceLimits() const {
+StallDetector::Limits ModelRequest::stallLimits() const {
   const auto& settings = core_.settings;
-  SilenceWatch::Limits limits;
+  StallDetector::Limits limits;
   if (token_seen_in_attempt_) {
-    limits.soft = std::max(
-        scaled(target_.service.between_tokens_limit, settings.between_tokens_silence_factor),
-        settings.between_tokens_silence_floor);
+    limits.soft =
+        std::max(scaled(target_.service.between_tokens_limit, settings.between_tokens_stall_factor),
+                 settings.between_tokens_stall_floor);
   } else {
     limits.soft =
-        std::max(scaled(route_->expected_first_token, settings.first_token_silence_factor) +
-                     settings.first_token_silence_margin,
+        std::max(scaled(route_->expected_first_token, settings.first_token_stall_factor) +
+                     settings.first_token_stall_margin,
                  scaled(target_.service.first_token_limit, settings.first_token_stall_share));
   }
-  limits.hard = std::max(limits.soft * kSoftLimitsPerHardLimit, settings.silence_maximum);
+  limits.hard = std::max(limits.soft * kSoftLimitsPerHardLimit, settings.stall_maximum);
   return limits;
 }
 
-/// A request that has a deadline and can't be taken elsewhere stays where it is until then.
-void ModelRequest::onSilence(bool beyond_hard) {
-  if (!retryAffordable() && (!beyond_hard || deadline_)) {
-    if (beyond_hard) {
-      watchSilence();
+/// A request that has a deadline and cannot be retried keeps its stalled attempt until then.
+void ModelRequest::onStall(bool hard_limit_exceeded) {
+  if (!retryAffordable() && (!hard_limit_exceeded || deadline_)) {
+    if (hard_limit_exceeded) {
+      watchForStall();
     }
     return;
   }
-  core_.counters.silent.add();
-  attemptLost(engines::StreamFailure::kBroken, "the engine was silent for too long");
+  core_.counters.stalled.add();
+  onAttemptLost(engines::StreamFailure::kBroken, "the engine was silent for too long");
 }
 
 bool ModelRequest::retryAffordable() const {
-  const bool repeatable = target_.service.repeatable || !attemptRuns();
+  const bool repeatable = target_.service.repeatable || !attemptCountsAsRun();
   return repeatable && runs_ + 1 < maximumRuns() && account().available() &&
          timeToFirstToken() > common::Duration{0};
 }
 
-bool ModelRequest::attemptRuns() const {
+bool ModelRequest::attemptCountsAsRun() const {
   return target_.service.repeatable || phase_ != engines::StreamPhase::kPrefillOnly;
 }
 
@@ -74,8 +74,8 @@
   return declared > 0 ? declared : core_.settings.maximum_runs;
 }
 
-void ModelRequest::attemptLost(engines::StreamFailure failure, const std::string& message) {
-  silence_.stop();
+void ModelRequest::onAttemptLost(engines::StreamFailure failure, const std::string& message) {
+  stall_detector_.stop();
   const auto& engine = attemptedEngine();
   common::LogEvent(core_.process.log, common::LogLevel::kWarning, "attempt_failed")
       .field("request", call_.request_id)
@@ -86,8 +86,8 @@
       .field("reason", message);
   recordResult(engine.name + ": " + message);
   excluded_.push_back(engine.name);
-  if (!arrived(failure) && failure != engines::StreamFailure::kNotTried) {
-    notArrived();
+  if (!countsAsDelivered(failure) && failure != engines::StreamFailure::kNotTried) {
+    recordNotDelivered();
   }
   retireAttempt();
   core_.router.attemptFailed(stream_id_, engine.name, failure);
@@ -95,17 +95,17 @@
   if (token_seen_in_attempt_) {
     resume_until_ = core_.process.clock.now() + core_.settings.resume_time_limit;
   }
-  if (!canGoOn()) {
+  if (!canResume()) {
     may_have_run_ = true;
     giveUp(ErrorKind::kBackendFailed, message + "; no position to go on from",
            core_.settings.default_retry_after);
     return;
   }
-  if (provedNotRun(failure)) {
+  if (provenNotRun(failure)) {
     retryAfterNoRun(failure, message);
     return;
   }
-  may_have_run_ = may_have_run_ || attemptRuns();
+  may_have_run_ = may_have_run_ || attemptCountsAsRun();
   if (may_have_run_ && !target_.service.repeatable) {
     giveUp(ErrorKind::kBackendFailed, message, core_.settings.default_retry_after);
     return;
@@ -119,7 +119,8 @@
     giveUp(ErrorKind::kBackendFailed, message, core_.settings.default_retry_after);
     return;
   }
-  if (!payUpTo(arrivals_.repeatsWithWhole(), ErrorKind::kBackendFailed, message)) {
+  if (!chargeRepeats(repeat_counter_.repeatsWithSingleEngine(), ErrorKind::kBackendFailed,
+                     message)) {
     return;
   }
   core_.counters.retries_after_run.add();
@@ -130,7 +131,7 @@
 }
 
 void ModelRequest::retryAfterNoRun(engines::StreamFailure failure, const std::string& message) {
-  if (arrived(failure) && !countRefusal(message)) {
+  if (countsAsDelivered(failure) && !chargeRefusal(message)) {
     return;
   }
   ++unrun_attempts_;
@@ -142,39 +143,40 @@
   scheduleAttempt(backoffBefore(unrun_attempts_, core_.settings, core_.process.random));
 }
 
-bool ModelRequest::countRefusal(const std::string& message) {
+bool ModelRequest::chargeRefusal(const std::string& message) {
   ++runs_;
   if (runs_ >= maximumRuns()) {
     giveUp(ErrorKind::kOverloaded, message, core_.settings.default_retry_after);
     return false;
   }
-  return payUpTo(arrivals_.repeatsWithWhole(), ErrorKind::kOverloaded, message);
+  return chargeRepeats(repeat_counter_.repeatsWithSingleEngine(), ErrorKind::kOverloaded, message);
 }
 
-bool ModelRequest::payUpTo(std::uint32_t repeats, ErrorKind kind, const std::string& message) {
-  if (repeats <= paid_repeats_) {
+bool ModelRequest::chargeRepeats(std::uint32_t repeats, ErrorKind kind,
+                                 const std::string& message) {
+  if (repeats <= charged_repeats_) {
     return true;
   }
-  if (!account().withdraw(repeats - paid_repeats_)) {
-    core_.counters.budget_spent.add();
-    leaveRoute();
+  if (!account().withdraw(repeats - charged_repeats_)) {
+    core_.counters.retry_budget_exhausted.add();
+    releaseRoute();
     giveUp(kind, message + "; the retry budget is spent", core_.settings.default_retry_after);
     return false;
   }
-  paid_repeats_ = repeats;
+  charged_repeats_ = repeats;
   return true;
 }
 
-bool ModelRequest::arrived(engines::StreamFailure failure) const {
+bool ModelRequest::countsAsDelivered(engines::StreamFailure failure) const {
   const bool refused = failure == engines::StreamFailure::kRefused;
-  return !provedNotRun(failure) || (refused && core_.settings.charge_refused_attempts);
+  return !provenNotRun(failure) || (refused && core_.settings.charge_refused_attempts);
 }
 
-void ModelRequest::notArrived() {
+void ModelRequest::recordNotDelivered() {
   if (phase_ == engines::StreamPhase::kPrefillOnly) {
-    arrivals_.promptNotArrived();
+    repeat_counter_.promptNotDelivered();
   } else {
-    arrivals_.outputNotArrived();
+    repeat_counter_.outputNotDelivered();
   }
 }
 
@@ -213,13 +215,13 @@
   return deadline_ && core_.process.clock.now() >= *deadline_;
 }
 
-/// The attempt under way may run on its engine until the cancellation arrives there.
+/// The current attempt may keep running on its engine until the cancellation arrives there.
 void ModelRequest::onDeadline() {
-  may_have_run_ = may_have_run_ || (attempt_ != nullptr && attemptRuns());
+  may_have_run_ = may_have_run_ || (attempt_ != nullptr && attemptCountsAsRun());
   if (route_) {
     recordResult("ended by the request's time limit");
   }
-  leaveRoute();
+  releaseRoute();
   giveUp(ErrorKind::kDeadlineExceeded, "the request's time limit has passed",
          core_.settings.default_retry_after);
 }
--- a/src/cypresswall/execution/model_target.h
+++ b/src/cypresswall/execution/model_target.h
@@ -1,4 +1,4 @@
-/// What a caller's "model" stands for in the configuration in force.
+/// Resolution of the model or service name in a call against the current configuration.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace cypresswall::execution {
 
-/// The model behind a call, with the limits that hold for it.
+/// The model that a call refers to, with the limits that apply to it.
 struct ModelTarget {
   configuration::ModelServiceDeclaration service;
   std::string version;
@@ -19,9 +19,9 @@
   common::PromptShape shape;
 };
 
-/// Finds the declared model service that `call` names, or the model of that name with the limits of
-/// an undeclared service, and measures the prompt.
-/// \return nothing if the configuration has neither
+/// Looks up the declared model service that `call` names, or else the model of that name with the
+/// default limits of an undeclared service, and measures the prompt.
+/// \return empty if the configuration has neither
 std::optional<ModelTarget> resolveTarget(const configuration::FleetConfiguration& fleet,
                                          const ModelCall& call);
 
--- a/src/cypresswall/execution/outcome.h
+++ b/src/cypresswall/execution/outcome.h
@@ -1,4 +1,4 @@
-/// What a caller is told about its request. Exact by contract: "not run" only if it is proved.
+/// Request outcomes reported to callers. "Not run" is reported only if it is proven.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 namespace cypresswall::execution {
 
 enum class Outcome : std::uint8_t {
-  kDone,     ///< the whole answer was given
-  kNotRun,   ///< no back end ran any part of it
-  kUnknown,  ///< it may have run, wholly or in part
+  kDone,     ///< the complete answer was delivered
+  kNotRun,   ///< no back end ran any part of the request
+  kUnknown,  ///< the request may have run, completely or in part
 };
 
-/// \return "done", "not-run" or "unknown", as in the outcome header.
+/// \return "done", "not-run" or "unknown", as in the outcome header
 const char* toString(Outcome outcome);
 
 enum class ErrorKind : std::uint8_t {
@@ -26,19 +26,19 @@
   kNoBackend,
   kDeadlineExceeded,
   kBackendFailed,
-  kInProgress,  ///< an earlier request with the same idempotency key still runs
-  kKeyReused,   ///< the idempotency key was used for another request
+  kInProgress,  ///< an earlier request with the same idempotency key is still running
+  kKeyReused,   ///< the idempotency key was already used for a different request
   kDraining,
-  kQuarantined,  ///< engines end under this request
-  kKeyRevoked,   ///< the caller's key was taken away while the request waited
+  kQuarantined,  ///< back ends crash on this request
+  kKeyRevoked,   ///< the caller's API key was revoked while the request was waiting
 };
 
-/// The final answer to a request that was not served.
+/// The final answer to a failed request.
 struct ExecutionError {
   ErrorKind kind = ErrorKind::kBackendFailed;
   Outcome outcome = Outcome::kUnknown;
   std::string message;
-  /// Positive on every refusal for load.
+  /// Positive on every overload refusal.
   common::Duration retry_after{0};
 };
 
--- a/src/cypresswall/execution/recorded_answer.cpp
+++ b/src/cypresswall/execution/recorded_answer.cpp
@@ -10,7 +10,8 @@
 namespace cypresswall::execution {
 namespace {
 
-/// More headers than any back end sends; a record that claims more is not read.
+/// Decoding rejects records that declare more headers, to bound allocations. No back end sends that
+/// many.
 constexpr std::size_t kMaximumHeaders = 1024;
 
 struct WireHeader {
@@ -42,7 +43,7 @@
 
 ServiceCallAnswer fromWire(WireAnswer wire) {
   ServiceCallAnswer answer;
-  // Only "done" is taken at its word: whatever else stands in a record may have run.
+  // Only "done" is trusted; with any other recorded outcome the request may have run.
   const bool done = wire.outcome == static_cast<std::uint8_t>(Outcome::kDone);
   answer.outcome = done ? Outcome::kDone : Outcome::kUnknown;
   answer.status = wire.status;
--- a/src/cypresswall/execution/recorded_answer.h
+++ b/src/cypresswall/execution/recorded_answer.h
@@ -1,4 +1,4 @@
-/// How the answer to an operation with an idempotency key is kept for callers that ask again.
+/// Encoding of answers recorded under an idempotency key, for callers that repeat the request.
 #pragma once
 
 #include <cstddef>
@@ -9,10 +9,10 @@
 
 namespace cypresswall::execution {
 
-/// \return the answer as bytes, or an empty string if they would be more than `maximum_bytes`
+/// \return the encoded answer, or an empty string if it is longer than `maximum_bytes`
 std::string encodeRecordedAnswer(const ServiceCallAnswer& answer, std::size_t maximum_bytes);
 
-/// \return nothing if `recorded` is empty or can't be understood
+/// \return empty if `recorded` is empty or cannot be decoded
 std::optional<ServiceCallAnswer> decodeRecordedAnswer(const std::string& recorded);
 
 }  // namespace cypresswall::execution
--- a/src/cypresswall/execution/refusal_error.h
+++ b/src/cypresswall/execution/refusal_error.h
@@ -1,4 +1,4 @@
-/// How a refusal of the admission controller is told to the caller.
+/// Mapping of admission refusals to the error kinds reported to callers.
 #pragma once
 
 #include "cypresswall/admission/admission.h"
--- a/src/cypresswall/execution/request_journal.h
+++ b/src/cypresswall/execution/request_journal.h
@@ -1,4 +1,4 @@
-/// What became of each request and where its attempts went, for operators who ask.
+/// Records of requests and their attempts, for operator queries.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
 
 namespace cypresswall::execution {
 
-/// One attempt, and what was expected of it when it was chosen.
+/// One attempt, with the router's predictions at the time it was chosen.
 struct AttemptRecord {
   common::MonotonicTime started{};
-  /// Engine's name, or address of a service's back end.
+  /// Engine name, or address of the service's back end.
   std::string target;
-  /// Engine that computes the prompt, empty if `target` does.
+  /// Engine that computes the prompt; empty if `target` does.
   std::string prefill_target;
   common::Duration expected_first_token{0};
   common::Duration expected_between_tokens{0};
   std::uint32_t expected_cached_tokens = 0;
-  /// Tokens that the caller already had.
+  /// Number of tokens that the caller already had.
   std::uint32_t resume_from = 0;
   /// Empty while the attempt runs.
   std::string result;
@@ -43,24 +43,24 @@
   common::MonotonicTime started{};
   common::MonotonicTime ended{};
   bool running = true;
-  /// "running", then the outcome with its reason.
+  /// "running", later the outcome with its reason.
   std::string state = "running";
   std::vector<AttemptRecord> attempts;
 };
 
-/// Keeps all running requests and the last ended ones.
+/// Keeps all running requests and the most recently ended ones.
 class RequestJournal {
  public:
-  /// \param kept_ended number of ended requests that are kept
+  /// \param kept_ended number of ended requests to keep
   explicit RequestJournal(std::size_t kept_ended) : kept_ended_(kept_ended) {}
 
-  /// \return the record, to be filled in by its owner until end()
+  /// \return the record, which the caller updates until end()
   std::shared_ptr<RequestRecord> begin(RequestRecord record);
   void end(const std::shared_ptr<RequestRecord>& record, std::string state,
            common::MonotonicTime now);
-  /// \return the newest request of that identifier, null if none is known
+  /// \return the newest request with that identifier, null if there is none
   std::shared_ptr<const RequestRecord> find(const std::string& request_id) const;
-  /// \return requests that run, ordered by identifier
+  /// \return running requests, ordered by identifier
   std::vector<std::shared_ptr<const RequestRecord>> running() const;
 
  private:
--- a/src/cypresswall/execution/service_execution_core.cpp
+++ b/src/cypresswall/execution/service_execution_core.cpp
@@ -7,12 +7,12 @@
 namespace cypresswall::execution {
 namespace {
 
-common::Counter& ended(common::CounterRegistry& registry, const char* outcome) {
+common::Counter& outcomeCounter(common::CounterRegistry& registry, const char* outcome) {
   return registry.counter("cypresswall_execution_service_requests_total",
                           "Service requests by how they ended", "outcome", outcome);
 }
 
-common::Counter& retries(common::CounterRegistry& registry, const char* reason) {
+common::Counter& retriesCounter(common::CounterRegistry& registry, const char* reason) {
   return registry.counter("cypresswall_execution_service_retries_total",
                           "Further attempts at service requests", "reason", reason);
 }
@@ -22,22 +22,24 @@
 ServiceRequestCounters::ServiceRequestCounters(common::CounterRegistry& registry)
     : started(registry.counter("cypresswall_execution_service_requests_started_total",
                                "Service requests taken from callers")),
-      done(ended(registry, "done")),
-      failed_not_run(ended(registry, "not_run")),
-      failed_unknown(ended(registry, "unknown")),
-      abandoned(ended(registry, "abandoned")),
+      done(outcomeCounter(registry, "done")),
+      failed_not_run(outcomeCounter(registry, "not_run")),
+      failed_unknown(outcomeCounter(registry, "unknown")),
+      abandoned(outcomeCounter(registry, "abandoned")),
       attempts(registry.counter("cypresswall_execution_service_attempts_total",
                                 "Calls made to back ends")),
-      retries_after_run(retries(registry, "broken")),
-      retries_after_no_run(retries(registry, "not_run")),
-      budget_spent(registry.counter("cypresswall_execution_service_retry_budget_spent_total",
-                                    "Retries not made because the budget was spent")),
+      retries_after_run(retriesCounter(registry, "broken")),
+      retries_after_no_run(retriesCounter(registry, "not_run")),
+      retry_budget_exhausted(
+          registry.counter("cypresswall_execution_service_retry_budget_spent_total",
+                           "Retries not made because the budget was spent")),
       late_answers(registry.counter("cypresswall_execution_service_late_answers_total",
                                     "Answers dropped because their attempt was over")),
       late_grants(registry.counter("cypresswall_execution_service_late_grants_total",
                                    "Granted claims not used because they came too late")),
-      finished_unheard(registry.counter("cypresswall_execution_service_finished_unheard_total",
-                                        "Operations run to the end after their caller went")) {}
+      finished_after_abandon(
+          registry.counter("cypresswall_execution_service_finished_unheard_total",
+                           "Operations run to the end after their caller went")) {}
 
 ServiceExecutionCore::ServiceExecutionCore(const api::ProcessContext& process_context,
                                            const ServiceInterfaces& service_interfaces,
--- a/src/cypresswall/execution/service_execution_core.h
+++ b/src/cypresswall/execution/service_execution_core.h
@@ -1,4 +1,4 @@
-/// What all service requests of a node share.
+/// State and dependencies shared by all service requests of a node.
 #pragma once
 
 #include <cstddef>
@@ -24,7 +24,7 @@
 
 class ServiceRun;
 
-/// The interfaces through which service requests act. All must outlive the executor.
+/// Dependencies of service requests. All must outlive the executor.
 struct ServiceInterfaces {
   const configuration::ConfigurationView& configuration;
   const membership::MembershipView& membership;
@@ -48,13 +48,14 @@
   common::Counter& attempts;
   common::Counter& retries_after_run;
   common::Counter& retries_after_no_run;
-  common::Counter& budget_spent;
-  common::Counter& late_answers;      ///< dropped: of an attempt that was over
-  common::Counter& late_grants;       ///< claims not used because they came too late
-  common::Counter& finished_unheard;  ///< run to the end though the caller had gone
+  common::Counter& retry_budget_exhausted;
+  common::Counter& late_answers;            ///< answers dropped because their attempt had ended
+  common::Counter& late_grants;             ///< claims not used because they were granted too late
+  common::Counter& finished_after_abandon;  ///< operations completed after the caller disconnected
 };
 
-/// Owns the running requests: one that may not be repeated runs on when its caller goes away.
+/// Owns the running requests, because a non-repeatable request continues after its caller
+/// disconnects.
 class ServiceExecutionCore {
  public:
   ServiceExecutionCore(const api::ProcessContext& process_context,
@@ -73,7 +74,7 @@
   DeferredDestruction<services::ServiceCall> ended_calls;
 
  private:
-  /// Only looked up, never iterated in an order that matters.
+  /// Only used for lookup; iteration order would not be deterministic.
   std::map<const ServiceRun*, std::shared_ptr<ServiceRun>> runs_;
 };
 
--- a/src/cypresswall/execution/service_executor.h
+++ b/src/cypresswall/execution/service_executor.h
@@ -1,4 +1,5 @@
-/// Runs plain HTTP service requests: repeatable ones with retries, others at most once.
+/// Interface for running plain HTTP service requests: repeatable ones with retries, others at most
+/// once.
 #pragma once
 
 #include <functional>
@@ -15,15 +16,16 @@
 
 namespace cypresswall::execution {
 
-/// One service request of a caller.
+/// A caller's service request.
 struct ServiceCallRequest {
   std::string request_id;
-  /// By what the request is known again when its caller sends it anew; zero if not worked out.
+  /// Identifies the same request when the caller sends it again; zero if not computed.
   common::RequestFingerprint fingerprint = 0;
   common::TenantName tenant;
-  /// The tenant's own urgency, which goes before the service's.
+  /// The tenant's urgency; overrides that of the service.
   std::optional<configuration::Urgency> urgency;
-  /// Asked before each attempt: false once the caller's key has been taken away. Empty: always.
+  /// Called before each attempt; returns false once the caller's API key was revoked. If empty,
+  /// attempts are always allowed.
   std::function<bool()> still_allowed;
   common::ServiceName service;
   std::string method;
@@ -33,7 +35,7 @@
   std::string body;
   /// Empty if the caller gave none.
   std::string idempotency_key;
-  /// How long the caller waits; zero leaves it to the operation's time limit.
+  /// Caller's time limit; zero means that only the operation's limit applies.
   common::Duration time_limit{0};
 };
 
@@ -49,7 +51,7 @@
 
 using ServiceCallCallback = std::function<void(ServiceCallAnswer)>;
 
-/// Holds a running service request; destroying it means that the caller went away.
+/// Handle of a running service request. Destroying it signals that the caller disconnected.
 class ServiceExecution {
  public:
   virtual ~ServiceExecution() = default;
@@ -58,8 +60,8 @@
 class ServiceExecutor {
  public:
   virtual ~ServiceExecutor() = default;
-  /// \param callback called exactly once, never before the call returns, unless the returned
-  ///   object is destroyed first
+  /// \param callback called exactly once and never synchronously, unless the returned object is
+  ///   destroyed first
   virtual std::unique_ptr<ServiceExecution> start(ServiceCallRequest request,
                                                   ServiceCallCallback callback) = 0;
 };
--- a/src/cypresswall/execution/service_headers.cpp
+++ b/src/cypresswall/execution/service_headers.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr const char* kRequestIdHeader = "X-Request-Id";
-constexpr const char* kKeyHeader = "Idempotency-Key";
+constexpr const char* kIdempotencyKeyHeader = "Idempotency-Key";
 constexpr const char* kRetryAfterHeader = "Retry-After";
-/// Longer waits are not believed.
+/// Upper bound applied to a back end's Retry-After.
 constexpr long kMaximumRetrySeconds = 3600;
 
 }  // namespace
@@ -21,7 +21,7 @@
   std::vector<services::HttpHeader> headers;
   for (const auto& header : request.headers) {
     if (!common::sameHeaderName(header.name, kRequestIdHeader) &&
-        !common::sameHeaderName(header.name, kKeyHeader)) {
+        !common::sameHeaderName(header.name, kIdempotencyKeyHeader)) {
       headers.push_back(header);
     }
   }
@@ -29,21 +29,20 @@
   if (!repeatable) {
     const auto& key =
         request.idempotency_key.empty() ? request.request_id : request.idempotency_key;
-    headers.push_back({kKeyHeader, key});
+    headers.push_back({kIdempotencyKeyHeader, key});
   }
   return headers;
 }
 
-common::Duration retryAfterOf(const services::ServiceResponse& response,
-                              common::Duration otherwise) {
+common::Duration retryAfterOf(const services::ServiceResponse& response, common::Duration minimum) {
   for (const auto& header : response.headers) {
     if (common::sameHeaderName(header.name, kRetryAfterHeader)) {
       const auto seconds =
           std::min(std::strtol(header.value.c_str(), nullptr, 10), kMaximumRetrySeconds);
-      return std::max<common::Duration>(std::chrono::seconds(seconds), otherwise);
+      return std::max<common::Duration>(std::chrono::seconds(seconds), minimum);
     }
   }
-  return otherwise;
+  return minimum;
 }
 
 }  // namespace cypresswall::execution
--- a/src/cypresswall/execution/service_headers.h
+++ b/src/cypresswall/execution/service_headers.h
@@ -1,4 +1,4 @@
-/// HTTP headers that the executor of service requests writes and reads.
+/// HTTP headers written and read by the service request executor.
 #pragma once
 
 #include <vector>
@@ -9,13 +9,12 @@
 
 namespace cypresswall::execution {
 
-/// \return the caller's headers with the request's identifier and, if it may not be repeated, its
-///   idempotency key: the caller's, or the request's identifier if the caller gave none
+/// \return the caller's headers plus the request identifier and, if the request is not repeatable,
+///   the idempotency key: the caller's key or, without one, the request identifier
 std::vector<services::HttpHeader> headersForBackend(const ServiceCallRequest& request,
                                                     bool repeatable);
 
-/// \return the back end's Retry-After in seconds, at least `otherwise`
-common::Duration retryAfterOf(const services::ServiceResponse& response,
-                              common::Duration otherwise);
+/// \return the back end's Retry-After, but at least `minimum`
+common::Duration retryAfterOf(const services::ServiceResponse& response, common::Duration minimum);
 
 }  // namespace cypresswall::execution
--- a/src/cypresswall/execution/service_operation.cpp
+++ b/src/cypresswall/execution/service_operation.cpp
@@ -9,7 +9,8 @@
   return method_matches && path.rfind(operation.path_prefix, 0) == 0;
 }
 
-/// \return true if `operation` says more of a call than `other`, both matching it
+/// \pre both operations match the call
+/// \return true if `operation` takes precedence over `other`
 bool moreSpecific(const configuration::OperationDeclaration& operation,
                   const configuration::OperationDeclaration& other) {
   if (operation.path_prefix.size() != other.path_prefix.size()) {
--- a/src/cypresswall/execution/service_operation.h
+++ b/src/cypresswall/execution/service_operation.h
@@ -1,4 +1,4 @@
-/// What the configuration says of one call to a plain HTTP service.
+/// Lookup of the declared operation for a call to a plain HTTP service.
 #pragma once
 
 #include <string>
@@ -7,9 +7,10 @@
 
 namespace cypresswall::execution {
 
-/// Finds the declared operation of that method, or of any, with the longest path prefix; of two
-/// with the same prefix the one that names the method. \param target path with query \return the
-/// operation; if none is declared, one that may be repeated only for GET and HEAD
+/// Finds the operation declared for that method or for any method with the longest matching path
+/// prefix. Among equal prefixes, one declared for the method takes precedence.
+/// \param target path with query
+/// \return the operation; if none is declared, a default that is repeatable for GET and HEAD only
 configuration::OperationDeclaration findOperation(
     const configuration::HttpServiceDeclaration& service, const std::string& method,
     const std::string& target);
--- a/src/cypresswall/execution/service_run.cpp
+++ b/src/cypresswall/execution/service_run.cpp
@@ -14,10 +14,11 @@
 
 constexpr int kFirstServerError = 500;
 constexpr int kInternalError = 500;
-/// Statuses that say nothing about the request itself: another back end may do better.
+/// Range of statuses that do not depend on the request itself, so that another back end may
+/// succeed.
 constexpr int kBadGateway = 502;
 constexpr int kGatewayTimeout = 504;
-/// Part of the remaining time that one of several attempts may use.
+/// While a retry is possible, an attempt may use the remaining time divided by this.
 constexpr int kAttemptsPerRemainingTime = 2;
 
 std::string resultOf(const services::ServiceResponse& response) {
@@ -45,7 +46,7 @@
          common::Duration{0});
   } else {
     service_ = declared->second;
-    if (maySend()) {
+    if (checkPermitted()) {
       account().requestStarted();
       beginIfAdmitted();
     }
@@ -53,16 +54,16 @@
   starting_ = false;
 }
 
-bool ServiceRun::maySend() {
+bool ServiceRun::checkPermitted() {
   if (request_.still_allowed && !request_.still_allowed()) {
     fail(ErrorKind::kKeyRevoked, "the caller's key was taken away", common::Duration{0});
     return false;
   }
-  const auto kept_away = core_.interfaces.quarantine.keptAway(request_.fingerprint);
-  if (kept_away) {
-    fail(ErrorKind::kQuarantined, "back ends end under this request", *kept_away);
+  const auto quarantined_for = core_.interfaces.quarantine.keptAway(request_.fingerprint);
+  if (quarantined_for) {
+    fail(ErrorKind::kQuarantined, "back ends end under this request", *quarantined_for);
   }
-  return !kept_away;
+  return !quarantined_for;
 }
 
 void ServiceRun::beginIfAdmitted() {
@@ -108,7 +109,7 @@
   return true;
 }
 
-bool ServiceRun::stillWanted() {
+bool ServiceRun::checkSendable() {
   if (!callback_) {
     fail(ErrorKind::kDeadlineExceeded, "the caller went away before the request was sent",
          common::Duration{0});
@@ -119,11 +120,11 @@
          core_.settings.default_retry_after);
     return false;
   }
-  return maySend();
+  return checkPermitted();
 }
 
 void ServiceRun::nextAttempt() {
-  if (!stillWanted()) {
+  if (!checkSendable()) {
     return;
   }
   const auto servers = core_.interfaces.rate_limiter.exhausted();
@@ -139,9 +140,9 @@
 std::optional<common::Address> ServiceRun::nextBackend(const std::set<common::Address>& exhausted) {
   const auto fleet = core_.interfaces.configuration.current();
   const auto choose = [&] {
-    std::set<common::Address> left_out = excluded_;
-    left_out.insert(exhausted.begin(), exhausted.end());
-    return chooseBackend(service_, *fleet, core_.interfaces.membership, left_out,
+    std::set<common::Address> skipped = excluded_;
+    skipped.insert(exhausted.begin(), exhausted.end());
+    return chooseBackend(service_, *fleet, core_.interfaces.membership, skipped,
                          core_.process.random);
   };
   auto backend = choose();
@@ -153,13 +154,13 @@
 }
 
 void ServiceRun::failWithoutBackend(const std::set<common::Address>& exhausted) {
-  std::vector<std::string> own;
+  std::vector<std::string> limited;
   for (const auto& backend : service_.backends) {
     if (exhausted.contains(backend.address)) {
-      own.push_back(backend.address);
+      limited.push_back(backend.address);
     }
   }
-  if (own.empty()) {
+  if (limited.empty()) {
     fail(ErrorKind::kNoBackend, "no back end of " + request_.service + " can take the request",
          core_.settings.default_retry_after);
     return;
@@ -167,7 +168,7 @@
   const std::size_t nodes = std::max<std::size_t>(core_.interfaces.membership.members().size(), 1);
   fail(ErrorKind::kOverloaded,
        "back ends of " + request_.service + " take no more requests for now",
-       core_.interfaces.rate_limiter.retryAfter(request_.service, own, nodes));
+       core_.interfaces.rate_limiter.retryAfter(request_.service, limited, nodes));
 }
 
 void ServiceRun::acquirePermit(const common::Address& backend) {
@@ -178,11 +179,11 @@
         if (!self || self->closed_) {
           return;
         }
-        // While another node was asked the caller may have left, or the time have passed.
-        const bool at_once = self->core_.process.clock.now() == asked_at;
+        // If another node had to be asked, the caller may have left or the deadline passed.
+        const bool immediate = self->core_.process.clock.now() == asked_at;
         if (!granted) {
           self->onPermitRefused(backend);
-        } else if (at_once || self->stillWanted()) {
+        } else if (immediate || self->checkSendable()) {
           self->beginCall(backend);
         }
       });
@@ -213,7 +214,7 @@
   call.body = request_.body;
   call.time_limit = attemptTimeLimit(remaining);
   attempt_sent_at_ = core_.process.clock.now();
-  attempt_until_ = attempt_sent_at_ + call.time_limit;
+  attempt_deadline_ = attempt_sent_at_ + call.time_limit;
   excluded_.insert(backend);
   recordAttempt(backend);
   core_.counters.attempts.add();
@@ -239,14 +240,14 @@
   }
   core_.ended_calls.add(std::move(call_));
   record_->attempts.back().result = resultOf(response);
-  noteRateLimit(response);
+  reportRateLimit(response);
   switch (response.outcome) {
     case services::ServiceOutcome::kAnswered:
       onAnswered(std::move(response));
       return;
     case services::ServiceOutcome::kNotSent:
     case services::ServiceOutcome::kRefused:
-      onProvedNotRun(response);
+      onProvenNotRun(response);
       return;
     case services::ServiceOutcome::kBroken:
       onBroken(response);
@@ -254,26 +255,26 @@
   }
 }
 
-void ServiceRun::noteRateLimit(const services::ServiceResponse& response) {
+void ServiceRun::reportRateLimit(const services::ServiceResponse& response) {
   if (response.rate_limit) {
     core_.interfaces.rate_limiter.answered(record_->attempts.back().target, *response.rate_limit,
                                            attempt_sent_at_);
   }
 }
 
-void ServiceRun::countBegin() {
-  if (!std::exchange(began_, true)) {
+void ServiceRun::recordUsageOnce() {
+  if (!std::exchange(usage_recorded_, true)) {
     core_.interfaces.usage.requestBegan(request_.tenant);
   }
 }
 
 void ServiceRun::onAnswered(services::ServiceResponse response) {
-  countBegin();
+  recordUsageOnce();
   core_.interfaces.quarantine.answered(request_.fingerprint);
-  const bool elsewhere_may_help =
+  const bool retry_may_help =
       response.status == kInternalError ||
       (response.status >= kBadGateway && response.status <= kGatewayTimeout);
-  if (operation_.repeatable && elsewhere_may_help && payForRetry()) {
+  if (operation_.repeatable && retry_may_help && chargeRetry()) {
     may_have_run_ = true;
     scheduleAttempt(backoffBefore(runs_, core_.settings, core_.process.random));
     return;
@@ -287,11 +288,11 @@
   finish(std::move(answer));
 }
 
-void ServiceRun::onProvedNotRun(const services::ServiceResponse& response) {
+void ServiceRun::onProvenNotRun(const services::ServiceResponse& response) {
   const bool refused = response.outcome == services::ServiceOutcome::kRefused;
   const bool charged = refused && core_.settings.charge_refused_attempts;
   ++unrun_attempts_;
-  if (unrun_attempts_ >= core_.settings.maximum_unrun_attempts || (charged && !payForRun())) {
+  if (unrun_attempts_ >= core_.settings.maximum_unrun_attempts || (charged && !chargeRun())) {
     const auto kind = refused ? ErrorKind::kOverloaded : ErrorKind::kNoBackend;
     fail(kind, response.error, retryAfterOf(response, core_.settings.default_retry_after));
     return;
@@ -302,33 +303,33 @@
 
 void ServiceRun::onBroken(const services::ServiceResponse& response) {
   may_have_run_ = true;
-  countBegin();
-  // A back end that is silent until the attempt's time is over has not ended.
-  if (core_.process.clock.now() < attempt_until_) {
+  recordUsageOnce();
+  // A back end that merely did not answer before the attempt's time-out has not crashed.
+  if (core_.process.clock.now() < attempt_deadline_) {
     core_.interfaces.quarantine.callBroken(request_.fingerprint, record_->attempts.back().target);
   }
-  if (operation_.repeatable && payForRetry()) {
+  if (operation_.repeatable && chargeRetry()) {
     scheduleAttempt(backoffBefore(runs_, core_.settings, core_.process.random));
     return;
   }
   fail(ErrorKind::kBackendFailed, response.error, core_.settings.default_retry_after);
 }
 
-bool ServiceRun::payForRetry() {
-  if (!payForRun()) {
+bool ServiceRun::chargeRetry() {
+  if (!chargeRun()) {
     return false;
   }
   core_.counters.retries_after_run.add();
   return true;
 }
 
-bool ServiceRun::payForRun() {
+bool ServiceRun::chargeRun() {
   ++runs_;
   if (runs_ >= maximumRuns() || deadline_ <= core_.process.clock.now()) {
     return false;
   }
   if (!account().withdraw()) {
-    core_.counters.budget_spent.add();
+    core_.counters.retry_budget_exhausted.add();
     return false;
   }
   return true;
@@ -379,7 +380,7 @@
                                                      ? ", status " + std::to_string(answer.status)
                                                      : ": " + answer.error.message));
   if (!callback_) {
-    core_.counters.finished_unheard.add();
+    core_.counters.finished_after_abandon.add();
     return;
   }
   if (!starting_) {
--- a/src/cypresswall/execution/service_run.h
+++ b/src/cypresswall/execution/service_run.h
@@ -1,4 +1,4 @@
-/// The state machine of one service request.
+/// State machine of one service request.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,23 @@
 
 namespace cypresswall::execution {
 
-/// Runs one request. An operation that may be repeated is tried again within budget and time limit.
-/// Another one gets a further attempt only if the one before surely did not run; with an
-/// idempotency key it runs only under a claim of that key.
+/// Runs one request. A repeatable operation is retried within the retry budget and time limit. A
+/// non-repeatable operation is retried only if the previous attempt provably did not run; with an
+/// idempotency key it runs only while the request holds a claim of that key.
 class ServiceRun final : public std::enable_shared_from_this<ServiceRun> {
  public:
   ServiceRun(ServiceExecutionCore& core, ServiceCallRequest request, ServiceCallCallback callback);
-  /// Called once, after the core has taken the run. Never calls the callback before it returns.
+  /// Must be called once, after the run was added to the core. Never calls the callback
+  /// synchronously.
   void start();
-  /// The caller went away. What may be repeated is cancelled; what may not goes on to its end, so
-  /// that its answer is recorded under its key.
+  /// Called when the caller disconnects. A repeatable operation is cancelled; a non-repeatable one
+  /// continues to its end, so that its answer is recorded under its idempotency key.
   void abandon();
 
  private:
-  /// \return false if the request was given up: back ends end under it, or its key was taken away
-  bool maySend();
+  /// Fails the request if it is quarantined or its API key was revoked.
+  /// \return false if the request was failed
+  bool checkPermitted();
   bool admit(const configuration::HttpServiceDeclaration& service);
   void beginIfAdmitted();
   void claimKey();
@@ -36,34 +38,36 @@
   void answerFromRecord(const idempotency::ClaimAnswer& answer);
 
   void nextAttempt();
-  /// \return false if the request was given up: nobody waits, its time is over, or it may not be
-  ///   sent
-  bool stillWanted();
-  /// \param exhausted back ends that take no more requests now
+  /// Fails the request if the caller disconnected, its deadline has passed or it is not permitted.
+  /// \return false if the request was failed
+  bool checkSendable();
+  /// \param exhausted back ends whose rate limit is currently exhausted
   std::optional<common::Address> nextBackend(const std::set<common::Address>& exhausted);
-  /// Asks for a permit to send the request there, and sends it.
+  /// Requests a rate-limit permit for the back end and sends the request once it is granted.
   void acquirePermit(const common::Address& backend);
-  /// The back end takes no more requests now: another one is chosen.
+  /// The back end's rate limit is exhausted; schedules an attempt at another back end.
   void onPermitRefused(const common::Address& backend);
-  /// No back end can be chosen.
+  /// Fails the request because no back end is eligible.
   void failWithoutBackend(const std::set<common::Address>& exhausted);
   void beginCall(const common::Address& backend);
   common::Duration attemptTimeLimit(common::Duration remaining) const;
-  /// Takes in which limit the back end of the last attempt names.
-  void noteRateLimit(const services::ServiceResponse& response);
+  /// Reports the rate limit announced by the last attempt's back end to the rate limiter.
+  void reportRateLimit(const services::ServiceResponse& response);
   void onResponse(std::uint32_t attempt, services::ServiceResponse response);
   void onAnswered(services::ServiceResponse response);
-  void onProvedNotRun(const services::ServiceResponse& response);
-  /// Counts the request for its tenant, once: a back end has answered it, or may have run it.
-  void countBegin();
+  void onProvenNotRun(const services::ServiceResponse& response);
+  /// Records the request in the tenant's usage, once, when a back end has answered or may have run
+  /// it.
+  void recordUsageOnce();
   void onBroken(const services::ServiceResponse& response);
-  /// \return the account that pays for repeats
+  /// \return the retry account that repeats are charged to
   fleet_limits::RetryAccount& account() const;
-  bool payForRetry();
-  /// Counts a run. \return false if no further one may be made
-  bool payForRun();
+  bool chargeRetry();
+  /// Counts a run and charges the next one to the retry budget.
+  /// \return false if no further run is allowed
+  bool chargeRun();
   std::uint32_t maximumRuns() const;
-  /// Counts the operation's time limit from now and the caller's from the request's arrival.
+  /// Sets the deadline: the operation's time limit counts from now, the caller's from arrival.
   void setDeadline();
   void scheduleAttempt(common::Duration delay);
 
@@ -82,7 +86,7 @@
 
   ServiceExecutionCore& core_;
   ServiceCallRequest request_;
-  /// Empty once the caller went away or was answered.
+  /// Empty once the caller disconnected or was answered.
   ServiceCallCallback callback_;
   configuration::HttpServiceDeclaration service_;
   configuration::OperationDeclaration operation_;
@@ -91,8 +95,8 @@
   common::MonotonicTime deadline_{};
   common::MonotonicTime claim_sent_{};
   common::MonotonicTime attempt_sent_at_{};
-  /// When the attempt that is under way is given up.
-  common::MonotonicTime attempt_until_{};
+  /// Time at which the current attempt times out.
+  common::MonotonicTime attempt_deadline_{};
   std::set<common::Address> excluded_;
   std::unique_ptr<services::ServiceCall> call_;
   std::shared_ptr<RequestRecord> record_;
@@ -100,7 +104,7 @@
   std::uint32_t attempt_ = 0;
   std::uint32_t runs_ = 0;
   std::uint32_t unrun_attempts_ = 0;
-  bool began_ = false;
+  bool usage_recorded_ = false;
   bool claim_held_ = false;
   bool may_have_run_ = false;
   bool starting_ = false;
--- a/src/cypresswall/execution/service_run_claim.cpp
+++ b/src/cypresswall/execution/service_run_claim.cpp
@@ -1,4 +1,4 @@
-/// How a service request uses the claim of its idempotency key.
+/// Use of idempotency-key claims by service requests.
 #include <algorithm>
 #include <utility>
 
@@ -49,12 +49,13 @@
   }
 }
 
-/// Why the operation still runs at most once if this process pauses between grant and send: a claim
-/// is granted to one attempt, and never again as long as its holders remember it; if they forget
-/// it, the key becomes uncertain, which grants nothing. Holders drop old claims only long after
-/// `claim_use_limit`, so a grant that is read later than that is not used, and not given back
-/// either, since it may no longer be this attempt's to give. A pause between this check and the
-/// send leaves that retention, and the key in the request's header, between it and a second run.
+/// The operation runs at most once even if this process pauses between grant and send. A claim is
+/// granted to one attempt and never again while its holders keep it; if they lose it, the key
+/// becomes uncertain and no further claim is granted. Holders expire claims only long after
+/// `claim_use_limit`. A grant processed later than that is therefore not used, and not released
+/// either, because the claim may no longer belong to this attempt. If the process pauses between
+/// this check and the send, the claim retention time and the key in the request header still
+/// protect against a second run.
 void ServiceRun::onGranted() {
   const auto age = core_.process.clock.now() - claim_sent_;
   if (age > core_.settings.claim_use_limit) {
@@ -87,8 +88,8 @@
   return common::hash64(request_.body, target);
 }
 
-/// A claim is given back only if the operation surely did not run; an unknown outcome is recorded
-/// like an answer, so that a caller who asks again hears it and nothing runs.
+/// Releases the claim only if the operation provably did not run. An unknown outcome is recorded
+/// like an answer, so that a repeated request receives it and nothing is run again.
 void ServiceRun::settleClaim(const ServiceCallAnswer& answer) {
   if (!std::exchange(claim_held_, false)) {
     return;
--- a/src/cypresswall/execution/weighted_round_robin.h
+++ b/src/cypresswall/execution/weighted_round_robin.h
@@ -1,4 +1,4 @@
-/// Divides a stream of requests over several parts by weight.
+/// Weighted distribution of requests over several targets.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,13 @@
 
 namespace cypresswall::execution {
 
-/// Smooth weighted round robin: over any run of requests each part's number of turns stays within
-/// one of its share, so that a small node keeps the shares too.
+/// Smooth weighted round robin. Over any sequence of requests the count of each target stays within
+/// one of its share, so that the weights also hold on a node with few requests.
 class WeightedRoundRobin {
  public:
-  /// Takes the next turn of a division.
-  /// \param name names the division; its state starts anew when the number of parts changes
-  /// \param weights not negative; at least one
-  /// \return the part whose turn it is
+  /// Selects the target of the next request.
+  /// \param name identifies the group of targets; its state is reset if the number of targets
+  /// changes \param weights non-negative; at least one \return index of the selected target
   std::size_t next(const std::string& name, const std::vector<double>& weights);
 
  private:
--- a/tests/admission/tenant_limits_test.cpp
+++ b/tests/admission/tenant_limits_test.cpp
@@ -16,11 +16,11 @@
 constexpr double kRequestLimit = 40;
 constexpr double kTokenLimit = 8000;
 
-/// A zone of gateway nodes whose messages can be lost and doubled.
+/// A zone of gateway nodes whose messages can be lost or duplicated.
 class Zone final : private api::PeerTransport {
  public:
-  Zone(std::size_t nodes, int loss_percent, int double_percent)
-      : loss_percent_(loss_percent), double_percent_(double_percent) {
+  Zone(std::size_t nodes, int loss_percent, int duplicate_percent)
+      : loss_percent_(loss_percent), duplicate_percent_(duplicate_percent) {
     auto& tenant = configuration.fleet.tenants["portal"];
     tenant.requests_per_second = kRequestLimit;
     tenant.tokens_per_second = kTokenLimit;
@@ -34,8 +34,8 @@
     }
   }
 
-  bool ask(std::size_t node, std::uint32_t tokens) { return !refusal(node, tokens); }
-  std::optional<Refusal> refusal(std::size_t node, std::uint32_t tokens) {
+  bool admit(std::size_t node, std::uint32_t tokens) { return !take(node, tokens); }
+  std::optional<Refusal> take(std::size_t node, std::uint32_t tokens) {
     AdmissionRequest request;
     request.tenant = "portal";
     request.tokens = tokens;
@@ -71,7 +71,7 @@
       return;
     }
     deliver(envelope);
-    if (random.below(100) < static_cast<std::uint64_t>(double_percent_)) {
+    if (random.below(100) < static_cast<std::uint64_t>(duplicate_percent_)) {
       deliver(envelope);
     }
   }
@@ -84,24 +84,24 @@
   }
 
   int loss_percent_;
-  int double_percent_;
+  int duplicate_percent_;
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
 class TenantLimitsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantLimitsTest);
-  CPPUNIT_TEST(limitHoldsOverTheZone);
+  CPPUNIT_TEST(limitHoldsAcrossTheZone);
   CPPUNIT_TEST(oneBusyNodeGetsMostOfTheLimit);
-  CPPUNIT_TEST(callersThatWaitAsToldAreAdmitted);
+  CPPUNIT_TEST(callersThatHonorRetryAfterAreAdmitted);
   CPPUNIT_TEST(shareGrowsWhenNodesLeave);
-  CPPUNIT_TEST(hugeRequestIsAdmittedInDebt);
+  CPPUNIT_TEST(oversizedRequestPutsBucketInDebt);
   CPPUNIT_TEST(undeclaredTenantHasNoLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void limitHoldsOverTheZone() {
+  void limitHoldsAcrossTheZone() {
     double grants = 0;
-    testing::requireProperty("admitted over the zone within limit and burst", 100, [&] {
+    testing::requireProperty("requests admitted in the zone stay within limit and burst", 100, [&] {
       const auto nodes = *rc::gen::inRange<std::size_t>(1, 8);
       Zone zone(nodes, *rc::gen::inRange(0, 50), *rc::gen::inRange(0, 50));
       const auto skew = *rc::gen::inRange<std::size_t>(1, 8);
@@ -112,12 +112,12 @@
         zone.time.runFor(milliseconds(20));
         for (int number = 0; number < per_step; ++number) {
           const auto node = zone.random.below(std::min(skew, nodes));
-          admitted += zone.ask(node, 100) ? 1 : 0;
+          admitted += zone.admit(node, 100) ? 1 : 0;
         }
       }
       grants += zone.counters.total("cypresswall_admission_exchange_total");
       const double elapsed = 0.02 * kSteps;
-      // Each node may hold one request of burst at least.
+      // Every node's bucket holds at least one request.
       RC_ASSERT(admitted <= kRequestLimit * (elapsed + 2) + static_cast<double>(nodes));
     });
     CPPUNIT_ASSERT(grants > 0);
@@ -128,27 +128,28 @@
     int admitted = 0;
     for (int step = 0; step < 3000; ++step) {
       zone.time.runFor(milliseconds(20));
-      admitted += zone.ask(0, 0) ? 1 : 0;
-      admitted += zone.ask(0, 0) ? 1 : 0;
+      admitted += zone.admit(0, 0) ? 1 : 0;
+      admitted += zone.admit(0, 0) ? 1 : 0;
     }
-    // Without exchange it would be a quarter: 600 and the burst.
+    // Without the exchange of allowance it would be a quarter of the limit: 600 plus the burst.
     CPPUNIT_ASSERT_GREATER(1500, admitted);
   }
 
-  void callersThatWaitAsToldAreAdmitted() {
-    testing::requireProperty("nine in ten that wait as told are admitted", 100, [] {
+  void callersThatHonorRetryAfterAreAdmitted() {
+    testing::requireProperty("nine in ten callers that honor Retry-After are admitted", 100, [] {
       Zone zone(1, 0, 0);
       const auto callers = *rc::gen::inRange(1, 400);
       int refused = 0;
       int admitted_later = 0;
       for (int number = 0; number < callers; ++number) {
-        const auto refusal = zone.refusal(0, 0);
+        const auto refusal = zone.take(0, 0);
         if (!refusal) {
           continue;
         }
         ++refused;
-        zone.time.schedule(refusal->retry_after,
-                           [&zone, &admitted_later] { admitted_later += zone.ask(0, 0) ? 1 : 0; });
+        zone.time.schedule(refusal->retry_after, [&zone, &admitted_later] {
+          admitted_later += zone.admit(0, 0) ? 1 : 0;
+        });
       }
       zone.time.runFor(seconds(60));
       RC_ASSERT(admitted_later * 10 >= refused * 9);
@@ -165,28 +166,28 @@
     CPPUNIT_ASSERT_EQUAL(40, admittedAtOnce(zone));
   }
 
-  void hugeRequestIsAdmittedInDebt() {
+  void oversizedRequestPutsBucketInDebt() {
     Zone zone(1, 0, 0);
-    CPPUNIT_ASSERT(zone.ask(0, 40000));
-    const auto refusal = zone.refusal(0, 100);
+    CPPUNIT_ASSERT(zone.admit(0, 40000));
+    const auto refusal = zone.take(0, 100);
     CPPUNIT_ASSERT(refusal->reason == RefusalReason::kTenantTokenLimit);
     CPPUNIT_ASSERT(refusal->retry_after > seconds(2));
     zone.time.runFor(refusal->retry_after);
-    CPPUNIT_ASSERT(zone.ask(0, 100));
+    CPPUNIT_ASSERT(zone.admit(0, 100));
   }
 
   void undeclaredTenantHasNoLimit() {
     Zone zone(1, 0, 0);
     zone.configuration.fleet.tenants.clear();
     for (int number = 0; number < 1000; ++number) {
-      CPPUNIT_ASSERT(zone.ask(0, 1000000));
+      CPPUNIT_ASSERT(zone.admit(0, 1000000));
     }
   }
 
  private:
   static int admittedAtOnce(Zone& zone) {
     int admitted = 0;
-    while (zone.ask(0, 0)) {
+    while (zone.admit(0, 0)) {
       ++admitted;
     }
     return admitted;
--- a/tests/admission/zone_admission_controller_test.cpp
+++ b/tests/admission/zone_admission_controller_test.cpp
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A node whose engines can be overloaded for urgencies up to a given one.
-struct World {
-  explicit World(AdmissionSettings settings = {})
+/// A node with a router that can be set to refuse requests.
+struct Fixture {
+  explicit Fixture(AdmissionSettings settings = {})
       : controller(process.context, configuration, membership, router, settings) {
     auto& service = configuration.fleet.model_services["summary"];
     service.name = "summary";
@@ -33,7 +33,7 @@
     }
     return refusal;
   }
-  /// Lets requests of one urgency reach the router for a time.
+  /// Routes requests of one urgency for the given duration.
   void route(Urgency urgency, bool refused, common::Duration duration) {
     for (auto passed = common::Duration{0}; passed < duration; passed += milliseconds(10)) {
       routing::RouteRequest request;
@@ -64,68 +64,68 @@
   CPPUNIT_TEST_SUITE(ZoneAdmissionControllerTest);
   CPPUNIT_TEST(drainingRefusesNewWork);
   CPPUNIT_TEST(lowUrgencyIsShedFirst);
-  CPPUNIT_TEST(refusalsOfAClassDoNotShedIt);
+  CPPUNIT_TEST(refusalsOfAnUrgencyDoNotShedIt);
   CPPUNIT_TEST(sheddingEndsWithTheOverload);
   CPPUNIT_TEST(boundsRequestsInFlight);
-  CPPUNIT_TEST(priorityGivesTheUrgencyBack);
+  CPPUNIT_TEST(priorityRoundTripsUrgency);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void drainingRefusesNewWork() {
-    World world;
-    CPPUNIT_ASSERT(!world.admit(Urgency::kNormal));
-    world.controller.setDraining(true);
-    const auto refusal = world.admit(Urgency::kCritical);
+    Fixture fixture;
+    CPPUNIT_ASSERT(!fixture.admit(Urgency::kNormal));
+    fixture.controller.setDraining(true);
+    const auto refusal = fixture.admit(Urgency::kCritical);
     CPPUNIT_ASSERT(refusal->reason == RefusalReason::kDraining);
     CPPUNIT_ASSERT(refusal->retry_after == seconds(1));
   }
 
   void lowUrgencyIsShedFirst() {
-    World world;
-    world.route(Urgency::kHigh, true, milliseconds(1500));
-    CPPUNIT_ASSERT_LESS(20, world.admittedOfHundred(Urgency::kLow));
-    CPPUNIT_ASSERT_EQUAL(100, world.admittedOfHundred(Urgency::kNormal));
-    world.route(Urgency::kHigh, true, seconds(1));
-    CPPUNIT_ASSERT_EQUAL(0, world.admittedOfHundred(Urgency::kLow));
-    CPPUNIT_ASSERT_LESS(100, world.admittedOfHundred(Urgency::kNormal));
-    CPPUNIT_ASSERT_EQUAL(100, world.admittedOfHundred(Urgency::kHigh));
-    const auto refusal = world.admit(Urgency::kLow);
+    Fixture fixture;
+    fixture.route(Urgency::kHigh, true, milliseconds(1500));
+    CPPUNIT_ASSERT_LESS(20, fixture.admittedOfHundred(Urgency::kLow));
+    CPPUNIT_ASSERT_EQUAL(100, fixture.admittedOfHundred(Urgency::kNormal));
+    fixture.route(Urgency::kHigh, true, seconds(1));
+    CPPUNIT_ASSERT_EQUAL(0, fixture.admittedOfHundred(Urgency::kLow));
+    CPPUNIT_ASSERT_LESS(100, fixture.admittedOfHundred(Urgency::kNormal));
+    CPPUNIT_ASSERT_EQUAL(100, fixture.admittedOfHundred(Urgency::kHigh));
+    const auto refusal = fixture.admit(Urgency::kLow);
     CPPUNIT_ASSERT(refusal->reason == RefusalReason::kShedding);
-    CPPUNIT_ASSERT(refusal->retry_after >= world.engines_router.retry_after);
+    CPPUNIT_ASSERT(refusal->retry_after >= fixture.engines_router.retry_after);
   }
 
-  void refusalsOfAClassDoNotShedIt() {
-    World world;
-    world.route(Urgency::kLow, true, seconds(60));
-    CPPUNIT_ASSERT_EQUAL(100, world.admittedOfHundred(Urgency::kLow));
-    world.route(Urgency::kNormal, true, seconds(60));
-    CPPUNIT_ASSERT_LESS(20, world.admittedOfHundred(Urgency::kLow));
-    CPPUNIT_ASSERT_EQUAL(100, world.admittedOfHundred(Urgency::kNormal));
+  void refusalsOfAnUrgencyDoNotShedIt() {
+    Fixture fixture;
+    fixture.route(Urgency::kLow, true, seconds(60));
+    CPPUNIT_ASSERT_EQUAL(100, fixture.admittedOfHundred(Urgency::kLow));
+    fixture.route(Urgency::kNormal, true, seconds(60));
+    CPPUNIT_ASSERT_LESS(20, fixture.admittedOfHundred(Urgency::kLow));
+    CPPUNIT_ASSERT_EQUAL(100, fixture.admittedOfHundred(Urgency::kNormal));
   }
 
   void sheddingEndsWithTheOverload() {
-    World world;
-    world.route(Urgency::kCritical, true, seconds(60));
-    CPPUNIT_ASSERT_LESS(20, world.admittedOfHundred(Urgency::kHigh));
-    CPPUNIT_ASSERT_EQUAL(100, world.admittedOfHundred(Urgency::kCritical));
-    // Also if nothing is asked for that could show that the overload is over.
-    world.process.time.runFor(seconds(60));
-    CPPUNIT_ASSERT_EQUAL(100, world.admittedOfHundred(Urgency::kLow));
+    Fixture fixture;
+    fixture.route(Urgency::kCritical, true, seconds(60));
+    CPPUNIT_ASSERT_LESS(20, fixture.admittedOfHundred(Urgency::kHigh));
+    CPPUNIT_ASSERT_EQUAL(100, fixture.admittedOfHundred(Urgency::kCritical));
+    // Applies even if no request is routed that could show the end of the overload.
+    fixture.process.time.runFor(seconds(60));
+    CPPUNIT_ASSERT_EQUAL(100, fixture.admittedOfHundred(Urgency::kLow));
   }
 
   void boundsRequestsInFlight() {
     AdmissionSettings settings;
     settings.maximum_in_flight = 2;
-    World world(settings);
+    Fixture fixture(settings);
     const AdmissionRequest request;
-    CPPUNIT_ASSERT(!world.controller.admit(request));
-    CPPUNIT_ASSERT(!world.controller.admit(request));
-    CPPUNIT_ASSERT(world.controller.admit(request)->reason == RefusalReason::kShedding);
-    world.controller.released(request);
-    CPPUNIT_ASSERT(!world.controller.admit(request));
+    CPPUNIT_ASSERT(!fixture.controller.admit(request));
+    CPPUNIT_ASSERT(!fixture.controller.admit(request));
+    CPPUNIT_ASSERT(fixture.controller.admit(request)->reason == RefusalReason::kShedding);
+    fixture.controller.released(request);
+    CPPUNIT_ASSERT(!fixture.controller.admit(request));
   }
 
-  void priorityGivesTheUrgencyBack() {
+  void priorityRoundTripsUrgency() {
     for (const auto urgency :
          {Urgency::kLow, Urgency::kNormal, Urgency::kHigh, Urgency::kCritical}) {
       for (const bool resuming : {false, true}) {
--- a/tests/execution/engine_attempt_test.cpp
+++ b/tests/execution/engine_attempt_test.cpp
@@ -17,7 +17,7 @@
   std::vector<int> statuses;
 };
 
-/// Takes the streams that are started and does nothing with them.
+/// Engine client whose streams never deliver any event.
 struct SilentEngines final : engines::EngineClient {
   std::unique_ptr<engines::Stream> startStream(const engines::EngineEndpoint&,
                                                engines::StreamRequest,
@@ -34,12 +34,12 @@
 
 class EngineAttemptTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineAttemptTest);
-  CPPUNIT_TEST(passesOnItsOwnHeadOnce);
-  CPPUNIT_TEST(headOfAComputedPromptIsDropped);
+  CPPUNIT_TEST(forwardsOwnHeadOnce);
+  CPPUNIT_TEST(headOfPrefillAttemptIsDropped);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void passesOnItsOwnHeadOnce() {
+  void forwardsOwnHeadOnce() {
     begin(engines::StreamPhase::kWhole);
     attempt_.onHead(6, {201, {}});
     attempt_.onHead(7, {202, {}});
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT_EQUAL(3.0, dropped());
   }
 
-  void headOfAComputedPromptIsDropped() {
+  void headOfPrefillAttemptIsDropped() {
     begin(engines::StreamPhase::kPrefillOnly);
     attempt_.onHead(7, {200, {}});
     CPPUNIT_ASSERT(listener_.statuses.empty());
--- a/tests/execution/fake_engines.cpp
+++ b/tests/execution/fake_engines.cpp
@@ -38,12 +38,12 @@
 
  private:
   void arm() {
-    timer_ = owner_.time_.schedule(owner_.token_time, [this] { turn(); });
+    timer_ = owner_.time_.schedule(owner_.token_time, [this] { step(); });
   }
 
-  void turn() {
-    const bool here = next_ - request_.resume_from == script_.position;
-    if (script_.kind != Kind::kNotSent && !std::exchange(rate_limit_told_, true) &&
+  void step() {
+    const bool at_position = next_ - request_.resume_from == script_.position;
+    if (script_.kind != Kind::kNotSent && !std::exchange(rate_limit_sent_, true) &&
         owner_.rate_limit) {
       handler_.onRateLimit(request_.attempt, *owner_.rate_limit);
     }
@@ -54,26 +54,26 @@
     }
     owner_.ran.insert(request_.stream_id);
     if (request_.phase == engines::StreamPhase::kPrefillOnly) {
-      turnPrefill();
+      stepPrefill();
     } else if (next_ >= owner_.answer_tokens) {
       finish(owner_.answer_tokens);
-    } else if (here && script_.kind != Kind::kGood) {
-      turnFaulty();
+    } else if (at_position && script_.kind != Kind::kGood) {
+      stepFaulty();
     } else {
-      giveHead();
-      give(next_++);
+      sendHead();
+      sendToken(next_++);
       arm();
     }
   }
 
-  /// A passed-through answer begins with a head that names the attempt.
-  void giveHead() {
+  /// Starts a passed-through answer with a head that contains the attempt number.
+  void sendHead() {
     if (request_.pass_through && next_ == request_.resume_from) {
       handler_.onHead(request_.attempt, {200, {{"attempt", std::to_string(request_.attempt)}}});
     }
   }
 
-  void turnPrefill() {
+  void stepPrefill() {
     if (script_.kind == Kind::kGood) {
       finish(0);
     } else if (script_.kind == Kind::kSilentAt) {
@@ -83,7 +83,7 @@
     }
   }
 
-  void turnFaulty() {
+  void stepFaulty() {
     const auto kind = script_.kind;
     script_.kind = Kind::kGood;
     switch (kind) {
@@ -97,14 +97,14 @@
       case Kind::kLosesAt:
         ++next_;
         break;
-      case Kind::kDoublesAt:
-        give(next_);
+      case Kind::kDuplicatesAt:
+        sendToken(next_);
         break;
-      case Kind::kSwapsAt:
-        give(next_ + 1);
+      case Kind::kReordersAt:
+        sendToken(next_ + 1);
         break;
-      case Kind::kCrossesAt:
-        cross(next_++);
+      case Kind::kMisdirectsAt:
+        misdirect(next_++);
         break;
       case Kind::kEndsAt:
         ++owner_.faults[kind];
@@ -113,7 +113,7 @@
       case Kind::kLateEvents:
         script_.kind = kind;
         fail(engines::StreamFailure::kBroken);
-        give(next_);
+        sendToken(next_);
         handler_.onFinished(request_.attempt, {});
         return;
       default:
@@ -123,7 +123,7 @@
     arm();
   }
 
-  void cross(std::uint32_t index) {
+  void misdirect(std::uint32_t index) {
     for (auto* other : owner_.open_) {
       if (other != this) {
         other->handler_.onToken(request_.attempt, index, text(index));
@@ -137,7 +137,7 @@
                          index);
   }
 
-  void give(std::uint32_t index) { handler_.onToken(request_.attempt, index, text(index)); }
+  void sendToken(std::uint32_t index) { handler_.onToken(request_.attempt, index, text(index)); }
 
   void finish(std::uint32_t output_tokens) {
     engines::StreamUsage usage;
@@ -155,7 +155,7 @@
   engines::StreamHandler& handler_;
   StreamScript script_;
   std::uint32_t next_;
-  bool rate_limit_told_ = false;
+  bool rate_limit_sent_ = false;
   bool paused_ = false;
   common::TimerId timer_ = 0;
 };
--- a/tests/execution/fake_engines.h
+++ b/tests/execution/fake_engines.h
@@ -1,4 +1,4 @@
-/// Engines whose streams misbehave as a script says, and a router over them.
+/// Fake engines with scripted stream faults, and a fake router.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,30 @@
 
 namespace cypresswall::testing {
 
-/// How one stream goes. Positions count tokens of that stream; one that it does not reach does
-/// nothing.
+/// Script of one stream. Positions count the tokens of that stream; a position beyond its end has
+/// no effect.
 struct StreamScript {
   enum class Kind {
     kGood,
     kNotSent,
     kRefused,
-    kBrokenAt,    ///< the connection ends at the position
-    kSilentAt,    ///< nothing comes from the position on
-    kLosesAt,     ///< the token at the position is lost, the next ones come
-    kDoublesAt,   ///< the token at the position comes twice
-    kSwapsAt,     ///< the token at the position comes after the next one
-    kCrossesAt,   ///< the token at the position goes to another open stream
-    kEndsAt,      ///< the end of the whole answer comes in place of the token
-    kLateEvents,  ///< breaks at the position, and events come after that
+    kBrokenAt,      ///< the connection breaks at the position
+    kSilentAt,      ///< no events from the position on
+    kLosesAt,       ///< the token at the position is lost, the following ones are delivered
+    kDuplicatesAt,  ///< the token at the position is delivered twice
+    kReordersAt,    ///< the token at the position is delivered after the next one
+    kMisdirectsAt,  ///< the token at the position is delivered to another open stream
+    kEndsAt,        ///< the final event is delivered in place of the token
+    kLateEvents,    ///< the stream breaks at the position and delivers further events afterwards
   };
   Kind kind = Kind::kGood;
   std::uint32_t position = 0;
 };
 
-/// \return the token that every engine gives at `index` of the answer to `prompt`.
+/// \return the token that every engine produces at `index` of the answer to `prompt`
 std::string expectedToken(const std::string& prompt, std::uint32_t index);
 
-/// Runs streams by scripts: the n-th stream started gets the n-th script, later ones are good.
+/// Runs scripted streams: the n-th started stream uses the n-th script, later ones have no faults.
 class FakeEngines final : public engines::EngineClient {
  public:
   explicit FakeEngines(simulation::VirtualTime& time) : time_(time) {}
@@ -46,7 +46,9 @@
   std::unique_ptr<engines::Stream> startStream(const engines::EngineEndpoint& engine,
                                                engines::StreamRequest request,
                                                engines::StreamHandler& handler) override;
-  bool marksPosition(const std::string& token) const override { return unmarked.count(token) == 0; }
+  bool marksPosition(const std::string& token) const override {
+    return tokens_without_position.count(token) == 0;
+  }
   void sendOrder(const engines::EngineEndpoint&, const engines::EngineOrder&,
                  engines::EngineCallback<engines::OrderReply>) override {}
   void fetchLoad(const engines::EngineEndpoint&,
@@ -55,17 +57,17 @@
                         engines::EngineCallback<engines::CacheEvents>) override {}
 
   std::vector<StreamScript> scripts;
-  /// Tokens that mark no position to go on from.
-  std::set<std::string> unmarked;
+  /// Tokens after which an answer cannot be resumed.
+  std::set<std::string> tokens_without_position;
   std::uint32_t answer_tokens = 12;
-  /// What each answer names.
+  /// Rate limit announced by every answer.
   std::optional<common::RateLimitNotice> rate_limit;
   common::Duration token_time = std::chrono::milliseconds(20);
-  /// Every stream started, with the engine that it went to.
+  /// All started streams, with the name of the engine.
   std::vector<std::pair<std::string, engines::StreamRequest>> started;
-  /// The ledger: stream identifiers that an engine ran at least in part.
+  /// Identifiers of streams that an engine ran at least in part.
   std::set<std::string> ran;
-  /// Faults that took place, by kind.
+  /// Number of faults that occurred, by kind.
   std::map<StreamScript::Kind, int> faults;
 
  private:
@@ -74,7 +76,7 @@
   std::set<FakeStream*> open_;
 };
 
-/// Chooses the first engine that is not excluded.
+/// Chooses the first engine that is neither excluded nor leaving.
 class FakeRouter final : public routing::Router {
  public:
   routing::RouteChoice choose(const routing::RouteRequest& request) override;
@@ -93,7 +95,7 @@
 
   std::vector<std::string> names{"engine-1", "engine-2", "engine-3", "engine-4"};
   std::string prefill_name;
-  /// Engines that are given no new work, by choose() either.
+  /// Engines that accept no new work; choose() skips them too.
   std::set<std::string> leaving;
   bool refuses = false;
   common::Duration retry_after = std::chrono::seconds(3);
--- a/tests/execution/fake_services.cpp
+++ b/tests/execution/fake_services.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::testing {
 namespace {
 
-constexpr common::Duration kBeforeTheLimit = std::chrono::milliseconds(10);
+constexpr common::Duration kSlowAnswerMargin = std::chrono::milliseconds(10);
 
 std::string headerOf(const services::ServiceRequest& request, const std::string& name) {
   for (const auto& header : request.headers) {
@@ -28,8 +28,8 @@
         script_(script),
         callback_(std::move(callback)) {
     const auto delay =
-        script == CallScript::kSlow ? request.time_limit - kBeforeTheLimit : owner_.answer_time;
-    // The back end runs what reached it, also if the caller has left by then.
+        script == CallScript::kSlow ? request.time_limit - kSlowAnswerMargin : owner_.answer_time;
+    // A delivered request runs on the back end even if the caller has disconnected by then.
     owner_.time_.schedule(owner_.answer_time / 2,
                           [&owner, script, request_id = request_id_, key = key_] {
                             run(owner, script, request_id, key);
@@ -52,9 +52,9 @@
   void answer() {
     const auto callback = callback_;
     const auto response = responseOf(script_);
-    const bool doubled = script_ == CallScript::kDoubledAnswer;
+    const bool duplicate = script_ == CallScript::kDuplicateAnswer;
     callback(response);
-    if (doubled) {
+    if (duplicate) {
       callback(response);
     }
   }
--- a/tests/execution/fake_services.h
+++ b/tests/execution/fake_services.h
@@ -1,5 +1,5 @@
-/// Back ends of plain HTTP services that misbehave as a script says, and claims of idempotency keys
-/// that may be lost.
+/// Fake back ends of plain HTTP services with scripted faults, and fake idempotency-key claims that
+/// can be lost.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace cypresswall::testing {
 
-/// How one call to a back end goes.
+/// Script of one call to a back end.
 enum class CallScript {
   kGood,
   kServerError,  ///< runs, answers 500
@@ -26,12 +26,12 @@
   kRefused,
   kBrokenBeforeRun,
   kBrokenAfterRun,
-  kDoubledAnswer,
-  kSlow,  ///< runs, answers only near the time limit
+  kDuplicateAnswer,
+  kSlow,  ///< runs, answers shortly before the time limit
 };
 constexpr int kCallScripts = static_cast<int>(CallScript::kSlow) + 1;
 
-/// The n-th call gets the n-th script, later ones are good.
+/// The n-th call uses the n-th script, later ones succeed.
 class FakeServiceClient final : public services::ServiceClient {
  public:
   explicit FakeServiceClient(simulation::VirtualTime& time) : time_(time) {}
@@ -40,14 +40,14 @@
       std::function<void(services::ServiceResponse)> callback) override;
 
   std::vector<CallScript> scripts;
-  /// Every call made, with the back end that it went to.
+  /// All calls, with the address of the back end.
   std::vector<std::pair<common::Address, services::ServiceRequest>> calls;
-  /// The ledger: how often each request, and each idempotency key, was run.
+  /// Number of runs of each request and of each idempotency key.
   std::map<std::string, int> runs_by_request;
   std::map<std::string, int> runs_by_key;
   std::map<CallScript, int> faults;
   common::Duration answer_time = std::chrono::milliseconds(30);
-  /// What each answer names.
+  /// Rate limit announced by every answer.
   std::optional<common::RateLimitNotice> rate_limit;
 
  private:
@@ -55,7 +55,8 @@
   simulation::VirtualTime& time_;
 };
 
-/// Claims over virtual time: one table for all nodes, which can forget and be unreachable.
+/// Idempotency-key claims in one table shared by all nodes, which can lose its content or be
+/// unavailable.
 class FakeClaims final : public idempotency::KeyClaims {
  public:
   explicit FakeClaims(simulation::VirtualTime& time) : time_(time) {}
@@ -63,7 +64,7 @@
              std::function<void(idempotency::ClaimAnswer)> callback) override;
   void complete(const std::string& key, std::string answer) override;
   void release(const std::string& key) override;
-  /// Loses all claims; what was claimed before is uncertain from now on.
+  /// Drops all claims; keys claimed before are uncertain afterwards.
   void forget();
 
   bool unavailable = false;
@@ -83,7 +84,7 @@
   std::set<std::string> uncertain_;
 };
 
-/// A zone of one node, with machines that can be leaving.
+/// Membership view with a configurable member list and set of leaving machines.
 class FakeMembership final : public membership::MembershipView {
  public:
   const common::NodeId& self() const override { return node; }
--- a/tests/execution/http_service_executor_test.cpp
+++ b/tests/execution/http_service_executor_test.cpp
@@ -18,10 +18,10 @@
 
 constexpr auto kLongRun = std::chrono::minutes(5);
 
-/// A zone whose claims and back ends several nodes share.
-struct World {
-  explicit World(const ExecutionSettings& settings = {},
-                 const fleet_limits::RetryLimitSettings& retry_limits = {})
+/// Two executors that share claims and back ends, as two nodes of a zone do.
+struct Fixture {
+  explicit Fixture(const ExecutionSettings& settings = {},
+                   const fleet_limits::RetryLimitSettings& retry_limits = {})
       : retries(retry_limits, process.context, [] { return 1.0; }),
         interfaces{configuration, membership,   admission,  client, claims,
                    retries,       rate_limiter, quarantine, usage},
@@ -40,7 +40,7 @@
     std::string request_id;
     std::unique_ptr<ServiceExecution> handle;
     std::vector<ServiceCallAnswer> answers;
-    bool gone = false;
+    bool abandoned = false;
     const ServiceCallAnswer& answer() const { return answers.at(0); }
   };
 
@@ -65,7 +65,7 @@
     });
     return caller;
   }
-  ServiceCallAnswer ask(ServiceCallRequest request) {
+  ServiceCallAnswer callAndWait(ServiceCallRequest request) {
     const auto caller = start(std::move(request));
     process.time.runFor(kLongRun);
     return caller->answer();
@@ -99,418 +99,421 @@
 class HttpServiceExecutorTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpServiceExecutorTest);
   CPPUNIT_TEST(relaysTheAnswer);
-  CPPUNIT_TEST(repeatsWhatMayBeRepeated);
-  CPPUNIT_TEST(anInternalErrorIsRepeatedElsewhere);
-  CPPUNIT_TEST(longestPrefixDecides);
-  CPPUNIT_TEST(unknownOutcomeIsNotRepeated);
-  CPPUNIT_TEST(provedNotRunGoesElsewhere);
+  CPPUNIT_TEST(retriesRepeatableOperations);
+  CPPUNIT_TEST(internalErrorIsRetriedOnAnotherBackend);
+  CPPUNIT_TEST(longestPathPrefixWins);
+  CPPUNIT_TEST(unknownOutcomeIsNotRetried);
+  CPPUNIT_TEST(provenNotRunIsRetriedElsewhere);
   CPPUNIT_TEST(refusalKeepsRetryAfterOfTheBackend);
-  CPPUNIT_TEST(ownZoneFirstAndNoLeavingMachine);
+  CPPUNIT_TEST(prefersOwnZoneAndSkipsLeavingMachines);
   CPPUNIT_TEST(sameKeyGetsTheRecordedAnswer);
-  CPPUNIT_TEST(largeAnswerIsNotRecordedButNotRunAgain);
+  CPPUNIT_TEST(oversizedAnswerIsNeitherRecordedNorRunAgain);
   CPPUNIT_TEST(otherVerdictsRunNothing);
-  CPPUNIT_TEST(callerGoneStillRecordsTheAnswer);
+  CPPUNIT_TEST(abandonedOperationStillRecordsAnswer);
   CPPUNIT_TEST(lateGrantIsNotUsed);
   CPPUNIT_TEST(unknownServiceIsNotRun);
   CPPUNIT_TEST(callersTimeLimitBoundsEveryAttempt);
-  CPPUNIT_TEST(claimDoesNotLengthenTheCallersTime);
-  CPPUNIT_TEST(declaredRunsReplaceTheNodesOwn);
-  CPPUNIT_TEST(refusedAttemptsDrawOnTheBudget);
+  CPPUNIT_TEST(claimDoesNotExtendCallersTimeLimit);
+  CPPUNIT_TEST(declaredRunLimitOverridesDefault);
+  CPPUNIT_TEST(refusedAttemptsAreChargedToRetryBudget);
   CPPUNIT_TEST(runsAtMostOnceUnderFaults);
-  CPPUNIT_TEST(quarantinedRequestIsRefusedAtOnce);
-  CPPUNIT_TEST(brokenCallsAndAnswersAreToldToTheQuarantine);
-  CPPUNIT_TEST(aRequestIsCountedOnceForItsTenant);
-  CPPUNIT_TEST(aKeyTakenAwayStopsTheNextAttempt);
-  CPPUNIT_TEST(eachCallNeedsAPermitOfItsBackend);
-  CPPUNIT_TEST(exhaustedBackendsGetNothing);
-  CPPUNIT_TEST(permitForACallerThatLeftIsNotUsed);
-  CPPUNIT_TEST(limitOfAnAnswerIsTold);
+  CPPUNIT_TEST(quarantinedRequestIsRefusedImmediately);
+  CPPUNIT_TEST(brokenCallsAndAnswersAreReportedToQuarantine);
+  CPPUNIT_TEST(usageIsRecordedOncePerRequest);
+  CPPUNIT_TEST(revokedKeyStopsNextAttempt);
+  CPPUNIT_TEST(eachCallNeedsAPermitForItsBackend);
+  CPPUNIT_TEST(exhaustedBackendsAreNotCalled);
+  CPPUNIT_TEST(permitIsNotUsedAfterAbandon);
+  CPPUNIT_TEST(rateLimitOfAnswerIsReported);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void aRequestIsCountedOnceForItsTenant() {
-    World world;
-    world.client.scripts = {CallScript::kBrokenAfterRun};
-    auto request = World::request("GET", "/slots");
+  void usageIsRecordedOncePerRequest() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kBrokenAfterRun};
+    auto request = Fixture::request("GET", "/slots");
     request.tenant = "porter";
-    CPPUNIT_ASSERT(world.ask(request).outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, world.client.calls.size());
-    CPPUNIT_ASSERT_EQUAL(1, world.usage.began["porter"]);
-    world.quarantine.kept = {17};
+    CPPUNIT_ASSERT(fixture.callAndWait(request).outcome == Outcome::kDone);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.client.calls.size());
+    CPPUNIT_ASSERT_EQUAL(1, fixture.usage.began["porter"]);
+    fixture.quarantine.quarantined = {17};
     request.fingerprint = 17;
-    world.ask(request);
-    CPPUNIT_ASSERT_EQUAL(1, world.usage.began["porter"]);
+    fixture.callAndWait(request);
+    CPPUNIT_ASSERT_EQUAL(1, fixture.usage.began["porter"]);
   }
 
-  void aKeyTakenAwayStopsTheNextAttempt() {
-    World world;
-    world.client.scripts = {CallScript::kBrokenAfterRun};
-    auto request = World::request("GET", "/slots");
+  void revokedKeyStopsNextAttempt() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kBrokenAfterRun};
+    auto request = Fixture::request("GET", "/slots");
     int asked = 0;
     request.still_allowed = [&asked] { return ++asked < 3; };
-    const auto answer = world.ask(std::move(request));
+    const auto answer = fixture.callAndWait(std::move(request));
     CPPUNIT_ASSERT(answer.error.kind == ErrorKind::kKeyRevoked);
     CPPUNIT_ASSERT(answer.outcome == Outcome::kUnknown);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.client.calls.size());
-    CPPUNIT_ASSERT(world.idle());
-  }
-
-  void eachCallNeedsAPermitOfItsBackend() {
-    World world;
-    world.client.scripts = {CallScript::kBrokenAfterRun};
-    CPPUNIT_ASSERT(world.ask(World::request("GET", "/slots")).outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, world.rate_limiter.granted_to.size());
-    world.rate_limiter.refusing = {world.rate_limiter.granted_to.begin(),
-                                   world.rate_limiter.granted_to.end()};
-    world.client.scripts.clear();
-    world.client.calls.clear();
-    const auto answer = world.ask(World::request("GET", "/slots"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.client.calls.size());
+    CPPUNIT_ASSERT(fixture.idle());
+  }
+
+  void eachCallNeedsAPermitForItsBackend() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kBrokenAfterRun};
+    CPPUNIT_ASSERT(fixture.callAndWait(Fixture::request("GET", "/slots")).outcome ==
+                   Outcome::kDone);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.rate_limiter.granted_to.size());
+    fixture.rate_limiter.refusing = {fixture.rate_limiter.granted_to.begin(),
+                                     fixture.rate_limiter.granted_to.end()};
+    fixture.client.scripts.clear();
+    fixture.client.calls.clear();
+    const auto answer = fixture.callAndWait(Fixture::request("GET", "/slots"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.client.calls.size());
-    CPPUNIT_ASSERT(!world.rate_limiter.refusing.contains(world.client.calls[0].first));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.client.calls.size());
+    CPPUNIT_ASSERT(!fixture.rate_limiter.refusing.contains(fixture.client.calls[0].first));
   }
 
-  void exhaustedBackendsGetNothing() {
-    World world;
-    for (const auto& backend : world.configuration.fleet.http_services["booking"].backends) {
-      world.rate_limiter.known.insert(backend.address);
+  void exhaustedBackendsAreNotCalled() {
+    Fixture fixture;
+    for (const auto& backend : fixture.configuration.fleet.http_services["booking"].backends) {
+      fixture.rate_limiter.known.insert(backend.address);
     }
-    const auto answer = world.ask(World::request("POST", "/book"));
+    const auto answer = fixture.callAndWait(Fixture::request("POST", "/book"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
     CPPUNIT_ASSERT(answer.error.kind == ErrorKind::kOverloaded);
-    CPPUNIT_ASSERT(answer.error.retry_after == world.rate_limiter.retry_after);
-    CPPUNIT_ASSERT(world.client.calls.empty());
-    CPPUNIT_ASSERT(world.idle());
+    CPPUNIT_ASSERT(answer.error.retry_after == fixture.rate_limiter.retry_after);
+    CPPUNIT_ASSERT(fixture.client.calls.empty());
+    CPPUNIT_ASSERT(fixture.idle());
   }
 
-  void permitForACallerThatLeftIsNotUsed() {
+  void permitIsNotUsedAfterAbandon() {
     for (const char* method : {"GET", "POST"}) {
-      World world;
-      world.rate_limiter.answers_late = true;
-      const auto caller = world.start(World::request(method, "/slots"));
-      world.process.time.runFor(milliseconds(1));
+      Fixture fixture;
+      fixture.rate_limiter.answers_late = true;
+      const auto caller = fixture.start(Fixture::request(method, "/slots"));
+      fixture.process.time.runFor(milliseconds(1));
       caller->handle.reset();
-      world.rate_limiter.answerAll();
-      world.process.time.runFor(kLongRun);
-      CPPUNIT_ASSERT(world.client.calls.empty());
-      CPPUNIT_ASSERT(world.idle());
+      fixture.rate_limiter.answerAll();
+      fixture.process.time.runFor(kLongRun);
+      CPPUNIT_ASSERT(fixture.client.calls.empty());
+      CPPUNIT_ASSERT(fixture.idle());
     }
   }
 
-  void limitOfAnAnswerIsTold() {
-    World world;
-    world.client.rate_limit = common::namedRateLimit(1.5);
-    world.ask(World::request("GET", "/slots"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.rate_limiter.notices.size());
-    CPPUNIT_ASSERT_EQUAL(world.client.calls[0].first, world.rate_limiter.notices[0].first);
-    CPPUNIT_ASSERT(common::namedRateLimit(1.5) == world.rate_limiter.notices[0].second);
+  void rateLimitOfAnswerIsReported() {
+    Fixture fixture;
+    fixture.client.rate_limit = common::namedRateLimit(1.5);
+    fixture.callAndWait(Fixture::request("GET", "/slots"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.rate_limiter.notices.size());
+    CPPUNIT_ASSERT_EQUAL(fixture.client.calls[0].first, fixture.rate_limiter.notices[0].first);
+    CPPUNIT_ASSERT(common::namedRateLimit(1.5) == fixture.rate_limiter.notices[0].second);
   }
 
-  void quarantinedRequestIsRefusedAtOnce() {
-    World world;
-    world.quarantine.kept = {17};
-    auto request = World::request("GET", "/slots");
+  void quarantinedRequestIsRefusedImmediately() {
+    Fixture fixture;
+    fixture.quarantine.quarantined = {17};
+    auto request = Fixture::request("GET", "/slots");
     request.fingerprint = 17;
-    const auto answer = world.ask(std::move(request));
+    const auto answer = fixture.callAndWait(std::move(request));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
     CPPUNIT_ASSERT(answer.error.kind == ErrorKind::kQuarantined);
     CPPUNIT_ASSERT(answer.error.retry_after == std::chrono::minutes(1));
-    CPPUNIT_ASSERT(world.client.calls.empty());
-    CPPUNIT_ASSERT(world.idle());
+    CPPUNIT_ASSERT(fixture.client.calls.empty());
+    CPPUNIT_ASSERT(fixture.idle());
   }
 
-  void brokenCallsAndAnswersAreToldToTheQuarantine() {
-    World world;
-    world.client.scripts = {CallScript::kBrokenAfterRun};
-    auto request = World::request("GET", "/slots");
+  void brokenCallsAndAnswersAreReportedToQuarantine() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kBrokenAfterRun};
+    auto request = Fixture::request("GET", "/slots");
     request.fingerprint = 17;
-    const auto answer = world.ask(std::move(request));
+    const auto answer = fixture.callAndWait(std::move(request));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.quarantine.broken.size());
-    CPPUNIT_ASSERT_EQUAL(world.client.calls[0].first, world.quarantine.broken[0].second);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.quarantine.answers.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.quarantine.broken.size());
+    CPPUNIT_ASSERT_EQUAL(fixture.client.calls[0].first, fixture.quarantine.broken[0].second);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.quarantine.answers.size());
   }
 
   void relaysTheAnswer() {
-    World world;
-    const auto answer = world.ask(World::request("GET", "/slots?day=1"));
+    Fixture fixture;
+    const auto answer = fixture.callAndWait(Fixture::request("GET", "/slots?day=1"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kDone);
     CPPUNIT_ASSERT_EQUAL(200, answer.status);
     CPPUNIT_ASSERT_EQUAL(std::string("answer to request-1"), answer.body);
-    CPPUNIT_ASSERT(world.idle());
+    CPPUNIT_ASSERT(fixture.idle());
   }
 
-  void repeatsWhatMayBeRepeated() {
-    World world;
-    world.client.scripts = {CallScript::kBrokenAfterRun, CallScript::kUnavailable};
-    const auto answer = world.ask(World::request("GET", "/slots"));
+  void retriesRepeatableOperations() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kBrokenAfterRun, CallScript::kUnavailable};
+    const auto answer = fixture.callAndWait(Fixture::request("GET", "/slots"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, world.client.calls.size());
-    CPPUNIT_ASSERT(world.client.calls[0].first != world.client.calls[1].first);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fixture.client.calls.size());
+    CPPUNIT_ASSERT(fixture.client.calls[0].first != fixture.client.calls[1].first);
   }
 
-  void anInternalErrorIsRepeatedElsewhere() {
-    World world;
-    world.client.scripts = {CallScript::kServerError};
-    const auto answer = world.ask(World::request("GET", "/slots"));
+  void internalErrorIsRetriedOnAnotherBackend() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kServerError};
+    const auto answer = fixture.callAndWait(Fixture::request("GET", "/slots"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kDone);
     CPPUNIT_ASSERT_EQUAL(200, answer.status);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, world.client.calls.size());
-    CPPUNIT_ASSERT(world.client.calls[0].first != world.client.calls[1].first);
-    World spent;
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fixture.client.calls.size());
+    CPPUNIT_ASSERT(fixture.client.calls[0].first != fixture.client.calls[1].first);
+    Fixture spent;
     spent.client.scripts.assign(10, CallScript::kServerError);
-    const auto given_up = spent.ask(World::request("GET", "/slots"));
+    const auto given_up = spent.callAndWait(Fixture::request("GET", "/slots"));
     CPPUNIT_ASSERT(given_up.outcome == Outcome::kUnknown);
     CPPUNIT_ASSERT_EQUAL(500, given_up.status);
   }
 
-  void longestPrefixDecides() {
-    World world;
-    world.client.scripts = {CallScript::kBrokenAfterRun};
-    CPPUNIT_ASSERT(world.ask(World::request("POST", "/slots/search?x=1")).outcome ==
+  void longestPathPrefixWins() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kBrokenAfterRun};
+    CPPUNIT_ASSERT(fixture.callAndWait(Fixture::request("POST", "/slots/search?x=1")).outcome ==
                    Outcome::kDone);
   }
 
-  void unknownOutcomeIsNotRepeated() {
+  void unknownOutcomeIsNotRetried() {
     for (const auto script : {CallScript::kBrokenAfterRun, CallScript::kBrokenBeforeRun}) {
-      World world;
-      world.client.scripts = {script};
-      const auto answer = world.ask(World::request("POST", "/slots"));
+      Fixture fixture;
+      fixture.client.scripts = {script};
+      const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots"));
       CPPUNIT_ASSERT(answer.outcome == Outcome::kUnknown);
       CPPUNIT_ASSERT(answer.error.outcome == Outcome::kUnknown);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.client.calls.size());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.client.calls.size());
     }
   }
 
-  void provedNotRunGoesElsewhere() {
-    World world;
-    world.client.scripts = {CallScript::kNotSent, CallScript::kRefused};
-    const auto answer = world.ask(World::request("POST", "/slots"));
+  void provenNotRunIsRetriedElsewhere() {
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kNotSent, CallScript::kRefused};
+    const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(1, world.runsOf("request-1"));
-    CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:13"), world.client.calls[2].first);
+    CPPUNIT_ASSERT_EQUAL(1, fixture.runsOf("request-1"));
+    CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:13"), fixture.client.calls[2].first);
   }
 
   void refusalKeepsRetryAfterOfTheBackend() {
-    World world;
-    world.client.scripts.assign(3, CallScript::kRefused);
-    const auto answer = world.ask(World::request("POST", "/slots"));
+    Fixture fixture;
+    fixture.client.scripts.assign(3, CallScript::kRefused);
+    const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
     CPPUNIT_ASSERT(answer.error.retry_after >= seconds(1));
-    CPPUNIT_ASSERT(world.client.runs_by_request.empty());
+    CPPUNIT_ASSERT(fixture.client.runs_by_request.empty());
   }
 
-  void ownZoneFirstAndNoLeavingMachine() {
-    World world;
-    world.membership.leaving = {"machine-1"};
+  void prefersOwnZoneAndSkipsLeavingMachines() {
+    Fixture fixture;
+    fixture.membership.leaving = {"machine-1"};
     for (int number = 0; number < 20; ++number) {
-      world.ask(World::request("GET", "/slots"));
-      CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:12"), world.client.calls.back().first);
+      fixture.callAndWait(Fixture::request("GET", "/slots"));
+      CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:12"), fixture.client.calls.back().first);
     }
-    world.configuration.fleet.drained_nodes["machine-2"] = true;
-    world.ask(World::request("GET", "/slots"));
-    CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:13"), world.client.calls.back().first);
-    world.membership.leaving = {"machine-1", "machine-3"};
-    const auto answer = world.ask(World::request("GET", "/slots"));
+    fixture.configuration.fleet.drained_nodes["machine-2"] = true;
+    fixture.callAndWait(Fixture::request("GET", "/slots"));
+    CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:13"), fixture.client.calls.back().first);
+    fixture.membership.leaving = {"machine-1", "machine-3"};
+    const auto answer = fixture.callAndWait(Fixture::request("GET", "/slots"));
     CPPUNIT_ASSERT(answer.error.kind == ErrorKind::kNoBackend);
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
   }
 
   void sameKeyGetsTheRecordedAnswer() {
-    World world;
-    const auto answer = world.ask(World::request("POST", "/slots", "key"));
-    const auto again = world.ask(World::request("POST", "/slots", "key"));
+    Fixture fixture;
+    const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
+    const auto again = fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
     CPPUNIT_ASSERT_EQUAL(answer.body, again.body);
     CPPUNIT_ASSERT_EQUAL(answer.status, again.status);
     CPPUNIT_ASSERT(again.outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(1, world.runsOfKey("key"));
+    CPPUNIT_ASSERT_EQUAL(1, fixture.runsOfKey("key"));
   }
 
-  void largeAnswerIsNotRecordedButNotRunAgain() {
+  void oversizedAnswerIsNeitherRecordedNorRunAgain() {
     ExecutionSettings settings;
     settings.maximum_recorded_bytes = 8;
-    World world(settings);
-    world.ask(World::request("POST", "/slots", "key"));
-    const auto again = world.ask(World::request("POST", "/slots", "key"));
+    Fixture fixture(settings);
+    fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
+    const auto again = fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
     CPPUNIT_ASSERT(again.outcome == Outcome::kDone);
     CPPUNIT_ASSERT_EQUAL(0, again.status);
-    CPPUNIT_ASSERT_EQUAL(1, world.runsOfKey("key"));
+    CPPUNIT_ASSERT_EQUAL(1, fixture.runsOfKey("key"));
   }
 
   void otherVerdictsRunNothing() {
-    World world;
-    const auto running = world.start(World::request("POST", "/slots", "key"));
-    const auto meanwhile = world.start(World::request("POST", "/slots", "key"), true);
-    const auto other = world.start(World::request("POST", "/slots?other", "key"), true);
-    world.process.time.runFor(kLongRun);
+    Fixture fixture;
+    const auto running = fixture.start(Fixture::request("POST", "/slots", "key"));
+    const auto meanwhile = fixture.start(Fixture::request("POST", "/slots", "key"), true);
+    const auto other = fixture.start(Fixture::request("POST", "/slots?other", "key"), true);
+    fixture.process.time.runFor(kLongRun);
     CPPUNIT_ASSERT(meanwhile->answer().error.kind == ErrorKind::kInProgress);
     CPPUNIT_ASSERT(meanwhile->answer().error.retry_after >= seconds(1));
     CPPUNIT_ASSERT(other->answer().error.kind == ErrorKind::kKeyReused);
-    world.claims.forget();
-    const auto uncertain = world.ask(World::request("POST", "/slots", "key"));
+    fixture.claims.forget();
+    const auto uncertain = fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
     CPPUNIT_ASSERT(uncertain.outcome == Outcome::kUnknown);
     CPPUNIT_ASSERT(uncertain.error.retry_after >= seconds(1));
-    world.claims.unavailable = true;
-    const auto unavailable = world.ask(World::request("POST", "/slots", "key"));
+    fixture.claims.unavailable = true;
+    const auto unavailable = fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
     CPPUNIT_ASSERT(unavailable.outcome == Outcome::kNotRun);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.client.calls.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.client.calls.size());
   }
 
-  void callerGoneStillRecordsTheAnswer() {
-    World world;
-    const auto caller = world.start(World::request("POST", "/slots", "key"));
-    world.process.time.runFor(milliseconds(10));
+  void abandonedOperationStillRecordsAnswer() {
+    Fixture fixture;
+    const auto caller = fixture.start(Fixture::request("POST", "/slots", "key"));
+    fixture.process.time.runFor(milliseconds(10));
     caller->handle.reset();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.first.running());
-    world.process.time.runFor(kLongRun);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.first.running());
+    fixture.process.time.runFor(kLongRun);
     CPPUNIT_ASSERT(caller->answers.empty());
-    CPPUNIT_ASSERT(world.idle());
-    CPPUNIT_ASSERT(world.ask(World::request("POST", "/slots", "key")).outcome == Outcome::kDone);
-    CPPUNIT_ASSERT_EQUAL(1, world.runsOfKey("key"));
+    CPPUNIT_ASSERT(fixture.idle());
+    CPPUNIT_ASSERT(fixture.callAndWait(Fixture::request("POST", "/slots", "key")).outcome ==
+                   Outcome::kDone);
+    CPPUNIT_ASSERT_EQUAL(1, fixture.runsOfKey("key"));
   }
 
   void lateGrantIsNotUsed() {
-    World world;
-    world.claims.answer_time = seconds(60);
-    const auto answer = world.ask(World::request("POST", "/slots", "key"));
+    Fixture fixture;
+    fixture.claims.answer_time = seconds(60);
+    const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots", "key"));
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
-    CPPUNIT_ASSERT(world.client.calls.empty());
+    CPPUNIT_ASSERT(fixture.client.calls.empty());
   }
 
   void unknownServiceIsNotRun() {
-    World world;
-    auto request = World::request("GET", "/");
+    Fixture fixture;
+    auto request = Fixture::request("GET", "/");
     request.service = "nothing";
-    const auto caller = world.start(request);
+    const auto caller = fixture.start(request);
     CPPUNIT_ASSERT(caller->answers.empty());
-    world.process.time.runFor(common::Duration{0});
+    fixture.process.time.runFor(common::Duration{0});
     CPPUNIT_ASSERT(caller->answer().error.kind == ErrorKind::kUnknownService);
     CPPUNIT_ASSERT(caller->answer().outcome == Outcome::kNotRun);
   }
 
   void callersTimeLimitBoundsEveryAttempt() {
-    World world;
-    world.client.scripts = {CallScript::kRefused, CallScript::kSlow};
-    auto request = World::request("POST", "/slots");
+    Fixture fixture;
+    fixture.client.scripts = {CallScript::kRefused, CallScript::kSlow};
+    auto request = Fixture::request("POST", "/slots");
     request.time_limit = milliseconds(500);
-    CPPUNIT_ASSERT(world.ask(request).outcome == Outcome::kDone);
-    CPPUNIT_ASSERT(world.client.calls.at(0).second.time_limit == milliseconds(500));
-    CPPUNIT_ASSERT(world.client.calls.at(1).second.time_limit == milliseconds(470));
+    CPPUNIT_ASSERT(fixture.callAndWait(request).outcome == Outcome::kDone);
+    CPPUNIT_ASSERT(fixture.client.calls.at(0).second.time_limit == milliseconds(500));
+    CPPUNIT_ASSERT(fixture.client.calls.at(1).second.time_limit == milliseconds(470));
     request.time_limit = seconds(60);
-    world.ask(request);
-    CPPUNIT_ASSERT(world.client.calls.at(2).second.time_limit == seconds(2));
+    fixture.callAndWait(request);
+    CPPUNIT_ASSERT(fixture.client.calls.at(2).second.time_limit == seconds(2));
   }
 
-  void claimDoesNotLengthenTheCallersTime() {
-    World world;
-    world.claims.answer_time = milliseconds(300);
-    auto request = World::request("POST", "/slots", "key");
+  void claimDoesNotExtendCallersTimeLimit() {
+    Fixture fixture;
+    fixture.claims.answer_time = milliseconds(300);
+    auto request = Fixture::request("POST", "/slots", "key");
     request.time_limit = milliseconds(500);
-    world.ask(request);
-    CPPUNIT_ASSERT(world.client.calls.at(0).second.time_limit == milliseconds(200));
+    fixture.callAndWait(request);
+    CPPUNIT_ASSERT(fixture.client.calls.at(0).second.time_limit == milliseconds(200));
     request.idempotency_key = "other key";
     request.time_limit = milliseconds(300);
-    const auto answer = world.ask(request);
+    const auto answer = fixture.callAndWait(request);
     CPPUNIT_ASSERT(answer.error.kind == ErrorKind::kDeadlineExceeded);
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.client.calls.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.client.calls.size());
   }
 
-  void declaredRunsReplaceTheNodesOwn() {
+  void declaredRunLimitOverridesDefault() {
     for (const std::uint32_t runs : {1U, 2U, 6U}) {
-      World world;
-      world.configuration.fleet.http_services["booking"].operations.at(0).maximum_runs = runs;
-      world.client.scripts.assign(9, CallScript::kBrokenAfterRun);
-      const auto answer = world.ask(World::request("POST", "/slots/search"));
+      Fixture fixture;
+      fixture.configuration.fleet.http_services["booking"].operations.at(0).maximum_runs = runs;
+      fixture.client.scripts.assign(9, CallScript::kBrokenAfterRun);
+      const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots/search"));
       CPPUNIT_ASSERT(answer.outcome == Outcome::kUnknown);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{runs}, world.client.calls.size());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{runs}, fixture.client.calls.size());
     }
   }
 
-  void refusedAttemptsDrawOnTheBudget() {
+  void refusedAttemptsAreChargedToRetryBudget() {
     ExecutionSettings settings;
     settings.charge_refused_attempts = true;
     fleet_limits::RetryLimitSettings limits;
     limits.fleet_burst = 1;
     limits.fleet_share = 0;
-    World world(settings, limits);
-    world.client.scripts = {CallScript::kRefused, CallScript::kNotSent, CallScript::kRefused};
-    const auto answer = world.ask(World::request("POST", "/slots"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, world.client.calls.size());
+    Fixture fixture(settings, limits);
+    fixture.client.scripts = {CallScript::kRefused, CallScript::kNotSent, CallScript::kRefused};
+    const auto answer = fixture.callAndWait(Fixture::request("POST", "/slots"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, fixture.client.calls.size());
     CPPUNIT_ASSERT(answer.error.kind == ErrorKind::kOverloaded);
     CPPUNIT_ASSERT(answer.outcome == Outcome::kNotRun);
     CPPUNIT_ASSERT(answer.error.retry_after > common::Duration{0});
-    CPPUNIT_ASSERT_EQUAL(1.0, world.process.counters.total(
+    CPPUNIT_ASSERT_EQUAL(1.0, fixture.process.counters.total(
                                   "cypresswall_execution_service_retry_budget_spent_total"));
   }
 
   void runsAtMostOnceUnderFaults() {
     std::map<CallScript, int> faults;
     std::map<ClaimVerdict, int> verdicts;
-    int gone = 0;
+    int abandoned = 0;
     testing::requireProperty("at most one run per request and key, outcomes true", 2000, [&] {
-      World world;
-      world.client.scripts = *rc::gen::container<std::vector<CallScript>>(
+      Fixture fixture;
+      fixture.client.scripts = *rc::gen::container<std::vector<CallScript>>(
           rc::gen::map(rc::gen::inRange(0, testing::kCallScripts),
                        [](int script) { return static_cast<CallScript>(script); }));
-      std::vector<std::shared_ptr<World::Caller>> callers;
+      std::vector<std::shared_ptr<Fixture::Caller>> callers;
       const auto steps = *rc::gen::inRange(1, 20);
       for (int step = 0; step < steps; ++step) {
-        gone += takeStep(world, callers);
+        abandoned += takeStep(fixture, callers);
       }
-      world.process.time.runFor(kLongRun);
-      checkLedger(world, callers);
-      for (const auto& [script, count] : world.client.faults) {
+      fixture.process.time.runFor(kLongRun);
+      checkRunsAndOutcomes(fixture, callers);
+      for (const auto& [script, count] : fixture.client.faults) {
         faults[script] += count;
       }
-      for (const auto& [verdict, count] : world.claims.verdicts) {
+      for (const auto& [verdict, count] : fixture.claims.verdicts) {
         verdicts[verdict] += count;
       }
     });
-    // Every fault and verdict took place, or the property would have proved little.
+    // The property is only meaningful if every kind of fault and verdict occurred.
     CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(testing::kCallScripts), faults.size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, verdicts.size());
-    CPPUNIT_ASSERT(gone > 0);
+    CPPUNIT_ASSERT(abandoned > 0);
   }
 
  private:
-  /// Lets one thing happen to `world`. \return 1 if a caller left before its answer, else 0
-  static int takeStep(World& world, std::vector<std::shared_ptr<World::Caller>>& callers) {
+  /// Applies one random event to `fixture`.
+  /// \return 1 if a caller disconnected before its answer, otherwise 0
+  static int takeStep(Fixture& fixture, std::vector<std::shared_ptr<Fixture::Caller>>& callers) {
     const auto kind = *rc::gen::inRange(0, 10);
     const auto number = *rc::gen::inRange(0, 100);
     if (kind < 4) {
       const auto key = number % 4 == 0 ? "" : "key-" + std::to_string(number % 3);
-      auto request = World::request("POST", number == 1 ? "/slots?other" : "/slots", key);
-      callers.push_back(world.start(std::move(request), number % 2 == 0));
+      auto request = Fixture::request("POST", number == 1 ? "/slots?other" : "/slots", key);
+      callers.push_back(fixture.start(std::move(request), number % 2 == 0));
     } else if (kind < 7) {
-      world.process.time.runFor(milliseconds(number));
+      fixture.process.time.runFor(milliseconds(number));
     } else if (kind == 7) {
-      world.claims.unavailable = number % 4 == 0;
+      fixture.claims.unavailable = number % 4 == 0;
     } else if (kind == 8 && number < 20) {
-      world.claims.forget();
+      fixture.claims.forget();
     } else if (kind == 9 && !callers.empty()) {
       auto& caller = *callers[static_cast<std::size_t>(number) % callers.size()];
-      caller.gone = caller.gone || caller.answers.empty();
+      caller.abandoned = caller.abandoned || caller.answers.empty();
       caller.handle.reset();
-      return caller.gone ? 1 : 0;
+      return caller.abandoned ? 1 : 0;
     }
     return 0;
   }
 
-  static void checkLedger(const World& world,
-                          const std::vector<std::shared_ptr<World::Caller>>& callers) {
-    for (const auto& [key, runs] : world.client.runs_by_key) {
+  static void checkRunsAndOutcomes(const Fixture& fixture,
+                                   const std::vector<std::shared_ptr<Fixture::Caller>>& callers) {
+    for (const auto& [key, runs] : fixture.client.runs_by_key) {
       RC_ASSERT(runs <= 1);
     }
     for (const auto& caller : callers) {
-      const int runs = world.runsOf(caller->request_id);
+      const int runs = fixture.runsOf(caller->request_id);
       RC_ASSERT(runs <= 1);
-      RC_ASSERT(caller->answers.size() == (caller->gone ? 0U : 1U));
-      if (!caller->gone && caller->answer().outcome == Outcome::kNotRun) {
+      RC_ASSERT(caller->answers.size() == (caller->abandoned ? 0U : 1U));
+      if (!caller->abandoned && caller->answer().outcome == Outcome::kNotRun) {
         RC_ASSERT(runs == 0);
       }
     }
-    RC_ASSERT(world.idle());
+    RC_ASSERT(fixture.idle());
   }
 };
 
--- a/tests/execution/model_executor_fixture.h
+++ b/tests/execution/model_executor_fixture.h
@@ -1,4 +1,4 @@
-/// An executor of model requests over fake engines, and a caller that keeps what it is given.
+/// Fixture with a model request executor on fake engines, and an observer that records its calls.
 #pragma once
 
 #include <functional>
@@ -43,18 +43,18 @@
   std::optional<execution::ExecutionError> error;
 };
 
-/// \return limits by which so many repeats are allowed beyond the share of the requests
+/// \return retry limits that allow `burst` repeats in addition to the share of requests
 inline fleet_limits::RetryLimitSettings withRetryBurst(double burst) {
   fleet_limits::RetryLimitSettings limits;
   limits.fleet_burst = burst;
   return limits;
 }
 
-/// One node with an executor over fake engines.
+/// One node with a model request executor on fake engines.
 struct ModelExecutorFixture {
   explicit ModelExecutorFixture(const execution::ExecutionSettings& settings = {})
       : ModelExecutorFixture(settings, {}) {}
-  /// \param retry_limits what this node alone may repeat
+  /// \param retry_limits retry limits of this node, which is the only one of the fleet
   ModelExecutorFixture(const execution::ExecutionSettings& settings,
                        const fleet_limits::RetryLimitSettings& retry_limits)
       : retries(retry_limits, process.context, [] { return 1.0; }),
--- a/tests/execution/process_fixture.h
+++ b/tests/execution/process_fixture.h
@@ -1,4 +1,4 @@
-/// A process context over virtual time, and the fakes that every executor needs.
+/// Process context on virtual time, and fakes required by all executors.
 #pragma once
 
 #include <functional>
@@ -25,7 +25,7 @@
   void send(api::Envelope) override {}
 };
 
-/// The clock of a process whose timers come late, since it was paused.
+/// Clock that runs ahead of the timers, as seen by a process that resumes after a pause.
 class LateClock final : public common::Clock {
  public:
   explicit LateClock(const common::Clock& timers) : timers_(timers) {}
@@ -37,7 +37,7 @@
   const common::Clock& timers_;
 };
 
-/// One process without peers.
+/// A process without peers.
 struct ProcessFixture {
   explicit ProcessFixture(std::uint64_t seed = 1) : random(seed) {}
 
@@ -68,12 +68,12 @@
   configuration::FleetConfiguration fleet;
 };
 
-/// Keeps away what a test names; notes what it is told.
+/// Quarantines the requests set by the test and records all reports.
 class FakeQuarantine final : public quarantine::RequestQuarantine {
  public:
   std::optional<common::Duration> keptAway(common::RequestFingerprint request) override {
-    return kept.contains(request) ? std::optional<common::Duration>(std::chrono::minutes(1))
-                                  : std::nullopt;
+    return quarantined.contains(request) ? std::optional<common::Duration>(std::chrono::minutes(1))
+                                         : std::nullopt;
   }
   void streamBroken(common::RequestFingerprint request,
                     const engines::EngineEndpoint& engine) override {
@@ -84,12 +84,12 @@
   }
   void answered(common::RequestFingerprint request) override { answers.push_back(request); }
 
-  std::set<common::RequestFingerprint> kept;
+  std::set<common::RequestFingerprint> quarantined;
   std::vector<std::pair<common::RequestFingerprint, std::string>> broken;
   std::vector<common::RequestFingerprint> answers;
 };
 
-/// Keeps what it is told of servers' limits, and refuses permits for those that are named.
+/// Records reported rate limits and refuses permits for the servers set by the test.
 class FakeRateLimiter final : public fleet_limits::RateLimiter {
  public:
   void answered(const std::string& server, const common::RateLimitNotice& notice,
@@ -108,7 +108,7 @@
       done(granted);
     }
   }
-  /// Gives the answers that are late.
+  /// Delivers all delayed answers.
   void answerAll() {
     for (const auto& answer : std::exchange(late, {})) {
       answer();
@@ -120,20 +120,20 @@
     return retry_after;
   }
 
-  /// No permit is given for these.
+  /// Servers for which permits are refused.
   std::set<std::string> refusing;
-  /// These are known to be exhausted.
+  /// Servers whose rate limit is known to be exhausted.
   std::set<std::string> known;
   std::vector<std::string> granted_to;
   std::vector<std::string> refused_to;
-  /// Permits are answered by answerAll() only, as if another node were asked.
+  /// If true, permits are only answered by answerAll(), as if another node had to be asked.
   bool answers_late = false;
   std::vector<std::function<void()>> late;
   common::Duration retry_after = std::chrono::milliseconds(1700);
   std::vector<std::pair<std::string, common::RateLimitNotice>> notices;
 };
 
-/// Counts per tenant the requests that began.
+/// Counts started requests per tenant.
 class FakeUsage final : public duties::UsageRecorder {
  public:
   void requestBegan(const common::TenantName& tenant) override { ++began[tenant]; }
@@ -141,7 +141,7 @@
   std::map<common::TenantName, int> began;
 };
 
-/// Admits everything unless told otherwise; keeps count of what was not released.
+/// Admits everything unless `refusal` is set, and counts requests that were not released.
 class FakeAdmission final : public admission::AdmissionController {
  public:
   std::optional<admission::Refusal> admit(const admission::AdmissionRequest&) override {
--- a/tests/execution/recorded_answer_test.cpp
+++ b/tests/execution/recorded_answer_test.cpp
@@ -9,15 +9,16 @@
 
 class RecordedAnswerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecordedAnswerTest);
-  CPPUNIT_TEST(readsBackWhatWasRecorded);
-  CPPUNIT_TEST(garbageIsNoAnswer);
-  CPPUNIT_TEST(hugeCountsAreNotBelieved);
+  CPPUNIT_TEST(decodesWhatWasEncoded);
+  CPPUNIT_TEST(garbageNeverDecodesAsNotRun);
+  CPPUNIT_TEST(oversizedLengthsAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void readsBackWhatWasRecorded() {
+  void decodesWhatWasEncoded() {
     testing::requireProperty(
-        "a recorded answer reads back", 200, [](const std::string& body, const std::string& value) {
+        "decoding an encoded answer yields it", 200,
+        [](const std::string& body, const std::string& value) {
           ServiceCallAnswer answer;
           answer.outcome = Outcome::kDone;
           answer.status = 201;
@@ -31,18 +32,18 @@
         });
   }
 
-  void garbageIsNoAnswer() {
-    testing::requireProperty("garbage is never an answer with a true outcome", 5000,
+  void garbageNeverDecodesAsNotRun() {
+    testing::requireProperty("random bytes never decode as an answer that did not run", 5000,
                              [](const std::string& garbage) {
                                const auto read = decodeRecordedAnswer(garbage);
                                RC_ASSERT(!read || read->outcome != Outcome::kNotRun);
                              });
   }
 
-  void hugeCountsAreNotBelieved() {
-    // An array said to hold 2^32 - 1 elements.
+  void oversizedLengthsAreRejected() {
+    // An array with a declared length of 2^32 - 1 elements.
     CPPUNIT_ASSERT(!decodeRecordedAnswer("\xdd\xff\xff\xff\xff"));
-    // A string said to be 2^32 - 1 bytes long.
+    // A string with a declared length of 2^32 - 1 bytes.
     CPPUNIT_ASSERT(!decodeRecordedAnswer("\xdb\xff\xff\xff\xff"));
   }
 };
--- a/tests/execution/request_journal_test.cpp
+++ b/tests/execution/request_journal_test.cpp
@@ -8,7 +8,7 @@
 class RequestJournalTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestJournalTest);
   CPPUNIT_TEST(keepsRunningAndTheLastEndedRequests);
-  CPPUNIT_TEST(identifierUsedAgainNamesTheNewerRequest);
+  CPPUNIT_TEST(reusedIdentifierFindsNewerRequest);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -24,7 +24,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("running"), journal.running()[0]->request_id);
   }
 
-  void identifierUsedAgainNamesTheNewerRequest() {
+  void reusedIdentifierFindsNewerRequest() {
     RequestJournal journal(1);
     journal.end(begin(journal, "a"), "done", {});
     begin(journal, "a");
--- a/tests/execution/silence_watch_test.cpp
+++ b/tests/execution/stall_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/execution/silence_watch.h"
+#include "cypresswall/execution/stall_detector.h"
 
 #include <utility>
 #include <vector>
@@ -12,10 +12,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr SilenceWatch::Limits kLimits{seconds(1), seconds(3)};
+constexpr StallDetector::Limits kLimits{seconds(1), seconds(3)};
 
-/// A scheduler that runs its one callback only when told to, like that of a paused process.
-struct HeldScheduler final : common::Scheduler {
+/// Scheduler that runs its only callback on demand, like that of a paused process.
+struct ManualScheduler final : common::Scheduler {
   common::TimerId schedule(common::Duration, std::function<void()> callback) override {
     pending = std::move(callback);
     return 1;
@@ -26,26 +26,27 @@
   std::function<void()> pending;
 };
 
-class SilenceWatchTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(SilenceWatchTest);
-  CPPUNIT_TEST(reportsEachSoftLimitThenTheHardOne);
-  CPPUNIT_TEST(progressBeginsAnew);
-  CPPUNIT_TEST(pauseOfTheProcessIsNotSilence);
+class StallDetectorTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(StallDetectorTest);
+  CPPUNIT_TEST(reportsEachSoftLimitThenHardLimit);
+  CPPUNIT_TEST(progressRestartsTheInterval);
+  CPPUNIT_TEST(processPauseIsNotAStall);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void reportsEachSoftLimitThenTheHardOne() {
+  void reportsEachSoftLimitThenHardLimit() {
     simulation::VirtualTime time;
-    SilenceWatch watch(time, time, milliseconds(250));
+    StallDetector watch(time, time, milliseconds(250));
     std::vector<bool> reports;
-    watch.start(kLimits, [&reports](bool beyond_hard) { reports.push_back(beyond_hard); });
+    watch.start(kLimits,
+                [&reports](bool hard_limit_exceeded) { reports.push_back(hard_limit_exceeded); });
     time.runFor(seconds(60));
     CPPUNIT_ASSERT(reports == std::vector<bool>({false, false, true}));
   }
 
-  void progressBeginsAnew() {
+  void progressRestartsTheInterval() {
     simulation::VirtualTime time;
-    SilenceWatch watch(time, time, milliseconds(250));
+    StallDetector watch(time, time, milliseconds(250));
     int reports = 0;
     watch.start(kLimits, [&reports](bool) { ++reports; });
     for (int step = 0; step < 100; ++step) {
@@ -58,10 +59,10 @@
     CPPUNIT_ASSERT_EQUAL(0, reports);
   }
 
-  void pauseOfTheProcessIsNotSilence() {
+  void processPauseIsNotAStall() {
     simulation::VirtualTime time;
-    HeldScheduler scheduler;
-    SilenceWatch watch(time, scheduler, milliseconds(250));
+    ManualScheduler scheduler;
+    StallDetector watch(time, scheduler, milliseconds(250));
     int reports = 0;
     watch.start(kLimits, [&reports](bool) { ++reports; });
     time.runFor(seconds(60));
@@ -73,7 +74,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(SilenceWatchTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(StallDetectorTest);
 
 }  // namespace
 }  // namespace cypresswall::execution
