--- a/src/cypresswall/duties/fleet_duties.h
+++ b/src/cypresswall/duties/fleet_duties.h
@@ -63,9 +63,9 @@
   FleetDuties& operator=(const FleetDuties&) = delete;
 
   void start();
-  /// Takes no duty any more; see tellNow() for what is not told yet.
+  /// Takes no duty any more; see flushUsage() for what is not told yet.
   void resign();
-  void tellNow() { counter_.tellNow(); }
+  void flushUsage() { counter_.flushUsage(); }
 
   UsageRecorder& usage() { return counter_; }
   const UsageReporter& reporter() const { return reporter_; }
--- a/src/cypresswall/duties/usage_counter.cpp
+++ b/src/cypresswall/duties/usage_counter.cpp
@@ -51,7 +51,7 @@
   tell();
 }
 
-void UsageCounter::tellNow() {
+void UsageCounter::flushUsage() {
   if (settings_.reports) {
     tell();
   }
--- a/src/cypresswall/duties/usage_counter.h
+++ b/src/cypresswall/duties/usage_counter.h
@@ -32,7 +32,7 @@
   void start();
   void requestBegan(const common::TenantName& tenant) override;
   /// Tells what is not told yet; for a node that is about to end.
-  void tellNow();
+  void flushUsage();
 
   /// \return the window that is under way
   std::uint64_t currentWindow() const;
--- a/src/cypresswall/node/node.cpp
+++ b/src/cypresswall/node/node.cpp
@@ -170,7 +170,7 @@
   common::LogEvent(context_.log, common::LogLevel::kInfo, "drain_finished")
       .field("in_flight", admission_.inFlight())
       .field("limit_reached", late);
-  duties_.tellNow();
+  duties_.flushUsage();
   membership_.announceStopped();
   stopped_();
 }
