--- a/src/cypresswall/node/node_state.cpp
+++ b/src/cypresswall/node/node_state.cpp
@@ -186,7 +186,7 @@
 
 std::vector<operators::QuarantineRow> NodeState::quarantine() const {
   std::vector<operators::QuarantineRow> rows;
-  for (const quarantine::KeptAwayRequest& kept : sources_.quarantine.all()) {
+  for (const quarantine::QuarantinedRequest& kept : sources_.quarantine.all()) {
     rows.push_back({kept.request, std::chrono::milliseconds(kept.milliseconds_left)});
   }
   return rows;
--- a/src/cypresswall/quarantine/fleet_quarantine.cpp
+++ b/src/cypresswall/quarantine/fleet_quarantine.cpp
@@ -13,7 +13,7 @@
 /// Requests in one repetition, some 900 bytes; a longer list goes out in turns.
 constexpr std::size_t kRepeatedRequests = 64;
 
-common::Duration timeLeft(const KeptAwayRequest& request) {
+common::Duration timeLeft(const QuarantinedRequest& request) {
   return std::chrono::milliseconds(request.milliseconds_left);
 }
 
@@ -149,7 +149,7 @@
 }
 
 void FleetQuarantine::convict(common::RequestFingerprint request, const char* source) {
-  const KeptAwayRequest kept{request, fullTime()};
+  const QuarantinedRequest kept{request, fullTime()};
   if (answered_.contains(request, context_.clock.now())) {
     counted_.forget(request);
   } else if (keepAway(kept, source)) {
@@ -161,9 +161,9 @@
   if (!settings_.quarantines) {
     return;
   }
-  std::vector<KeptAwayRequest> news;
-  std::vector<KeptAwayRequest> objections;
-  for (const KeptAwayRequest& told : notice.requests) {
+  std::vector<QuarantinedRequest> news;
+  std::vector<QuarantinedRequest> objections;
+  for (const QuarantinedRequest& told : notice.requests) {
     if (told.milliseconds_left == 0) {
       if (letGo(told.request)) {
         news.push_back(told);
@@ -200,7 +200,7 @@
   return true;
 }
 
-bool FleetQuarantine::keepAway(const KeptAwayRequest& kept, const char* source) {
+bool FleetQuarantine::keepAway(const QuarantinedRequest& kept, const char* source) {
   const auto now = context_.clock.now();
   if (kept.request == 0 || !list_.add(kept.request, timeLeft(kept), now)) {
     return false;
@@ -225,7 +225,7 @@
   return static_cast<std::uint32_t>(time.count());
 }
 
-void FleetQuarantine::tellOthers(const std::vector<KeptAwayRequest>& requests) {
+void FleetQuarantine::tellOthers(const std::vector<QuarantinedRequest>& requests) {
   context_.sendToAll(peers_.newsReceivers(), KeptAwayNotice{requests});
 }
 
@@ -251,13 +251,13 @@
   context_.sendToAll(receivers, notice);
 }
 
-std::vector<KeptAwayRequest> FleetQuarantine::all() const {
+std::vector<QuarantinedRequest> FleetQuarantine::all() const {
   return list_.all(context_.clock.now());
 }
 
 std::vector<common::RequestFingerprint> FleetQuarantine::fingerprints() const {
   std::vector<common::RequestFingerprint> requests;
-  for (const KeptAwayRequest& kept : all()) {
+  for (const QuarantinedRequest& kept : all()) {
     requests.push_back(kept.request);
   }
   return requests;
--- a/src/cypresswall/quarantine/fleet_quarantine.h
+++ b/src/cypresswall/quarantine/fleet_quarantine.h
@@ -47,7 +47,7 @@
   void answered(common::RequestFingerprint request) override;
 
   /// \return all requests that are kept away, ordered by fingerprint
-  std::vector<KeptAwayRequest> all() const;
+  std::vector<QuarantinedRequest> all() const;
 
  private:
   /// \param name of the engine, or address of the back end, that ended
@@ -58,14 +58,14 @@
   /// \return the time for which a request is kept away anew
   std::uint32_t fullTime() const;
   /// Keeps a request away. \return true if it was not kept away so far
-  bool keepAway(const KeptAwayRequest& request, const char* source);
+  bool keepAway(const QuarantinedRequest& request, const char* source);
   /// Keeps a request away for the zone.
   void convict(common::RequestFingerprint request, const char* source);
   /// Lets go of a request that was answered. \return true if that is news to this node
   bool letGo(common::RequestFingerprint request);
   /// Each node passes news on once, to its neighbours: all nodes of a small zone, four in a large
   /// one. The loss of some is made up by others, and by the repetitions.
-  void tellOthers(const std::vector<KeptAwayRequest>& requests);
+  void tellOthers(const std::vector<QuarantinedRequest>& requests);
   void repeat();
   /// What is kept away is another than before.
   void listChanged();
--- a/src/cypresswall/quarantine/kept_away_list.cpp
+++ b/src/cypresswall/quarantine/kept_away_list.cpp
@@ -31,17 +31,18 @@
   return std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; }) != 0;
 }
 
-std::vector<KeptAwayRequest> KeptAwayList::all(common::MonotonicTime now) const {
-  std::vector<KeptAwayRequest> requests;
+std::vector<QuarantinedRequest> KeptAwayList::all(common::MonotonicTime now) const {
+  std::vector<QuarantinedRequest> requests;
   for (const auto& [request, until] : until_) {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - now);
     if (left.count() > 0) {
       requests.push_back({request, static_cast<std::uint32_t>(left.count())});
     }
   }
-  std::sort(
-      requests.begin(), requests.end(),
-      [](const KeptAwayRequest& a, const KeptAwayRequest& b) { return a.request < b.request; });
+  std::sort(requests.begin(), requests.end(),
+            [](const QuarantinedRequest& a, const QuarantinedRequest& b) {
+              return a.request < b.request;
+            });
   return requests;
 }
 
--- a/src/cypresswall/quarantine/kept_away_list.h
+++ b/src/cypresswall/quarantine/kept_away_list.h
@@ -28,7 +28,7 @@
   /// Lets go of what was kept away for long enough. \return true if there was any
   bool expire(common::MonotonicTime now);
   /// \return all that is kept away, ordered by fingerprint
-  std::vector<KeptAwayRequest> all(common::MonotonicTime now) const;
+  std::vector<QuarantinedRequest> all(common::MonotonicTime now) const;
   std::size_t size() const { return until_.size(); }
 
  private:
--- a/src/cypresswall/quarantine/messages.h
+++ b/src/cypresswall/quarantine/messages.h
@@ -28,7 +28,7 @@
 };
 
 /// A request that is kept from engines, or is so no more.
-struct KeptAwayRequest {
+struct QuarantinedRequest {
   common::RequestFingerprint request = 0;
   /// Zero: it was answered, so that engines end for another reason. That goes before all that
   /// others say of it.
@@ -39,7 +39,7 @@
 /// Told to others at once when a request is to be kept away, and repeated to a few now and then.
 struct KeptAwayNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kQuarantineFirst, 1);
-  std::vector<KeptAwayRequest> requests;
+  std::vector<QuarantinedRequest> requests;
   MSGPACK_DEFINE(requests)
 };
 
