--- a/src/cypresswall/execution/model_request.cpp
+++ b/src/cypresswall/execution/model_request.cpp
@@ -49,7 +49,7 @@
     giveUp(ErrorKind::kKeyRevoked, "the caller's key was taken away", common::Duration{0});
     return false;
   }
-  const auto kept_away = core_.quarantine.keptAway(call_.fingerprint);
+  const auto kept_away = core_.quarantine.quarantinedFor(call_.fingerprint);
   if (kept_away) {
     leaveRoute();
     giveUp(ErrorKind::kQuarantined, "engines end under this request", *kept_away);
--- a/src/cypresswall/execution/service_run.cpp
+++ b/src/cypresswall/execution/service_run.cpp
@@ -58,7 +58,7 @@
     fail(ErrorKind::kKeyRevoked, "the caller's key was taken away", common::Duration{0});
     return false;
   }
-  const auto kept_away = core_.interfaces.quarantine.keptAway(request_.fingerprint);
+  const auto kept_away = core_.interfaces.quarantine.quarantinedFor(request_.fingerprint);
   if (kept_away) {
     fail(ErrorKind::kQuarantined, "back ends end under this request", *kept_away);
   }
--- a/src/cypresswall/quarantine/fleet_quarantine.cpp
+++ b/src/cypresswall/quarantine/fleet_quarantine.cpp
@@ -67,7 +67,8 @@
   repeat();
 }
 
-std::optional<common::Duration> FleetQuarantine::keptAway(common::RequestFingerprint request) {
+std::optional<common::Duration> FleetQuarantine::quarantinedFor(
+    common::RequestFingerprint request) {
   const auto now = context_.clock.now();
   if (!list_.left(request, now)) {
     return std::nullopt;
--- a/src/cypresswall/quarantine/fleet_quarantine.h
+++ b/src/cypresswall/quarantine/fleet_quarantine.h
@@ -40,7 +40,7 @@
   /// Begins to repeat what is kept away, and to keep it in the store.
   void start();
 
-  std::optional<common::Duration> keptAway(common::RequestFingerprint request) override;
+  std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) override;
   void streamBroken(common::RequestFingerprint request,
                     const engines::EngineEndpoint& engine) override;
   void callBroken(common::RequestFingerprint request, const common::Address& backend) override;
--- a/src/cypresswall/quarantine/request_quarantine.h
+++ b/src/cypresswall/quarantine/request_quarantine.h
@@ -15,7 +15,7 @@
   virtual ~RequestQuarantine() = default;
   /// Asked before a request is sent to an engine or back end.
   /// \return for how long it is kept away from now on; nothing if it may be sent
-  virtual std::optional<common::Duration> keptAway(common::RequestFingerprint request) = 0;
+  virtual std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) = 0;
   /// A stream of the request broke after it was sent. Whether its engine ended is found out here.
   virtual void streamBroken(common::RequestFingerprint request,
                             const engines::EngineEndpoint& engine) = 0;
--- a/tests/execution/process_fixture.h
+++ b/tests/execution/process_fixture.h
@@ -71,7 +71,7 @@
 /// Keeps away what a test names; notes what it is told.
 class FakeQuarantine final : public quarantine::RequestQuarantine {
  public:
-  std::optional<common::Duration> keptAway(common::RequestFingerprint request) override {
+  std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) override {
     return kept.contains(request) ? std::optional<common::Duration>(std::chrono::minutes(1))
                                   : std::nullopt;
   }
--- a/tests/quarantine/fleet_quarantine_test.cpp
+++ b/tests/quarantine/fleet_quarantine_test.cpp
@@ -57,8 +57,8 @@
       zone.run(kTold);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(nodes) + " nodes", nodes,
                                    zone.nodesThatKeepAway(kCulprit));
-      CPPUNIT_ASSERT(zone.at(0).keptAway(kCulprit).has_value());
-      CPPUNIT_ASSERT(!zone.at(0).keptAway(kNeighbour).has_value());
+      CPPUNIT_ASSERT(zone.at(0).quarantinedFor(kCulprit).has_value());
+      CPPUNIT_ASSERT(!zone.at(0).quarantinedFor(kNeighbour).has_value());
     }
   }
 
@@ -204,7 +204,7 @@
         zone.run(milliseconds(100));
       }
       zone.run(seconds(3));
-      CPPUNIT_ASSERT_MESSAGE("node " + std::to_string(cut), zone.keptAway(cut, kCulprit));
+      CPPUNIT_ASSERT_MESSAGE("node " + std::to_string(cut), zone.quarantinedFor(cut, kCulprit));
       CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
     }
   }
@@ -296,7 +296,7 @@
     zone.run(kTold);
     for (int i = 0; i < 4; ++i) {
       zone.run(zone.settings.memory / 2);
-      CPPUNIT_ASSERT(zone.at(5).keptAway(kCulprit).has_value());
+      CPPUNIT_ASSERT(zone.at(5).quarantinedFor(kCulprit).has_value());
     }
   }
 
--- a/tests/quarantine/quarantine_zone.h
+++ b/tests/quarantine/quarantine_zone.h
@@ -130,7 +130,7 @@
     nodes_[node].quarantine->streamBroken(request, endpoint(engine));
   }
   quarantine::FleetQuarantine& at(std::size_t node) { return *nodes_[node].quarantine; }
-  bool keptAway(std::size_t node, common::RequestFingerprint request) const {
+  bool quarantinedFor(std::size_t node, common::RequestFingerprint request) const {
     const auto kept = nodes_[node].quarantine->all();
     return std::any_of(kept.begin(), kept.end(),
                        [request](const auto& entry) { return entry.request == request; });
@@ -138,7 +138,7 @@
   std::size_t nodesThatKeepAway(common::RequestFingerprint request) const {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      count += nodes_[node].process != nullptr && keptAway(node, request) ? 1 : 0;
+      count += nodes_[node].process != nullptr && quarantinedFor(node, request) ? 1 : 0;
     }
     return count;
   }
