--- a/src/cypresswall/quarantine/answered_requests.h
+++ b/src/cypresswall/quarantine/answered_requests.h
@@ -1,4 +1,4 @@
-/// The requests that were answered lately.
+/// Requests that were answered recently.
 #pragma once
 
 #include <cstddef>
@@ -10,24 +10,24 @@
 
 namespace cypresswall::quarantine {
 
-/// A ring of the newest ones. Adding is cheap and done for each answer; looking up goes through all
-/// of them and is done for each request that is to be kept away.
+/// Ring buffer of the newest answers. Adding is cheap and happens for each answer; a look-up scans
+/// the whole buffer and happens only for requests that are about to be quarantined.
 class AnsweredRequests {
  public:
   explicit AnsweredRequests(const QuarantineSettings& settings) : settings_(settings) {}
 
   void add(common::RequestFingerprint request, common::MonotonicTime now) {
-    if (ring_.size() < settings_.answered) {
+    if (ring_.size() < settings_.maximum_answered_requests) {
       ring_.push_back({request, now});
       return;
     }
     ring_[next_] = {request, now};
     next_ = (next_ + 1) % ring_.size();
   }
-  /// \return true if the request was answered within QuarantineSettings::proof_time
+  /// \return true if the request was answered within QuarantineSettings::answer_validity
   bool contains(common::RequestFingerprint request, common::MonotonicTime now) const {
     for (const Answered& answered : ring_) {
-      if (answered.request == request && now - answered.at < settings_.proof_time) {
+      if (answered.request == request && now - answered.at < settings_.answer_validity) {
         return true;
       }
     }
--- a/src/cypresswall/quarantine/crash_detector.cpp
+++ b/src/cypresswall/quarantine/crash_detector.cpp
@@ -5,9 +5,9 @@
 namespace cypresswall::quarantine {
 namespace {
 
-constexpr std::uint32_t kQuestions = 2;
+constexpr std::uint32_t kProbeAttempts = 2;
 
-common::Counter& answers(const api::ProcessContext& context, const char* engine) {
+common::Counter& probeCounter(const api::ProcessContext& context, const char* engine) {
   return context.counters.counter("cypresswall_quarantine_engines_asked_total",
                                   "Engines asked whether they still run after a stream broke there",
                                   "engine", engine);
@@ -20,28 +20,28 @@
     : settings_(settings),
       context_(context),
       client_(client),
-      ended_(answers(context, "ended")),
-      alive_(answers(context, "alive")) {}
+      ended_(probeCounter(context, "ended")),
+      alive_(probeCounter(context, "alive")) {}
 
-void CrashDetector::ask(const engines::EngineEndpoint& engine, Answer answer) {
+void CrashDetector::probeEngine(const engines::EngineEndpoint& engine, Callback callback) {
   forgetOld();
-  const auto [found, is_new] = questions_.try_emplace(engine.name);
-  Question& asked = found->second;
-  if (asked.answered) {
-    answer(asked.ended);
+  const auto [found, is_new] = probes_.try_emplace(engine.name);
+  Probe& probe = found->second;
+  if (probe.answered) {
+    callback(probe.ended);
     return;
   }
-  asked.waiting.push_back(std::move(answer));
+  probe.waiting.push_back(std::move(callback));
   if (is_new) {
-    asked.asked_at = context_.clock.now();
-    question(engine, 1);
+    probe.started_at = context_.clock.now();
+    sendProbe(engine, 1);
   }
 }
 
-void CrashDetector::question(const engines::EngineEndpoint& engine, std::uint32_t number) {
-  client_.fetchLoad(engine, [this, engine, number](const auto& load) {
-    if (!load.ok() && number < kQuestions) {
-      question(engine, number + 1);
+void CrashDetector::sendProbe(const engines::EngineEndpoint& engine, std::uint32_t attempt) {
+  client_.fetchLoad(engine, [this, engine, attempt](const auto& load) {
+    if (!load.ok() && attempt < kProbeAttempts) {
+      sendProbe(engine, attempt + 1);
     } else {
       onAnswer(engine.name, !load.ok());
     }
@@ -50,19 +50,19 @@
 
 void CrashDetector::onAnswer(const common::EngineName& engine, bool ended) {
   (ended ? ended_ : alive_).add();
-  Question& asked = questions_[engine];
-  asked.answered = true;
-  asked.ended = ended;
-  for (const Answer& answer : std::exchange(asked.waiting, {})) {
-    answer(ended);
+  Probe& probe = probes_[engine];
+  probe.answered = true;
+  probe.ended = ended;
+  for (const Callback& callback : std::exchange(probe.waiting, {})) {
+    callback(ended);
   }
 }
 
 void CrashDetector::forgetOld() {
   const auto now = context_.clock.now();
-  std::erase_if(questions_, [&](const auto& entry) {
-    const Question& question = entry.second;
-    return question.answered && now - question.asked_at > settings_.same_answer;
+  std::erase_if(probes_, [&](const auto& entry) {
+    const Probe& probe = entry.second;
+    return probe.answered && now - probe.started_at > settings_.probe_validity;
   });
 }
 
--- a/src/cypresswall/quarantine/crash_detector.h
+++ b/src/cypresswall/quarantine/crash_detector.h
@@ -1,4 +1,4 @@
-/// Finds out whether an engine ended or only broke a stream.
+/// Distinguishes an engine crash from a single broken stream.
 #pragma once
 
 #include <cstdint>
@@ -12,38 +12,39 @@
 
 namespace cypresswall::quarantine {
 
-/// Asks the engine for its load right after a stream broke there: one that only resets connections
-/// answers. Engines that fail part of their streams would otherwise bring their callers' requests
-/// under suspicion. It is asked twice, since the first question may go out on a kept connection
-/// that the engine has closed. One answer serves all streams that broke there within a short time.
+/// Probes the engine by fetching its load right after one of its streams broke: an engine that
+/// merely reset the connection answers. Without the probe, engines that fail some of their streams
+/// would make innocent requests count as crashing ones. A failed probe is repeated once, since the
+/// first may use a keep-alive connection that the engine has already closed. One result serves all
+/// streams that break on the engine within QuarantineSettings::probe_validity.
 class CrashDetector {
  public:
-  using Answer = std::function<void(bool ended)>;
+  using Callback = std::function<void(bool ended)>;
 
   CrashDetector(const QuarantineSettings& settings, const api::ProcessContext& context,
                 engines::EngineClient& client);
   CrashDetector(const CrashDetector&) = delete;
   CrashDetector& operator=(const CrashDetector&) = delete;
 
-  /// \param answer called once, perhaps before the call returns
-  void ask(const engines::EngineEndpoint& engine, Answer answer);
+  /// \param callback called once, possibly before the call returns
+  void probeEngine(const engines::EngineEndpoint& engine, Callback callback);
 
  private:
-  struct Question {
+  struct Probe {
     bool answered = false;
     bool ended = false;
-    common::MonotonicTime asked_at{};
-    std::vector<Answer> waiting;
+    common::MonotonicTime started_at{};
+    std::vector<Callback> waiting;
   };
 
-  void question(const engines::EngineEndpoint& engine, std::uint32_t number);
+  void sendProbe(const engines::EngineEndpoint& engine, std::uint32_t attempt);
   void onAnswer(const common::EngineName& engine, bool ended);
   void forgetOld();
 
   const QuarantineSettings settings_;
   const api::ProcessContext& context_;
   engines::EngineClient& client_;
-  std::unordered_map<common::EngineName, Question> questions_;
+  std::unordered_map<common::EngineName, Probe> probes_;
   common::Counter& ended_;
   common::Counter& alive_;
 };
--- a/src/cypresswall/quarantine/crash_evidence.h
+++ b/src/cypresswall/quarantine/crash_history.h
@@ -1,4 +1,4 @@
-/// Which engines ended under which requests.
+/// Engine crashes by the request that ran on the engine.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +14,29 @@
 namespace cypresswall::quarantine {
 
 /// Bounded in number and age. Does no I/O.
-class CrashEvidence {
+class CrashHistory {
  public:
-  explicit CrashEvidence(const QuarantineSettings& settings) : settings_(settings) {}
+  explicit CrashHistory(const QuarantineSettings& settings) : settings_(settings) {}
 
-  /// Notes that an engine ended under the request at `at`; twice for one end changes nothing.
+  /// Records that an engine crashed at `at` while it ran the request. Reports of one engine less
+  /// than QuarantineSettings::crash_merge_window apart count as one crash.
   /// \param engine hash of its name
   void add(common::RequestFingerprint request, std::uint64_t engine, common::MonotonicTime at,
            common::MonotonicTime now);
-  /// \return false if nothing was noted
-  bool forget(common::RequestFingerprint request) { return suspects_.erase(request) != 0; }
-  /// \return how many engines ended under the request
+  /// \return false if nothing was recorded
+  bool forget(common::RequestFingerprint request) { return requests_.erase(request) != 0; }
+  /// \return the number of recent engine crashes under the request
   std::size_t crashes(common::RequestFingerprint request, common::MonotonicTime now) const;
-  /// \return what was noted, for a report
+  /// \return the recent crashes under the request, in the form of a report
   std::vector<EngineCrash> all(common::RequestFingerprint request, common::MonotonicTime now) const;
-  std::size_t size() const { return suspects_.size(); }
+  std::size_t size() const { return requests_.size(); }
 
  private:
   struct Crash {
     std::uint64_t engine = 0;
     common::MonotonicTime at{};
   };
-  struct Suspect {
+  struct RequestCrashes {
     std::vector<Crash> crashes;
     common::MonotonicTime last{};
   };
@@ -43,10 +44,10 @@
   bool recent(const Crash& crash, common::MonotonicTime now) const {
     return now - crash.at < settings_.memory;
   }
-  void makeRoom();
+  void evictOldest();
 
   const QuarantineSettings settings_;
-  std::unordered_map<common::RequestFingerprint, Suspect> suspects_;
+  std::unordered_map<common::RequestFingerprint, RequestCrashes> requests_;
 };
 
 }  // namespace cypresswall::quarantine
--- a/src/cypresswall/quarantine/fleet_quarantine.cpp
+++ b/src/cypresswall/quarantine/fleet_quarantine.cpp
@@ -8,10 +8,10 @@
 namespace cypresswall::quarantine {
 namespace {
 
-/// Nodes that count the crashes of one request: one may end or be cut off.
+/// Nodes that count the crashes of one request; tolerates the loss or isolation of one of them.
 constexpr std::size_t kCountingNodes = 2;
-/// Requests in one repetition, some 900 bytes; a longer list goes out in turns.
-constexpr std::size_t kRepeatedRequests = 64;
+/// Requests in one periodic announcement, about 900 bytes; a longer list is sent in rotation.
+constexpr std::size_t kRequestsPerAnnouncement = 64;
 
 common::Duration timeLeft(const QuarantinedRequest& request) {
   return std::chrono::milliseconds(request.milliseconds_left);
@@ -29,15 +29,15 @@
       membership_(membership),
       peers_(neighbours, context, membership, api::MessageSet::kQuarantine),
       detector_(settings, context, client),
-      seen_(settings),
+      observed_(settings),
       counted_(settings),
       list_(settings),
       answered_(settings),
       stored_(settings, context, membership, store,
-              {[this] { return deciders(); }, [this] { return fingerprints(); },
+              {[this] { return eligibleNodes(); }, [this] { return fingerprints(); },
                [this](const std::vector<common::RequestFingerprint>& requests) {
                  for (const auto request : requests) {
-                   convict(request, "store");
+                   quarantineForZone(request, "store");
                  }
                }}),
       crashes_(context.counters.counter("cypresswall_quarantine_crashes_seen_total",
@@ -46,15 +46,15 @@
                                         "Requests not sent since engines end under them")),
       added_(context.counters.counter("cypresswall_quarantine_added_total",
                                       "Requests that this node began to keep from engines")),
-      let_go_(
+      released_(
           context.counters.counter("cypresswall_quarantine_let_go_total",
                                    "Requests kept from engines that turned out to be answered")),
-      kept_gauge_(context.counters.gauge("cypresswall_quarantine_requests",
+      size_gauge_(context.counters.gauge("cypresswall_quarantine_requests",
                                          "Requests that are kept from engines")) {
   context_.dispatcher.handle<CrashReport>(
       [this](const common::NodeId&, const CrashReport& report) { onReport(report); });
-  context_.dispatcher.handle<KeptAwayNotice>(
-      [this](const common::NodeId& sender, const KeptAwayNotice& notice) {
+  context_.dispatcher.handle<QuarantineNotice>(
+      [this](const common::NodeId& sender, const QuarantineNotice& notice) {
         onNotice(sender, notice);
       });
 }
@@ -64,13 +64,13 @@
     return;
   }
   stored_.start();
-  repeat();
+  announcePeriodically();
 }
 
 std::optional<common::Duration> FleetQuarantine::quarantinedFor(
     common::RequestFingerprint request) {
   const auto now = context_.clock.now();
-  if (!list_.left(request, now)) {
+  if (!list_.remaining(request, now)) {
     return std::nullopt;
   }
   refused_.add();
@@ -83,7 +83,7 @@
   if (!settings_.quarantines || request == 0) {
     return;
   }
-  detector_.ask(engine, [this, request, name = engine.name](bool ended) {
+  detector_.probeEngine(engine, [this, request, name = engine.name](bool ended) {
     if (ended) {
       crashed(request, name);
     }
@@ -100,8 +100,8 @@
 void FleetQuarantine::crashed(common::RequestFingerprint request, const std::string& name) {
   const auto now = context_.clock.now();
   crashes_.add();
-  seen_.add(request, common::hash64(name), now, now);
-  report({request, seen_.all(request, now)});
+  observed_.add(request, common::hash64(name), now, now);
+  report({request, observed_.all(request, now)});
 }
 
 void FleetQuarantine::answered(common::RequestFingerprint request) {
@@ -110,18 +110,18 @@
   }
   const auto now = context_.clock.now();
   answered_.add(request, now);
-  if (seen_.forget(request)) {
+  if (observed_.forget(request)) {
     report({request, {}});
   }
-  // Sent before it was kept away.
-  if (list_.left(request, now) && letGo(request)) {
-    tellOthers({{request, 0}});
+  // The request was sent before it was quarantined.
+  if (list_.remaining(request, now) && release(request)) {
+    notifyPeers({{request, 0}});
   }
 }
 
 void FleetQuarantine::report(const CrashReport& report) {
-  for (const auto& node :
-       membership::rendezvousNodes(common::toString(report.request), deciders(), kCountingNodes)) {
+  for (const auto& node : membership::rendezvousNodes(common::toString(report.request),
+                                                      eligibleNodes(), kCountingNodes)) {
     if (node == context_.self) {
       onReport(report);
     } else {
@@ -146,46 +146,46 @@
   if (counted_.crashes(report.request, now) < settings_.crashes) {
     return;
   }
-  convict(report.request, "crashes");
+  quarantineForZone(report.request, "crashes");
 }
 
-void FleetQuarantine::convict(common::RequestFingerprint request, const char* source) {
-  const QuarantinedRequest kept{request, fullTime()};
+void FleetQuarantine::quarantineForZone(common::RequestFingerprint request, const char* source) {
+  const QuarantinedRequest kept{request, quarantineMilliseconds()};
   if (answered_.contains(request, context_.clock.now())) {
     counted_.forget(request);
-  } else if (keepAway(kept, source)) {
-    tellOthers({kept});
+  } else if (addToList(kept, source)) {
+    notifyPeers({kept});
   }
 }
 
-void FleetQuarantine::onNotice(const common::NodeId& sender, const KeptAwayNotice& notice) {
+void FleetQuarantine::onNotice(const common::NodeId& sender, const QuarantineNotice& notice) {
   if (!settings_.quarantines) {
     return;
   }
-  std::vector<QuarantinedRequest> news;
-  std::vector<QuarantinedRequest> objections;
-  for (const QuarantinedRequest& told : notice.requests) {
-    if (told.milliseconds_left == 0) {
-      if (letGo(told.request)) {
-        news.push_back(told);
+  std::vector<QuarantinedRequest> updates;
+  std::vector<QuarantinedRequest> releases;
+  for (const QuarantinedRequest& entry : notice.requests) {
+    if (entry.milliseconds_left == 0) {
+      if (release(entry.request)) {
+        updates.push_back(entry);
       }
-    } else if (answered_.contains(told.request, context_.clock.now())) {
-      objections.push_back({told.request, 0});
-    } else if (keepAway(told, "peer")) {
-      news.push_back(told);
+    } else if (answered_.contains(entry.request, context_.clock.now())) {
+      releases.push_back({entry.request, 0});
+    } else if (addToList(entry, "peer")) {
+      updates.push_back(entry);
     }
   }
-  if (!objections.empty()) {
-    context_.sendTo(sender, KeptAwayNotice{objections});
+  if (!releases.empty()) {
+    context_.sendTo(sender, QuarantineNotice{releases});
   }
-  if (!news.empty()) {
-    tellOthers(news);
+  if (!updates.empty()) {
+    notifyPeers(updates);
   }
 }
 
-bool FleetQuarantine::letGo(common::RequestFingerprint request) {
+bool FleetQuarantine::release(common::RequestFingerprint request) {
   const auto now = context_.clock.now();
-  const bool kept = list_.left(request, now).has_value();
+  const bool kept = list_.remaining(request, now).has_value();
   counted_.forget(request);
   list_.remove(request);
   if (!answered_.contains(request, now)) {
@@ -193,7 +193,7 @@
   } else if (!kept) {
     return false;
   }
-  let_go_.add(kept ? 1 : 0);
+  released_.add(kept ? 1 : 0);
   listChanged();
   common::LogEvent(context_.log, common::LogLevel::kInfo, "request_let_go")
       .field("fingerprint", common::toString(request))
@@ -201,7 +201,7 @@
   return true;
 }
 
-bool FleetQuarantine::keepAway(const QuarantinedRequest& kept, const char* source) {
+bool FleetQuarantine::addToList(const QuarantinedRequest& kept, const char* source) {
   const auto now = context_.clock.now();
   if (kept.request == 0 || !list_.add(kept.request, timeLeft(kept), now)) {
     return false;
@@ -217,21 +217,21 @@
 }
 
 void FleetQuarantine::listChanged() {
-  kept_gauge_.set(static_cast<double>(list_.size()));
+  size_gauge_.set(static_cast<double>(list_.size()));
   stored_.listChanged();
 }
 
-std::uint32_t FleetQuarantine::fullTime() const {
+std::uint32_t FleetQuarantine::quarantineMilliseconds() const {
   const auto time = std::chrono::duration_cast<std::chrono::milliseconds>(settings_.memory);
   return static_cast<std::uint32_t>(time.count());
 }
 
-void FleetQuarantine::tellOthers(const std::vector<QuarantinedRequest>& requests) {
-  context_.sendToAll(peers_.newsReceivers(), KeptAwayNotice{requests});
+void FleetQuarantine::notifyPeers(const std::vector<QuarantinedRequest>& requests) {
+  context_.sendToAll(peers_.newsReceivers(), QuarantineNotice{requests});
 }
 
-void FleetQuarantine::repeat() {
-  context_.scheduler.schedule(settings_.repeat_interval, [this] { repeat(); });
+void FleetQuarantine::announcePeriodically() {
+  context_.scheduler.schedule(settings_.announcement_interval, [this] { announcePeriodically(); });
   const auto now = context_.clock.now();
   if (list_.expire(now)) {
     listChanged();
@@ -244,10 +244,10 @@
     return;
   }
   const auto requests = list_.all(now);
-  KeptAwayNotice notice;
-  const auto count = std::min(requests.size(), kRepeatedRequests);
+  QuarantineNotice notice;
+  const auto count = std::min(requests.size(), kRequestsPerAnnouncement);
   for (std::size_t i = 0; i < count; ++i) {
-    notice.requests.push_back(requests[repeated_++ % requests.size()]);
+    notice.requests.push_back(requests[next_announced_++ % requests.size()]);
   }
   context_.sendToAll(receivers, notice);
 }
@@ -264,7 +264,7 @@
   return requests;
 }
 
-std::vector<common::NodeId> FleetQuarantine::deciders() const {
+std::vector<common::NodeId> FleetQuarantine::eligibleNodes() const {
   std::vector<common::NodeId> nodes;
   for (const membership::Member& member : membership_.members()) {
     if (member.state == membership::MemberState::kAlive && peers_.handles(member.node)) {
--- a/src/cypresswall/quarantine/fleet_quarantine.h
+++ b/src/cypresswall/quarantine/fleet_quarantine.h
@@ -1,4 +1,4 @@
-/// The quarantine of a zone's nodes together.
+/// Quarantine shared by all nodes of a zone.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 #include "cypresswall/object_store/object_store.h"
 #include "cypresswall/quarantine/answered_requests.h"
 #include "cypresswall/quarantine/crash_detector.h"
-#include "cypresswall/quarantine/crash_evidence.h"
-#include "cypresswall/quarantine/kept_away_list.h"
+#include "cypresswall/quarantine/crash_history.h"
+#include "cypresswall/quarantine/quarantine_list.h"
 #include "cypresswall/quarantine/quarantine_store.h"
 #include "cypresswall/quarantine/request_quarantine.h"
 
 namespace cypresswall::quarantine {
 
-/// What a node sees of engines that end under a request it tells to two nodes of the zone, found by
-/// rendezvous hashing over the request's fingerprint; these count. Once enough engines have ended,
-/// all nodes are told to keep the request away, unless one of them has had it answered lately: a
-/// request that many callers send alike may run on each of several engines that end for another
-/// reason. Messages grow with broken streams, not with the zone: two for each stream that a crash
-/// broke, and a few of each node for a request that is kept away. docs/design/quarantine.md weighs
-/// other ways.
+/// A node reports engine crashes under a request to two nodes of the zone, chosen by rendezvous
+/// hashing over the request's fingerprint, which count them. Once the count reaches the threshold,
+/// all nodes quarantine the request, unless one of them has recently had it answered: a request
+/// that many callers send may be running on each of several engines that crash for another reason.
+/// The number of messages grows with the broken streams, not with the zone: two for each stream
+/// that a crash broke, and a few per node for each quarantined request.
+/// docs/design/quarantine.md discusses the alternatives.
 class FleetQuarantine final : public RequestQuarantine {
  public:
   /// Registers the handlers of both messages. \pre all references outlive this object
@@ -37,7 +37,7 @@
   FleetQuarantine(const FleetQuarantine&) = delete;
   FleetQuarantine& operator=(const FleetQuarantine&) = delete;
 
-  /// Begins to repeat what is kept away, and to keep it in the store.
+  /// Starts the periodic announcements and keeping the list in the store.
   void start();
 
   std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) override;
@@ -46,53 +46,53 @@
   void callBroken(common::RequestFingerprint request, const common::Address& backend) override;
   void answered(common::RequestFingerprint request) override;
 
-  /// \return all requests that are kept away, ordered by fingerprint
+  /// \return all quarantined requests, ordered by fingerprint
   std::vector<QuarantinedRequest> all() const;
 
  private:
-  /// \param name of the engine, or address of the back end, that ended
+  /// \param name name of the crashed engine, or address of the crashed back end
   void crashed(common::RequestFingerprint request, const std::string& name);
   void report(const CrashReport& report);
   void onReport(const CrashReport& report);
-  void onNotice(const common::NodeId& sender, const KeptAwayNotice& notice);
-  /// \return the time for which a request is kept away anew
-  std::uint32_t fullTime() const;
-  /// Keeps a request away. \return true if it was not kept away so far
-  bool keepAway(const QuarantinedRequest& request, const char* source);
-  /// Keeps a request away for the zone.
-  void convict(common::RequestFingerprint request, const char* source);
-  /// Lets go of a request that was answered. \return true if that is news to this node
-  bool letGo(common::RequestFingerprint request);
-  /// Each node passes news on once, to its neighbours: all nodes of a small zone, four in a large
-  /// one. The loss of some is made up by others, and by the repetitions.
-  void tellOthers(const std::vector<QuarantinedRequest>& requests);
-  void repeat();
-  /// What is kept away is another than before.
+  void onNotice(const common::NodeId& sender, const QuarantineNotice& notice);
+  /// \return the duration of a new quarantine
+  std::uint32_t quarantineMilliseconds() const;
+  /// \return true if the request was not quarantined yet
+  bool addToList(const QuarantinedRequest& request, const char* source);
+  /// Quarantines a request on all nodes of the zone, unless it was answered recently.
+  void quarantineForZone(common::RequestFingerprint request, const char* source);
+  /// Ends the quarantine of a request that was answered. \return true if this node did not know yet
+  bool release(common::RequestFingerprint request);
+  /// Gossips an update, which each node forwards once to its neighbours: all nodes in a small zone,
+  /// four in a large one. Redundant paths and periodic announcements make up for lost messages.
+  void notifyPeers(const std::vector<QuarantinedRequest>& requests);
+  void announcePeriodically();
+  /// Updates the gauge and the stored list after a change of the list.
   void listChanged();
   std::vector<common::RequestFingerprint> fingerprints() const;
-  /// \return the nodes that may count crashes and keep the stored list, ordered
-  std::vector<common::NodeId> deciders() const;
+  /// \return the nodes that may count crashes or own the stored list, ordered
+  std::vector<common::NodeId> eligibleNodes() const;
 
   const QuarantineSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
   const membership::NewsPeers peers_;
   CrashDetector detector_;
-  /// What this node saw itself.
-  CrashEvidence seen_;
-  /// What it counts for the zone.
-  CrashEvidence counted_;
-  KeptAwayList list_;
-  /// By this node, or by others as they told.
+  /// Crashes that this node observed itself.
+  CrashHistory observed_;
+  /// Crashes that this node counts for the zone.
+  CrashHistory counted_;
+  QuarantineList list_;
+  /// Requests answered by this node, or by others according to their notices.
   AnsweredRequests answered_;
   QuarantineStore stored_;
-  /// Where in the list the next repetition begins.
-  std::size_t repeated_ = 0;
+  /// Position in the list at which the next periodic announcement starts.
+  std::size_t next_announced_ = 0;
   common::Counter& crashes_;
   common::Counter& refused_;
   common::Counter& added_;
-  common::Counter& let_go_;
-  common::Counter& kept_gauge_;
+  common::Counter& released_;
+  common::Counter& size_gauge_;
 };
 
 }  // namespace cypresswall::quarantine
--- a/src/cypresswall/quarantine/messages.h
+++ b/src/cypresswall/quarantine/messages.h
@@ -1,4 +1,4 @@
-/// Messages by which the nodes of a zone tell each other of requests that end engines.
+/// Messages between the nodes of a zone about requests that crash engines.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace cypresswall::quarantine {
 
-/// An engine that ended under a request.
+/// A crash of an engine while it ran a request.
 struct EngineCrash {
   /// Hash of the engine's name.
   std::uint64_t engine = 0;
@@ -17,27 +17,27 @@
   MSGPACK_DEFINE(engine, age_milliseconds)
 };
 
-/// Told to the two nodes that count the crashes of a request, by a node that saw one: all that it
-/// saw itself, so that a node that has begun to count only now knows the earlier ones.
+/// Sent to the two nodes that count the crashes of a request. Contains all recent crashes that the
+/// sender observed, so that a node that has only just become a counting node gets the earlier ones.
 struct CrashReport {
   static constexpr auto kType = api::messageType(api::MessageType::kQuarantineFirst, 0);
   common::RequestFingerprint request = 0;
-  /// Empty: the request was answered to its end, and the sender's earlier reports mean nothing.
+  /// Empty if the request was answered completely, which voids earlier reports.
   std::vector<EngineCrash> crashes;
   MSGPACK_DEFINE(request, crashes)
 };
 
-/// A request that is kept from engines, or is so no more.
+/// A quarantined request, or one that has been released.
 struct QuarantinedRequest {
   common::RequestFingerprint request = 0;
-  /// Zero: it was answered, so that engines end for another reason. That goes before all that
-  /// others say of it.
+  /// Zero releases the request: it was answered, so the engines crashed for another reason. A
+  /// release takes precedence over quarantine notices from other nodes.
   std::uint32_t milliseconds_left = 0;
   MSGPACK_DEFINE(request, milliseconds_left)
 };
 
-/// Told to others at once when a request is to be kept away, and repeated to a few now and then.
-struct KeptAwayNotice {
+/// Gossiped when a request is quarantined or released, and announced periodically to a few nodes.
+struct QuarantineNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kQuarantineFirst, 1);
   std::vector<QuarantinedRequest> requests;
   MSGPACK_DEFINE(requests)
--- a/src/cypresswall/quarantine/kept_away_list.cpp
+++ b/src/cypresswall/quarantine/quarantine_list.cpp
@@ -1,11 +1,11 @@
-#include "cypresswall/quarantine/kept_away_list.h"
+#include "cypresswall/quarantine/quarantine_list.h"
 
 #include <algorithm>
 
 namespace cypresswall::quarantine {
 
-bool KeptAwayList::add(common::RequestFingerprint request, common::Duration time,
-                       common::MonotonicTime now) {
+bool QuarantineList::add(common::RequestFingerprint request, common::Duration time,
+                         common::MonotonicTime now) {
   const auto until = now + std::min(time, settings_.memory);
   const auto known = until_.find(request);
   if (known != until_.end()) {
@@ -13,13 +13,13 @@
     known->second = std::max(known->second, until);
     return lapsed;
   }
-  makeRoom();
+  evictOldest();
   until_[request] = until;
   return true;
 }
 
-std::optional<common::Duration> KeptAwayList::left(common::RequestFingerprint request,
-                                                   common::MonotonicTime now) const {
+std::optional<common::Duration> QuarantineList::remaining(common::RequestFingerprint request,
+                                                          common::MonotonicTime now) const {
   const auto known = until_.find(request);
   if (known == until_.end() || known->second <= now) {
     return std::nullopt;
@@ -27,16 +27,16 @@
   return known->second - now;
 }
 
-bool KeptAwayList::expire(common::MonotonicTime now) {
+bool QuarantineList::expire(common::MonotonicTime now) {
   return std::erase_if(until_, [now](const auto& entry) { return entry.second <= now; }) != 0;
 }
 
-std::vector<QuarantinedRequest> KeptAwayList::all(common::MonotonicTime now) const {
+std::vector<QuarantinedRequest> QuarantineList::all(common::MonotonicTime now) const {
   std::vector<QuarantinedRequest> requests;
   for (const auto& [request, until] : until_) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - now);
-    if (left.count() > 0) {
-      requests.push_back({request, static_cast<std::uint32_t>(left.count())});
+    const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(until - now);
+    if (remaining.count() > 0) {
+      requests.push_back({request, static_cast<std::uint32_t>(remaining.count())});
     }
   }
   std::sort(requests.begin(), requests.end(),
@@ -46,8 +46,8 @@
   return requests;
 }
 
-void KeptAwayList::makeRoom() {
-  if (until_.size() < settings_.kept_away) {
+void QuarantineList::evictOldest() {
+  if (until_.size() < settings_.maximum_quarantined) {
     return;
   }
   until_.erase(std::min_element(until_.begin(), until_.end(),
--- a/src/cypresswall/quarantine/kept_away_list.h
+++ b/src/cypresswall/quarantine/quarantine_list.h
@@ -1,4 +1,4 @@
-/// The requests that are kept from engines, each until some time after it last came.
+/// Quarantined requests, each with the time at which its quarantine ends.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,25 @@
 namespace cypresswall::quarantine {
 
 /// Bounded in number and age. Does no I/O.
-class KeptAwayList {
+class QuarantineList {
  public:
-  explicit KeptAwayList(const QuarantineSettings& settings) : settings_(settings) {}
+  explicit QuarantineList(const QuarantineSettings& settings) : settings_(settings) {}
 
-  /// Keeps the request away for `time`, or for as long as it is kept already, if that is longer.
-  /// \return true if it was not kept away so far
+  /// Quarantines the request for `time`; never shortens a quarantine that lasts longer.
+  /// \return true if the request was not quarantined yet
   bool add(common::RequestFingerprint request, common::Duration time, common::MonotonicTime now);
   void remove(common::RequestFingerprint request) { until_.erase(request); }
-  /// \return for how long the request is kept away; nothing if it isn't
-  std::optional<common::Duration> left(common::RequestFingerprint request,
-                                       common::MonotonicTime now) const;
-  /// Lets go of what was kept away for long enough. \return true if there was any
+  /// \return the remaining time of the quarantine; nothing if the request is not quarantined
+  std::optional<common::Duration> remaining(common::RequestFingerprint request,
+                                            common::MonotonicTime now) const;
+  /// Removes entries whose quarantine has ended. \return true if there were any
   bool expire(common::MonotonicTime now);
-  /// \return all that is kept away, ordered by fingerprint
+  /// \return all quarantined requests, ordered by fingerprint
   std::vector<QuarantinedRequest> all(common::MonotonicTime now) const;
   std::size_t size() const { return until_.size(); }
 
  private:
-  void makeRoom();
+  void evictOldest();
 
   const QuarantineSettings settings_;
   std::unordered_map<common::RequestFingerprint, common::MonotonicTime> until_;
--- a/src/cypresswall/quarantine/quarantine_settings.h
+++ b/src/cypresswall/quarantine/quarantine_settings.h
@@ -1,4 +1,4 @@
-/// When a request is kept from engines, and for how long.
+/// Settings of the quarantine of requests that crash engines.
 #pragma once
 
 #include <cstddef>
@@ -8,34 +8,36 @@
 namespace cypresswall::quarantine {
 
 struct QuarantineSettings {
-  /// Off: no request is kept from engines.
+  /// False disables the quarantine.
   bool quarantines = true;
-  /// Engines that end under a request before it is kept from others. Of requests that merely ran
-  /// beside one that ended 23 engines in ten seconds, a fifth lost two engines and none lost three.
+  /// Engine crashes under a request after which it is quarantined. Of the requests that merely ran
+  /// on the same engines as one that crashed 23 engines in ten seconds, a fifth were hit by two
+  /// crashes and none by three.
   std::size_t crashes = 3;
-  /// How long the end of an engine is held against a request, and how long the request is kept
-  /// away after it last came: callers that repeat a request by themselves do so within minutes.
+  /// How long a crash counts against a request, and how long a request stays quarantined after its
+  /// last arrival. Callers that retry automatically do so within minutes.
   common::Duration memory = std::chrono::minutes(5);
-  /// For how long an answer proves that engines don't end under the request. A request that many
-  /// callers send alike is answered somewhere within it, whatever else makes engines end.
-  common::Duration proof_time = std::chrono::minutes(1);
-  /// Ends of one engine within this time are one: several copies of a request may run on it, and
-  /// nodes notice within a connection's time limit of each other. An engine takes longer to return.
-  common::Duration same_crash = std::chrono::seconds(1);
-  /// An engine's answer whether it still runs holds for so long, for all streams that broke there.
-  common::Duration same_answer = std::chrono::milliseconds(500);
-  /// Between two messages by which a node repeats to a few others what is kept away: a node that
-  /// starts, or missed the news, learns it within about two of them.
-  common::Duration repeat_interval = std::chrono::seconds(1);
-  /// Before another call to the store after one that failed.
+  /// How long an answer proves that the request does not crash engines. A harmless request that
+  /// many callers send is answered somewhere within this time, even while engines crash for other
+  /// reasons.
+  common::Duration answer_validity = std::chrono::minutes(1);
+  /// Reports about one engine within this time count as one crash: several copies of a request may
+  /// run on it, and nodes notice a crash within a connection timeout of each other. An engine takes
+  /// longer than this to restart.
+  common::Duration crash_merge_window = std::chrono::seconds(1);
+  /// How long the result of a probe applies to further streams that break on the same engine.
+  common::Duration probe_validity = std::chrono::milliseconds(500);
+  /// Interval of the announcements of the list to a few other nodes. A node that starts, or that
+  /// missed a notice, learns the list within about two intervals.
+  common::Duration announcement_interval = std::chrono::seconds(1);
+  /// Delay before the next call to the store after a failed one.
   common::Duration store_retry_delay = std::chrono::seconds(1);
-  /// Requests under which engines ended that are remembered; the oldest are forgotten first. One
-  /// takes some 100 bytes.
-  std::size_t suspects = 4096;
-  /// Answered requests that a node remembers, each 16 bytes: what a busy node answers in a minute.
-  std::size_t answered = 4096;
-  /// Requests that are kept away at a time; those that didn't come for longest are let go first.
-  std::size_t kept_away = 256;
+  /// Requests with crashes that are remembered, about 100 bytes each; the oldest are evicted first.
+  std::size_t maximum_tracked_requests = 4096;
+  /// Answered requests that a node remembers, 16 bytes each: what a busy node answers in a minute.
+  std::size_t maximum_answered_requests = 4096;
+  /// Maximum number of quarantined requests; the least recently seen are evicted first.
+  std::size_t maximum_quarantined = 256;
 };
 
 }  // namespace cypresswall::quarantine
--- a/src/cypresswall/quarantine/quarantine_store.cpp
+++ b/src/cypresswall/quarantine/quarantine_store.cpp
@@ -11,25 +11,25 @@
 using object_store::StoreFailure;
 using object_store::StoreResult;
 
-/// After a change of members, in which more may come: a zone that starts would otherwise have
-/// several keepers one after the other. Nodes have to know the list three seconds after their
+/// Delay after a membership change, since more changes may follow: while a zone starts, ownership
+/// would otherwise move from node to node. Nodes must know the list three seconds after their
 /// start.
 constexpr common::Duration kSettlingTime = std::chrono::milliseconds(200);
-/// Between two reads of a node that sees no other. Nodes have to know the list within three
-/// seconds.
-constexpr common::Duration kDesertedInterval = std::chrono::seconds(1);
+/// Interval at which a node that sees no other node reads the object. Nodes must know the list
+/// within three seconds.
+constexpr common::Duration kIsolatedReadInterval = std::chrono::seconds(1);
 
 }  // namespace
 
 QuarantineStore::QuarantineStore(const QuarantineSettings& settings,
                                  const api::ProcessContext& context,
                                  membership::MembershipView& membership,
-                                 object_store::ObjectStore& store, Interfaces interfaces)
+                                 object_store::ObjectStore& store, Callbacks callbacks)
     : settings_(settings),
       context_(context),
       membership_(membership),
       store_(store),
-      interfaces_(std::move(interfaces)),
+      callbacks_(std::move(callbacks)),
       key_("quarantine/" + context.zone),
       failures_(context.counters.counter("cypresswall_quarantine_store_failures_total",
                                          "Calls to the store for the quarantine that failed")),
@@ -38,78 +38,78 @@
 
 void QuarantineStore::start() {
   started_ = true;
-  membership_.onChange([this] { lookAfter(kSettlingTime); });
-  lookAfter(kSettlingTime);
+  membership_.onChange([this] { reconcileAfter(kSettlingTime); });
+  reconcileAfter(kSettlingTime);
 }
 
-void QuarantineStore::lookAfter(common::Duration delay) {
-  if (!started_ || look_timer_ != 0) {
+void QuarantineStore::reconcileAfter(common::Duration delay) {
+  if (!started_ || reconcile_timer_ != 0) {
     return;
   }
-  look_timer_ = context_.scheduler.schedule(delay, [this] {
-    look_timer_ = 0;
-    look();
+  reconcile_timer_ = context_.scheduler.schedule(delay, [this] {
+    reconcile_timer_ = 0;
+    reconcile();
   });
 }
 
-void QuarantineStore::look() {
-  if (call_under_way_) {
+void QuarantineStore::reconcile() {
+  if (call_in_flight_) {
     return;
   }
   if (membership_.joining()) {
-    lookAfter(kSettlingTime);
+    reconcileAfter(kSettlingTime);
     return;
   }
-  if (!keeper()) {
+  if (!isOwner()) {
     has_seen_others_ = true;
     stored_.reset();
     return;
   }
   const auto now = context_.clock.now();
   if (now < next_call_at_) {
-    lookAfter(next_call_at_ - now);
+    reconcileAfter(next_call_at_ - now);
     return;
   }
   if (!stored_) {
     read();
     return;
   }
-  const auto present = interfaces_.present();
+  const auto present = callbacks_.present();
   if (present != stored_->requests) {
     write(present);
-  } else if (deserted()) {
+  } else if (isolated()) {
     stored_.reset();
-    lookAfter(kDesertedInterval);
+    reconcileAfter(kIsolatedReadInterval);
   }
 }
 
-bool QuarantineStore::deserted() {
-  const bool alone = interfaces_.members().size() <= 1;
+bool QuarantineStore::isolated() {
+  const bool alone = callbacks_.members().size() <= 1;
   has_seen_others_ = has_seen_others_ || !alone;
   return alone && has_seen_others_;
 }
 
-bool QuarantineStore::keeper() const {
-  return membership::rendezvousNode(key_, interfaces_.members()) == context_.self;
+bool QuarantineStore::isOwner() const {
+  return membership::rendezvousNode(key_, callbacks_.members()) == context_.self;
 }
 
 void QuarantineStore::read() {
-  call_under_way_ = true;
+  call_in_flight_ = true;
   store_.get(key_, [this](const StoreResult<StoredObject>& result) { onRead(result); });
 }
 
 void QuarantineStore::onRead(const StoreResult<StoredObject>& result) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   if (result.ok()) {
     observe(result.value());
-    interfaces_.take(stored_->requests);
+    callbacks_.restore(stored_->requests);
   } else if (result.failure().kind == StoreFailure::kNotFound) {
     stored_.emplace();
     version_ = 0;
   } else {
     storeFailed();
   }
-  lookAfter(common::Duration{0});
+  reconcileAfter(common::Duration{0});
 }
 
 void QuarantineStore::storeFailed() {
@@ -121,25 +121,25 @@
   object_store::ObjectWrite request;
   request.key = key_;
   request.expected_version = version_;
-  request.value = encodeStoredQuarantine({requests, stored_->origin});
+  request.value = encodeStoredQuarantine({requests, stored_->original_text});
   request.change_id = context_.self.toString() + "/" + std::to_string(++next_change_);
-  call_under_way_ = true;
+  call_in_flight_ = true;
   store_.compareAndSet(std::move(request),
                        [this](const StoreResult<StoredObject>& result) { onWritten(result); });
 }
 
 void QuarantineStore::onWritten(const StoreResult<StoredObject>& result) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   if (result.ok()) {
     observe(result.value());
   } else {
-    // Another keeper may have written, or the write took effect unheard.
+    // Another owner may have written, or the write took effect and the answer was lost.
     stored_.reset();
     if (result.failure().kind != StoreFailure::kConflict) {
       storeFailed();
     }
   }
-  lookAfter(common::Duration{0});
+  reconcileAfter(common::Duration{0});
 }
 
 void QuarantineStore::observe(const StoredObject& object) {
@@ -147,7 +147,7 @@
   try {
     stored_ = decodeStoredQuarantine(object.value);
   } catch (const StoredQuarantineError& error) {
-    // Nothing in it can be kept away; the next write replaces it.
+    // An unreadable object quarantines nothing; the next write replaces it.
     stored_.emplace();
     unreadable_.add();
     common::LogEvent(context_.log, common::LogLevel::kWarning, "stored_quarantine_unreadable")
--- a/src/cypresswall/quarantine/quarantine_store.h
+++ b/src/cypresswall/quarantine/quarantine_store.h
@@ -1,5 +1,5 @@
-/// What is kept from engines, in the platform's store: it outlives all nodes, which may end at once
-/// and keep nothing.
+/// Keeps the quarantine list in the platform's object store, so that it survives a simultaneous
+/// restart of all nodes, which have no persistent state of their own.
 #pragma once
 
 #include <cstdint>
@@ -17,39 +17,39 @@
 
 namespace cypresswall::quarantine {
 
-/// One node of the zone, found by rendezvous hashing, keeps the object: it reads it when it takes
-/// that over, tells the others what it holds, and writes it when the list has changed. A calm zone
-/// makes one call for each node that takes over. Two nodes that both take themselves for the keeper
-/// lose nothing: each reads the other's object before it writes again. A node that has lost all
-/// others, perhaps by a cut, reads it again each second: nobody else tells it what they keep away.
+/// One node of the zone, chosen by rendezvous hashing, owns the object. It reads the object when it
+/// becomes the owner, announces the content to the other nodes, and writes the object when the list
+/// has changed; without changes, each new owner makes a single call. Two nodes that both consider
+/// themselves the owner lose nothing: writes are conditional, and each reads the other's object
+/// before it writes again. A node that has lost contact with all others, for example in a network
+/// partition, rereads the object every second, since it gets no notices from them.
 class QuarantineStore {
  public:
-  struct Interfaces {
-    /// \return the nodes of which one keeps the object
+  struct Callbacks {
+    /// \return the nodes of which one owns the object
     std::function<std::vector<common::NodeId>()> members;
-    /// \return what is kept away now, ordered
+    /// \return the requests that are quarantined now, ordered
     std::function<std::vector<common::RequestFingerprint>()> present;
-    /// Takes what was read from the store.
-    std::function<void(const std::vector<common::RequestFingerprint>&)> take;
+    /// Adds requests that were read from the store to the quarantine.
+    std::function<void(const std::vector<common::RequestFingerprint>&)> restore;
   };
 
   QuarantineStore(const QuarantineSettings& settings, const api::ProcessContext& context,
                   membership::MembershipView& membership, object_store::ObjectStore& store,
-                  Interfaces interfaces);
+                  Callbacks callbacks);
   QuarantineStore(const QuarantineStore&) = delete;
   QuarantineStore& operator=(const QuarantineStore&) = delete;
 
   void start();
-  /// The list of what is kept away has changed.
-  void listChanged() { lookAfter(common::Duration{0}); }
+  void listChanged() { reconcileAfter(common::Duration{0}); }
 
  private:
-  void lookAfter(common::Duration delay);
-  /// Reads or writes, if this node is the keeper and there is something to do.
-  void look();
-  bool keeper() const;
-  /// \return true if this node sees no other though it has seen some
-  bool deserted();
+  void reconcileAfter(common::Duration delay);
+  /// Reads or writes the object if this node is the owner and the object is unknown or outdated.
+  void reconcile();
+  bool isOwner() const;
+  /// \return true if this node sees no other node but has seen some before
+  bool isolated();
   void read();
   void onRead(const object_store::StoreResult<object_store::StoredObject>& result);
   void write(const std::vector<common::RequestFingerprint>& requests);
@@ -61,15 +61,15 @@
   const api::ProcessContext& context_;
   membership::MembershipView& membership_;
   object_store::ObjectStore& store_;
-  const Interfaces interfaces_;
+  const Callbacks callbacks_;
   const std::string key_;
   bool started_ = false;
   bool has_seen_others_ = false;
-  bool call_under_way_ = false;
-  /// The store failed; nothing is called before this.
+  bool call_in_flight_ = false;
+  /// Earliest time of the next call after a failure of the store.
   common::MonotonicTime next_call_at_{};
-  common::TimerId look_timer_ = 0;
-  /// As last read or written by this keeper; empty until then.
+  common::TimerId reconcile_timer_ = 0;
+  /// Content as last read or written while this node is the owner; empty until then.
   std::optional<StoredQuarantine> stored_;
   std::uint64_t version_ = 0;
   std::uint64_t next_change_ = 0;
--- a/src/cypresswall/quarantine/request_quarantine.h
+++ b/src/cypresswall/quarantine/request_quarantine.h
@@ -1,4 +1,4 @@
-/// Keeps requests from engines that crash each engine that runs them.
+/// Quarantine of requests that crash every engine that runs them.
 #pragma once
 
 #include <optional>
@@ -13,16 +13,16 @@
 class RequestQuarantine {
  public:
   virtual ~RequestQuarantine() = default;
-  /// Asked before a request is sent to an engine or back end.
-  /// \return for how long it is kept away from now on; nothing if it may be sent
+  /// Called before a request is sent to an engine or back end. Prolongs an existing quarantine.
+  /// \return how long the request stays quarantined; nothing if it may be sent
   virtual std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) = 0;
-  /// A stream of the request broke after it was sent. Whether its engine ended is found out here.
+  /// A stream of the request broke after it was sent. Probes whether the engine crashed.
   virtual void streamBroken(common::RequestFingerprint request,
                             const engines::EngineEndpoint& engine) = 0;
-  /// A plain back end ended the connection while it worked on the request. It can't be asked
-  /// whether it still runs without taking one of its places.
+  /// A plain back end closed the connection while it processed the request, which counts as a
+  /// crash: a probe would occupy one of the back end's request slots.
   virtual void callBroken(common::RequestFingerprint request, const common::Address& backend) = 0;
-  /// The request was answered to its end: engines that ended under it did so for another reason.
+  /// The request was answered completely: engines that crashed under it did so for another reason.
   virtual void answered(common::RequestFingerprint request) = 0;
 };
 
--- a/src/cypresswall/quarantine/stored_quarantine.cpp
+++ b/src/cypresswall/quarantine/stored_quarantine.cpp
@@ -31,7 +31,7 @@
     throw StoredQuarantineError("not a JSON object");
   }
   StoredQuarantine quarantine;
-  quarantine.origin = text;
+  quarantine.original_text = text;
   const auto requests = content.find(kRequests);
   if (requests == content.end() || !requests->is_array()) {
     throw StoredQuarantineError("no list of requests");
@@ -46,7 +46,7 @@
 }
 
 std::string encodeStoredQuarantine(const StoredQuarantine& quarantine) {
-  auto content = nlohmann::json::parse(quarantine.origin, nullptr, false);
+  auto content = nlohmann::json::parse(quarantine.original_text, nullptr, false);
   if (!content.is_object()) {
     content = nlohmann::json::object();
   }
--- a/src/cypresswall/quarantine/stored_quarantine.h
+++ b/src/cypresswall/quarantine/stored_quarantine.h
@@ -1,4 +1,4 @@
-/// The stored form of what is kept from engines: a JSON object.
+/// JSON encoding of the quarantine list in the object store.
 #pragma once
 
 #include <string>
@@ -9,7 +9,6 @@
 
 namespace cypresswall::quarantine {
 
-/// A stored object that can't be read.
 class StoredQuarantineError : public common::Error {
  public:
   using common::Error::Error;
@@ -18,11 +17,11 @@
 struct StoredQuarantine {
   /// Ordered.
   std::vector<common::RequestFingerprint> requests;
-  /// The object as it was read, with fields that only other builds know; they are written back.
-  std::string origin;
+  /// JSON text as read from the store. Fields that this build does not know are written back.
+  std::string original_text;
 };
 
-/// \throws StoredQuarantineError. Requests that aren't a fingerprint are left out.
+/// Skips entries that are not a valid fingerprint. \throws StoredQuarantineError
 StoredQuarantine decodeStoredQuarantine(const std::string& text);
 std::string encodeStoredQuarantine(const StoredQuarantine& quarantine);
 
--- a/tests/quarantine/crashing_requests_test.cpp
+++ b/tests/quarantine/crashing_requests_test.cpp
@@ -1,14 +1,9 @@
-/// A request that crashes each engine that runs it is kept away from engines by the whole fleet.
-///
-/// Seen: engines of a model ended one after the other, some 45 in 50 seconds, and most requests
-/// failed with them, on 9 nodes before 18 engines; a request under which three engines had ended
-/// was sent to engines 22 times more.
-/// How it came about: a caller sent the same request again and again, under a new identifier each
-/// time, to whichever node it reached.
-/// Cause: a request was known by its identifier only, and by one node only. Each copy was a new
-/// request, the engine got the blame, and the repeats of all that ran beside it were spent.
-/// Proof: each engine that ended had this one content among its streams, at first with five others
-/// on an idle fleet; no engine ended without it.
+/// Guards against an incident in which one request crashed engine after engine: about 45 crashes in
+/// 50 seconds on 9 nodes with 18 engines, and most other requests failed with them. A caller kept
+/// sending the same content under new identifiers to different nodes. Requests were only known by
+/// identifier and per node, so each copy counted as a new request: after three crashes it was still
+/// sent to engines 22 times, and the retry budgets of the requests beside it were used up. Every
+/// crashed engine had this content among its streams, on an idle fleet beside only five others.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -33,20 +28,21 @@
 constexpr std::uint64_t kCrashingContent = 0xDEAD;
 constexpr std::uint32_t kPromptTokens = 300;
 constexpr std::uint32_t kAnswerTokens = 6;
-/// What may go on after the third engine: the time in which nodes hear of it, and so many arrivals.
+/// After the third crash, nodes have kTimeUntilKnown to learn of the request; after that, at most
+/// kAllowedArrivals copies may still reach an engine.
 constexpr std::size_t kCrashesUntilKnown = 3;
 constexpr common::Duration kTimeUntilKnown = seconds(3);
 constexpr std::size_t kAllowedArrivals = 3;
-/// Three, and what was on its way meanwhile.
-constexpr std::size_t kMostCrashes = 8;
-/// Of ten other requests, so many are answered, though some lost their engine.
+/// The three crashes up to the quarantine, and those by copies already in flight.
+constexpr std::size_t kMaximumCrashes = 8;
+/// Minimum number of other requests answered, out of ten, although some lose their engine.
 constexpr std::size_t kAnsweredOfTen = 9;
 
 struct Scenario {
   std::uint32_t nodes = 9;
   std::uint32_t engines = 18;
-  /// Other requests between two of the crashing one.
-  int others_between = 12;
+  /// One request in this many is the crashing one.
+  int crashing_request_interval = 12;
 };
 
 class Fleet {
@@ -71,12 +67,12 @@
     }
   }
 
-  /// Other requests and now and then the crashing one, each at any node that runs.
-  void ask(common::Duration duration) {
+  /// Sends other requests mixed with the crashing one, each to a random node.
+  void sendRequests(common::Duration duration) {
     constexpr common::Duration kStep = milliseconds(14);
     int number = 0;
     for (common::Duration spent{0}; spent < duration; spent += kStep) {
-      if (number++ % scenario_.others_between == 0) {
+      if (number++ % scenario_.crashing_request_interval == 0) {
         fleet_->askModelAgain(anyNode(), kPromptTokens, kAnswerTokens, kCrashingContent);
       } else {
         fleet_->askModel(anyNode(), kPromptTokens, kAnswerTokens);
@@ -98,7 +94,7 @@
     }
     return crashes;
   }
-  /// \return arrivals of the crashing request after the fleet should have known it
+  /// \return arrivals of the crashing request after the fleet should have quarantined it
   std::size_t arrivalsOnceKnown() const {
     std::vector<common::MonotonicTime> arrivals;
     std::vector<common::MonotonicTime> ends;
@@ -145,30 +141,30 @@
 
 class CrashingRequestsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CrashingRequestsTest);
-  CPPUNIT_TEST(areKeptFromEnginesOfASmallZone);
-  CPPUNIT_TEST(areKeptFromEnginesOfALargeZone);
-  CPPUNIT_TEST(areKnownToNodesThatRestart);
+  CPPUNIT_TEST(isQuarantinedInSmallZone);
+  CPPUNIT_TEST(isQuarantinedInLargeZone);
+  CPPUNIT_TEST(quarantineSurvivesNodeRestarts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void areKeptFromEnginesOfASmallZone() { requireKept(Scenario{}, false); }
-  void areKeptFromEnginesOfALargeZone() {
+  void isQuarantinedInSmallZone() { requireQuarantined(Scenario{}, false); }
+  void isQuarantinedInLargeZone() {
     Scenario scenario;
     scenario.nodes = 40;
     scenario.engines = 36;
-    requireKept(scenario, false);
+    requireQuarantined(scenario, false);
   }
-  /// What was learnt has to outlive the processes that learnt it.
-  void areKnownToNodesThatRestart() { requireKept(Scenario{}, true); }
+  /// The quarantine must survive the restart of all nodes.
+  void quarantineSurvivesNodeRestarts() { requireQuarantined(Scenario{}, true); }
 
  private:
-  static void requireKept(const Scenario& scenario, bool restarts) {
+  static void requireQuarantined(const Scenario& scenario, bool restarts) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Fleet fleet(seed, scenario);
-      fleet.ask(seconds(8));
+      fleet.sendRequests(seconds(8));
       if (restarts) {
         fleet.restartAll();
-        fleet.ask(seconds(10));
+        fleet.sendRequests(seconds(10));
       }
       const std::string at = ", seed " + std::to_string(seed);
       CPPUNIT_ASSERT_MESSAGE("no engine crashed" + at, fleet.crashes() > 0);
@@ -176,7 +172,7 @@
                                  ", engines ended: " + std::to_string(fleet.crashes()) + at,
                              fleet.arrivalsOnceKnown() <= kAllowedArrivals);
       CPPUNIT_ASSERT_MESSAGE("engines ended: " + std::to_string(fleet.crashes()) + at,
-                             fleet.crashes() <= kMostCrashes);
+                             fleet.crashes() <= kMaximumCrashes);
       CPPUNIT_ASSERT_MESSAGE(
           "other requests answered of ten: " + std::to_string(fleet.othersAnsweredOfTen()) + at,
           restarts || fleet.othersAnsweredOfTen() >= kAnsweredOfTen);
--- a/tests/quarantine/fleet_quarantine_test.cpp
+++ b/tests/quarantine/fleet_quarantine_test.cpp
@@ -15,201 +15,203 @@
 using std::chrono::seconds;
 using testing::QuarantineZone;
 
-constexpr common::RequestFingerprint kCulprit = 0xC0FFEE;
-constexpr common::RequestFingerprint kNeighbour = 0xBEEF;
-/// Within which all nodes have to know; a third of what the users allow in a small zone.
-constexpr common::Duration kTold = seconds(1);
+constexpr common::RequestFingerprint kCrashingRequest = 0xC0FFEE;
+constexpr common::RequestFingerprint kInnocentRequest = 0xBEEF;
+/// All nodes must know within this time, a third of the limit required for a small zone.
+constexpr common::Duration kPropagationTime = seconds(1);
 
 class FleetQuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FleetQuarantineTest);
-  CPPUNIT_TEST(threeCrashesKeepARequestFromAllNodes);
-  CPPUNIT_TEST(twoCrashesDoNot);
-  CPPUNIT_TEST(oneCrashSeenByManyIsOne);
-  CPPUNIT_TEST(aLifeThatEndsAgainCountsAgain);
-  CPPUNIT_TEST(brokenStreamsOfAnEngineThatRunsAreNoCrashes);
-  CPPUNIT_TEST(oneQuestionServesManyBrokenStreams);
-  CPPUNIT_TEST(aConnectionThatEndsIsNoCrash);
-  CPPUNIT_TEST(nodesThatLeaveAreTold);
-  CPPUNIT_TEST(anAnswerClearsARequest);
-  CPPUNIT_TEST(aRequestThatIsAnsweredElsewhereIsNotKeptAway);
-  CPPUNIT_TEST(aLateAnswerFreesTheRequestEverywhere);
-  CPPUNIT_TEST(nodesThatStartLearnIt);
-  CPPUNIT_TEST(outlivesAllNodes);
-  CPPUNIT_TEST(reachesANodeThatIsCutOffThroughTheStore);
-  CPPUNIT_TEST(outlivesAllNodesThoughTheStoreWasDown);
-  CPPUNIT_TEST(oneCountingNodeMayEnd);
-  CPPUNIT_TEST(aNodeThatBeginsToCountIsToldOfEarlierCrashes);
-  CPPUNIT_TEST(worksBesideNodesOfAnEarlierBuild);
-  CPPUNIT_TEST(isForgottenOnceItNoLongerComes);
-  CPPUNIT_TEST(lastsWhileItComes);
-  CPPUNIT_TEST(isBoundedInNumber);
-  CPPUNIT_TEST(messagesOfANodeDoNotGrowWithTheZone);
-  CPPUNIT_TEST(offKeepsNothingAway);
-  CPPUNIT_TEST(requestsWithoutFingerprintAreLeftAlone);
+  CPPUNIT_TEST(threeCrashesQuarantineRequestOnAllNodes);
+  CPPUNIT_TEST(twoCrashesDoNotQuarantine);
+  CPPUNIT_TEST(crashSeenByManyNodesCountsOnce);
+  CPPUNIT_TEST(repeatedCrashOfOneEngineCountsAgain);
+  CPPUNIT_TEST(brokenStreamOfRunningEngineIsNoCrash);
+  CPPUNIT_TEST(oneProbeServesManyBrokenStreams);
+  CPPUNIT_TEST(closedConnectionIsNoCrash);
+  CPPUNIT_TEST(leavingNodesAreNotified);
+  CPPUNIT_TEST(answerClearsCrashHistory);
+  CPPUNIT_TEST(requestAnsweredElsewhereIsNotQuarantined);
+  CPPUNIT_TEST(lateAnswerReleasesRequestOnAllNodes);
+  CPPUNIT_TEST(startingNodesLearnQuarantine);
+  CPPUNIT_TEST(survivesRestartOfAllNodes);
+  CPPUNIT_TEST(isolatedNodeLearnsQuarantineFromStore);
+  CPPUNIT_TEST(survivesRestartOfAllNodesAfterStoreOutage);
+  CPPUNIT_TEST(toleratesLossOfOneCountingNode);
+  CPPUNIT_TEST(newCountingNodesReceiveEarlierCrashes);
+  CPPUNIT_TEST(worksWithNodesOfEarlierBuild);
+  CPPUNIT_TEST(expiresWithoutFurtherRequests);
+  CPPUNIT_TEST(lastsWhileRequestsArrive);
+  CPPUNIT_TEST(listSizeIsBounded);
+  CPPUNIT_TEST(messagesPerNodeAreIndependentOfZoneSize);
+  CPPUNIT_TEST(nothingIsQuarantinedWhenDisabled);
+  CPPUNIT_TEST(requestsWithoutFingerprintAreIgnored);
   CPPUNIT_TEST(unreadableStoredListIsReplaced);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void threeCrashesKeepARequestFromAllNodes() {
+  void threeCrashesQuarantineRequestOnAllNodes() {
     for (const std::size_t nodes : {1, 2, 9, 24, 60, 295}) {
       QuarantineZone zone(nodes);
       crashThree(zone);
-      zone.run(kTold);
+      zone.run(kPropagationTime);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(nodes) + " nodes", nodes,
-                                   zone.nodesThatKeepAway(kCulprit));
-      CPPUNIT_ASSERT(zone.at(0).quarantinedFor(kCulprit).has_value());
-      CPPUNIT_ASSERT(!zone.at(0).quarantinedFor(kNeighbour).has_value());
+                                   zone.nodesThatQuarantine(kCrashingRequest));
+      CPPUNIT_ASSERT(zone.at(0).quarantinedFor(kCrashingRequest).has_value());
+      CPPUNIT_ASSERT(!zone.at(0).quarantinedFor(kInnocentRequest).has_value());
     }
   }
 
-  void twoCrashesDoNot() {
+  void twoCrashesDoNotQuarantine() {
     QuarantineZone zone(9);
-    zone.crash(1, kCulprit, 1);
-    zone.crash(2, kCulprit, 2);
+    zone.crash(1, kCrashingRequest, 1);
+    zone.crash(2, kCrashingRequest, 2);
     zone.run(seconds(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void oneCrashSeenByManyIsOne() {
+  void crashSeenByManyNodesCountsOnce() {
     QuarantineZone zone(9);
     for (std::size_t node = 0; node < zone.size(); ++node) {
-      zone.crash(node, kCulprit, 1);
+      zone.crash(node, kCrashingRequest, 1);
       zone.run(milliseconds(20));
     }
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  /// Where the lives of an engine bear one name.
-  void aLifeThatEndsAgainCountsAgain() {
+  /// Engines keep their name across restarts; each crash of a new incarnation counts.
+  void repeatedCrashOfOneEngineCountsAgain() {
     QuarantineZone zone(9);
     for (std::size_t life = 0; life < 3; ++life) {
-      zone.crash(life, kCulprit, 1);
+      zone.crash(life, kCrashingRequest, 1);
       zone.run(seconds(2));
     }
-    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void brokenStreamsOfAnEngineThatRunsAreNoCrashes() {
+  void brokenStreamOfRunningEngineIsNoCrash() {
     QuarantineZone zone(9);
     for (int engine = 0; engine < 6; ++engine) {
       zone.runEngine(engine);
-      zone.breakStream(static_cast<std::size_t>(engine), kCulprit, engine);
+      zone.breakStream(static_cast<std::size_t>(engine), kCrashingRequest, engine);
     }
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void oneQuestionServesManyBrokenStreams() {
+  void oneProbeServesManyBrokenStreams() {
     QuarantineZone zone(1);
     for (common::RequestFingerprint request = 1; request <= 32; ++request) {
       zone.crash(0, request, 1);
     }
     zone.run(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, zone.engineQuestions());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, zone.engineProbes());
   }
 
-  /// The first question is lost with the kept connection that it went out on.
-  void aConnectionThatEndsIsNoCrash() {
+  /// The first probe is lost with the closed keep-alive connection that it used.
+  void closedConnectionIsNoCrash() {
     QuarantineZone zone(9);
     for (int engine = 0; engine < 6; ++engine) {
-      zone.loseQuestions(engine, 1);
-      zone.breakStream(static_cast<std::size_t>(engine), kCulprit, engine);
+      zone.loseProbes(engine, 1);
+      zone.breakStream(static_cast<std::size_t>(engine), kCrashingRequest, engine);
     }
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  /// They take requests until their callers have gone elsewhere.
-  void nodesThatLeaveAreTold() {
+  /// Leaving nodes still accept requests until their callers have moved to other nodes.
+  void leavingNodesAreNotified() {
     QuarantineZone zone(9);
     zone.leave(4);
     crashThree(zone);
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  /// Two engines ended beside it; the third attempt was answered.
-  void anAnswerClearsARequest() {
+  /// The request ran on two engines that crashed for another reason; its third attempt succeeded.
+  void answerClearsCrashHistory() {
     QuarantineZone zone(9);
-    zone.crash(0, kNeighbour, 1);
-    zone.crash(0, kNeighbour, 2);
+    zone.crash(0, kInnocentRequest, 1);
+    zone.crash(0, kInnocentRequest, 2);
     zone.run(milliseconds(200));
-    zone.at(0).answered(kNeighbour);
+    zone.at(0).answered(kInnocentRequest);
     zone.run(milliseconds(200));
-    zone.crash(0, kNeighbour, 3);
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kNeighbour));
+    zone.crash(0, kInnocentRequest, 3);
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kInnocentRequest));
   }
 
-  /// Three engines of one rack end at once, and many callers send the same question.
-  void aRequestThatIsAnsweredElsewhereIsNotKeptAway() {
+  /// Three engines of one rack fail together while each runs a request that many callers send.
+  void requestAnsweredElsewhereIsNotQuarantined() {
     for (const std::size_t nodes : {9, 60}) {
       QuarantineZone zone(nodes);
-      zone.at(nodes - 1).answered(kNeighbour);
+      zone.at(nodes - 1).answered(kInnocentRequest);
       zone.run(seconds(20));
       for (int engine = 1; engine <= 3; ++engine) {
-        zone.crash(static_cast<std::size_t>(engine), kNeighbour, engine);
+        zone.crash(static_cast<std::size_t>(engine), kInnocentRequest, engine);
       }
-      zone.run(kTold);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kNeighbour));
-      // Once known to be innocent, it isn't suspected again soon.
+      zone.run(kPropagationTime);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kInnocentRequest));
+      // The recent answer protects the request against further crashes as well.
       for (int engine = 4; engine <= 6; ++engine) {
-        zone.crash(static_cast<std::size_t>(engine), kNeighbour, engine);
+        zone.crash(static_cast<std::size_t>(engine), kInnocentRequest, engine);
       }
-      zone.run(kTold);
-      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kNeighbour));
+      zone.run(kPropagationTime);
+      CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kInnocentRequest));
     }
   }
 
-  void aLateAnswerFreesTheRequestEverywhere() {
+  void lateAnswerReleasesRequestOnAllNodes() {
     QuarantineZone zone(60);
     crashThree(zone);
-    zone.run(kTold);
-    zone.at(40).answered(kCulprit);
+    zone.run(kPropagationTime);
+    zone.at(40).answered(kCrashingRequest);
     zone.run(seconds(5));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void nodesThatStartLearnIt() {
+  void startingNodesLearnQuarantine() {
     for (const std::size_t nodes : {9, 60}) {
       QuarantineZone zone(nodes);
       crashThree(zone);
-      zone.run(kTold);
+      zone.run(kPropagationTime);
       zone.add();
       zone.restart(3);
-      zone.tellMembers();
+      zone.updateMembers();
       zone.run(seconds(2));
-      CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+      CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
     }
   }
 
-  void outlivesAllNodes() {
+  void survivesRestartOfAllNodes() {
     QuarantineZone zone(9);
     crashThree(zone);
-    zone.run(kTold);
+    zone.run(kPropagationTime);
     restartAll(zone);
     zone.run(seconds(2));
-    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void reachesANodeThatIsCutOffThroughTheStore() {
+  void isolatedNodeLearnsQuarantineFromStore() {
     for (std::size_t cut = 0; cut < 9; ++cut) {
       QuarantineZone zone(9);
       zone.run(seconds(1));
       zone.cutOff(cut);
       zone.run(seconds(3));
       for (int engine = 1; engine <= 3; ++engine) {
-        zone.crash((cut + static_cast<std::size_t>(engine)) % zone.size(), kCulprit, engine);
+        zone.crash((cut + static_cast<std::size_t>(engine)) % zone.size(), kCrashingRequest,
+                   engine);
         zone.run(milliseconds(100));
       }
       zone.run(seconds(3));
-      CPPUNIT_ASSERT_MESSAGE("node " + std::to_string(cut), zone.quarantinedFor(cut, kCulprit));
-      CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+      CPPUNIT_ASSERT_MESSAGE("node " + std::to_string(cut),
+                             zone.isQuarantined(cut, kCrashingRequest));
+      CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
     }
   }
 
-  void outlivesAllNodesThoughTheStoreWasDown() {
+  void survivesRestartOfAllNodesAfterStoreOutage() {
     QuarantineZone zone(9);
     zone.platform().setDown(true);
     crashThree(zone);
@@ -221,50 +223,51 @@
     zone.run(seconds(2));
     zone.platform().setDown(false);
     zone.run(seconds(3));
-    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void oneCountingNodeMayEnd() {
+  void toleratesLossOfOneCountingNode() {
     for (std::size_t lost = 0; lost < 9; ++lost) {
       QuarantineZone zone(9);
       const std::size_t reporter = (lost + 1) % zone.size();
-      zone.crash(reporter, kCulprit, 1);
-      zone.crash(reporter, kCulprit, 2);
+      zone.crash(reporter, kCrashingRequest, 1);
+      zone.crash(reporter, kCrashingRequest, 2);
       zone.run(milliseconds(200));
       zone.end(lost);
-      zone.tellMembers();
-      zone.crash((lost + 2) % zone.size(), kCulprit, 3);
-      zone.run(kTold);
+      zone.updateMembers();
+      zone.crash((lost + 2) % zone.size(), kCrashingRequest, 3);
+      zone.run(kPropagationTime);
       CPPUNIT_ASSERT_EQUAL_MESSAGE("without node " + std::to_string(lost), zone.size() - 1,
-                                   zone.nodesThatKeepAway(kCulprit));
+                                   zone.nodesThatQuarantine(kCrashingRequest));
     }
   }
 
-  /// Both nodes that counted have ended.
-  void aNodeThatBeginsToCountIsToldOfEarlierCrashes() {
+  /// Both counting nodes are killed, so that their successors depend on complete crash reports.
+  void newCountingNodesReceiveEarlierCrashes() {
     QuarantineZone zone(9);
-    const auto counting = zone.countingNodes(kCulprit, 2);
+    const auto counting = zone.countingNodes(kCrashingRequest, 2);
     std::size_t reporter = 0;
     while (std::count(counting.begin(), counting.end(), reporter) != 0) {
       ++reporter;
     }
-    zone.crash(reporter, kCulprit, 1);
-    zone.crash(reporter, kCulprit, 2);
+    zone.crash(reporter, kCrashingRequest, 1);
+    zone.crash(reporter, kCrashingRequest, 2);
     zone.run(milliseconds(200));
     for (const std::size_t node : counting) {
       zone.end(node);
     }
-    zone.tellMembers();
-    zone.crash(reporter, kCulprit, 3);
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(zone.size() - 2, zone.nodesThatKeepAway(kCulprit));
+    zone.updateMembers();
+    zone.crash(reporter, kCrashingRequest, 3);
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(zone.size() - 2, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  /// While nodes are replaced one after the other, those that count must be among the new ones.
-  void worksBesideNodesOfAnEarlierBuild() {
+  /// During a rolling upgrade, only nodes of the new build may count crashes.
+  void worksWithNodesOfEarlierBuild() {
     constexpr std::size_t kNodes = 9;
     for (std::size_t earlier = 1; earlier < kNodes - 1; ++earlier) {
-      for (common::RequestFingerprint request = kCulprit; request < kCulprit + 5; ++request) {
+      for (common::RequestFingerprint request = kCrashingRequest; request < kCrashingRequest + 5;
+           ++request) {
         QuarantineZone zone(kNodes);
         zone.runEarlierBuild(0, earlier - 1);
         for (int engine = 1; engine <= 3; ++engine) {
@@ -272,72 +275,72 @@
                      engine);
           zone.run(milliseconds(100));
         }
-        zone.run(kTold);
-        CPPUNIT_ASSERT_EQUAL(kNodes - earlier, zone.nodesThatKeepAway(request));
+        zone.run(kPropagationTime);
+        CPPUNIT_ASSERT_EQUAL(kNodes - earlier, zone.nodesThatQuarantine(request));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.messagesNotHandled());
       }
     }
   }
 
-  void isForgottenOnceItNoLongerComes() {
+  void expiresWithoutFurtherRequests() {
     QuarantineZone zone(9);
     crashThree(zone);
     zone.run(zone.settings.memory + seconds(10));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
-    // Nor is it read again from the store.
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
+    // The expired entry must be gone from the store, too.
     restartAll(zone);
     zone.run(seconds(3));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void lastsWhileItComes() {
+  void lastsWhileRequestsArrive() {
     QuarantineZone zone(9);
     crashThree(zone);
-    zone.run(kTold);
+    zone.run(kPropagationTime);
     for (int i = 0; i < 4; ++i) {
       zone.run(zone.settings.memory / 2);
-      CPPUNIT_ASSERT(zone.at(5).quarantinedFor(kCulprit).has_value());
+      CPPUNIT_ASSERT(zone.at(5).quarantinedFor(kCrashingRequest).has_value());
     }
   }
 
-  void isBoundedInNumber() {
+  void listSizeIsBounded() {
     QuarantineZone zone(1);
-    zone.settings.suspects = 100;
-    zone.settings.kept_away = 10;
+    zone.settings.maximum_tracked_requests = 100;
+    zone.settings.maximum_quarantined = 10;
     zone.restart(0);
     for (common::RequestFingerprint request = 1; request <= 300; ++request) {
       crashThree(zone, request);
     }
-    zone.run(kTold);
+    zone.run(kPropagationTime);
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, zone.at(0).all().size());
   }
 
-  void messagesOfANodeDoNotGrowWithTheZone() {
-    constexpr double kMostMessages = 12;
+  void messagesPerNodeAreIndependentOfZoneSize() {
+    constexpr double kMaximumMessages = 12;
     for (const std::size_t nodes : {30, 100, 300, 1000}) {
       QuarantineZone zone(nodes);
       crashThree(zone);
-      zone.run(kTold);
+      zone.run(kPropagationTime);
       const double each = static_cast<double>(zone.messages()) / static_cast<double>(zone.size());
       CPPUNIT_ASSERT_MESSAGE(std::to_string(nodes) + " nodes: " + std::to_string(each),
-                             each < kMostMessages);
+                             each < kMaximumMessages);
     }
   }
 
-  void offKeepsNothingAway() {
+  void nothingIsQuarantinedWhenDisabled() {
     QuarantineZone zone(2);
     zone.settings.quarantines = false;
     restartAll(zone);
     crashThree(zone);
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(kCulprit));
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(kCrashingRequest));
   }
 
-  void requestsWithoutFingerprintAreLeftAlone() {
+  void requestsWithoutFingerprintAreIgnored() {
     QuarantineZone zone(2);
     crashThree(zone, 0);
-    zone.run(kTold);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatKeepAway(0));
+    zone.run(kPropagationTime);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.nodesThatQuarantine(0));
   }
 
   void unreadableStoredListIsReplaced() {
@@ -349,11 +352,12 @@
     zone.run(seconds(2));
     restartAll(zone);
     zone.run(seconds(2));
-    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatKeepAway(kCulprit));
+    CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
   }
 
  private:
-  static void crashThree(QuarantineZone& zone, common::RequestFingerprint request = kCulprit) {
+  static void crashThree(QuarantineZone& zone,
+                         common::RequestFingerprint request = kCrashingRequest) {
     for (int engine = 1; engine <= 3; ++engine) {
       zone.crash(static_cast<std::size_t>(engine) % zone.size(), request, engine);
       zone.run(milliseconds(100));
@@ -363,7 +367,7 @@
     for (std::size_t node = 0; node < zone.size(); ++node) {
       zone.restart(node);
     }
-    zone.tellMembers();
+    zone.updateMembers();
   }
 };
 
--- a/tests/quarantine/quarantine_zone.h
+++ b/tests/quarantine/quarantine_zone.h
@@ -1,5 +1,5 @@
-/// Nodes of one zone with their quarantines, engines that run or not, and the platform's store, in
-/// virtual time.
+/// Simulated zone in virtual time: nodes with a FleetQuarantine each, engines that can be crashed,
+/// and the platform's object store.
 #pragma once
 
 #include <algorithm>
@@ -21,20 +21,20 @@
     for (std::size_t i = 0; i < node_count; ++i) {
       add();
     }
-    tellMembers();
+    updateMembers();
   }
 
-  /// Starts one more node; it and the others know of each other after tellMembers().
+  /// Starts one more node, which the others see only after updateMembers().
   void add() {
     nodes_.emplace_back();
     startNode(nodes_.size() - 1);
   }
-  /// Ends a node and starts it anew, knowing nothing.
+  /// Kills a node and starts it again without its former state.
   void restart(std::size_t node) {
     nodes_[node].process->kill();
     startNode(node);
   }
-  /// \return the nodes that count the crashes of the request
+  /// \return the indices of the nodes that count the crashes of the request
   std::vector<std::size_t> countingNodes(common::RequestFingerprint request,
                                          std::size_t count) const {
     std::vector<common::NodeId> ids;
@@ -52,7 +52,7 @@
     nodes_[node].process->kill();
     nodes_[node].process = nullptr;
   }
-  void tellMembers() {
+  void updateMembers() {
     std::vector<common::NodeId> ids;
     for (const Node& node : nodes_) {
       if (node.process != nullptr) {
@@ -65,7 +65,7 @@
       }
     }
   }
-  /// These nodes run a build that knows no quarantine: they count nothing and keep nothing away.
+  /// Makes the nodes behave like a build without quarantine: they handle none of its messages.
   void runEarlierBuild(std::size_t first, std::size_t last) {
     for (const Node& node : nodes_) {
       for (std::size_t earlier = first; earlier <= last; ++earlier) {
@@ -84,12 +84,12 @@
     return count;
   }
   void endEngine(int engine) { engines_[endpoint(engine).address].reachable = false; }
-  /// An engine that runs, but doesn't answer the next questions.
-  void loseQuestions(int engine, std::uint32_t count) {
+  /// Starts an engine that does not answer its next `count` probes.
+  void loseProbes(int engine, std::uint32_t count) {
     runEngine(engine);
     engines_[endpoint(engine).address].questions_to_lose = count;
   }
-  /// The node reaches the store only, and each side takes the other for dead.
+  /// Isolates a node from its peers, not from the store; each side considers the other dead.
   void cutOff(std::size_t cut) {
     std::vector<common::NodeId> others;
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
@@ -106,7 +106,7 @@
                                                       : others);
     }
   }
-  /// The node is about to be taken away.
+  /// Marks the node as leaving.
   void leave(std::size_t leaving) {
     for (const Node& node : nodes_) {
       auto members = node.membership->members();
@@ -117,11 +117,10 @@
       node.membership->setMembers(std::move(members));
     }
   }
-  /// An engine that nothing happened to.
   void runEngine(int engine) { engines_[endpoint(engine).address].reachable = true; }
   void run(common::Duration time) { simulation_.time().runFor(time); }
 
-  /// An engine ends under a stream of the request that this node had sent there.
+  /// Crashes an engine and breaks the stream of the request that the node had started on it.
   void crash(std::size_t node, common::RequestFingerprint request, int engine) {
     endEngine(engine);
     breakStream(node, request, engine);
@@ -130,25 +129,25 @@
     nodes_[node].quarantine->streamBroken(request, endpoint(engine));
   }
   quarantine::FleetQuarantine& at(std::size_t node) { return *nodes_[node].quarantine; }
-  bool quarantinedFor(std::size_t node, common::RequestFingerprint request) const {
+  bool isQuarantined(std::size_t node, common::RequestFingerprint request) const {
     const auto kept = nodes_[node].quarantine->all();
     return std::any_of(kept.begin(), kept.end(),
                        [request](const auto& entry) { return entry.request == request; });
   }
-  std::size_t nodesThatKeepAway(common::RequestFingerprint request) const {
+  std::size_t nodesThatQuarantine(common::RequestFingerprint request) const {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      count += nodes_[node].process != nullptr && quarantinedFor(node, request) ? 1 : 0;
+      count += nodes_[node].process != nullptr && isQuarantined(node, request) ? 1 : 0;
     }
     return count;
   }
   std::size_t size() const { return nodes_.size(); }
-  std::uint64_t engineQuestions() const {
-    std::uint64_t questions = 0;
+  std::uint64_t engineProbes() const {
+    std::uint64_t probes = 0;
     for (const auto& [address, engine] : engines_) {
-      questions += engine.load_reads;
+      probes += engine.load_reads;
     }
-    return questions;
+    return probes;
   }
   std::uint64_t messages() { return simulation_.network().deliveredMessages(); }
   simulation::SimulatedPlatform& platform() { return platform_; }
