--- a/src/cypresswall/duties/collectors.cpp
+++ b/src/cypresswall/duties/collectors.cpp
@@ -27,8 +27,8 @@
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(wanted),
                     ranked.end(), std::greater<>());
   std::vector<common::NodeId> collectors;
-  for (std::size_t place = 0; place < wanted; ++place) {
-    collectors.push_back(std::get<common::NodeId>(ranked[place]));
+  for (std::size_t rank = 0; rank < wanted; ++rank) {
+    collectors.push_back(std::get<common::NodeId>(ranked[rank]));
   }
   return collectors;
 }
--- a/src/cypresswall/duties/collectors.h
+++ b/src/cypresswall/duties/collectors.h
@@ -1,4 +1,4 @@
-/// Which nodes collect the counts of all and hold the fleet's duties.
+/// Choice of the nodes that collect the usage counts of the fleet and perform its duties.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,12 @@
 
 namespace cypresswall::duties {
 
-/// \return the nodes that collect the counts of all, the one that reports first: those with the
-///   widest links that run, the same on every node without a word exchanged.
+/// \return the live nodes with the fastest links, in order; the first one reports. Computed from
+///   the member list alone, so that all nodes agree without exchanging messages.
 std::vector<common::NodeId> collectorsOf(const membership::MembershipView& membership,
                                          std::size_t count);
 
-/// Ranks the nodes anew only after a change of members, since it is asked many times a second.
+/// Caches the ranking until the next membership change, since it is queried many times a second.
 class Collectors {
  public:
   /// \pre `membership` outlives this object
@@ -25,7 +25,7 @@
   Collectors(const Collectors&) = delete;
   Collectors& operator=(const Collectors&) = delete;
 
-  /// \return the collectors, the first one first; valid until the next change of members
+  /// \return the collectors by rank; valid until the next membership change
   const std::vector<common::NodeId>& all() const {
     if (outdated_) {
       collectors_ = collectorsOf(membership_, count_);
@@ -33,7 +33,7 @@
     }
     return collectors_;
   }
-  /// \return the node that holds the duties while it runs; empty if there is none
+  /// \return the node that performs the duties while it is alive; empty if there is none
   common::NodeId first() const { return all().empty() ? common::NodeId{} : all().front(); }
 
  private:
--- a/src/cypresswall/duties/duty_platform.h
+++ b/src/cypresswall/duties/duty_platform.h
@@ -1,6 +1,5 @@
-/// Calls of the platform that are the duty of one node of the whole fleet at a time: what the fleet
-/// served, and how many engines it wants. Implemented by the platform's client and by the
-/// simulator.
+/// Calls to the platform that one node makes for the whole fleet at a time: usage reports and
+/// capacity orders. Implemented by the platform's client and by the simulator.
 #pragma once
 
 #include <cstdint>
@@ -13,49 +12,49 @@
 
 namespace cypresswall::duties {
 
-/// Under which authority a call is made.
+/// Authority under which a call is made.
 struct DutyAuthority {
   common::MachineName holder;
-  /// Fencing token: rises with each holder, and no two holders use one.
+  /// Fencing token: increases with each holder and is never shared by two holders.
   std::uint32_t token = 0;
 };
 
-/// Why a call did not do what it was to do.
+/// Reason why a call failed.
 enum class DutyFailure : std::uint8_t {
-  kUnavailable,     ///< the platform did nothing; it may later
-  kUnknownOutcome,  ///< no answer: it may have been done, or be done seconds later
+  kUnavailable,     ///< the platform did nothing; a retry may succeed
+  kUnknownOutcome,  ///< no answer: the call may have taken effect, or may do so seconds later
   kSuperseded,      ///< the platform has seen a higher fencing token
-  kNoneAvailable,   ///< no engines of that kind are to be had there now
-  kInvalid,         ///< the platform can't read the call
+  kNoneAvailable,   ///< no engines of that kind are available in that zone now
+  kInvalid,         ///< the platform rejected the call as malformed
 };
 
-/// \return the name of a failure in logs, "none" for a call that did what it was to do.
+/// \return the name of a failure in logs, "none" for success.
 const char* toString(std::optional<DutyFailure> failure);
 
 using TenantCounts = std::map<common::TenantName, std::uint64_t>;
 
-/// The requests of one window of time that began to run, by tenant.
+/// Requests that started to run in one time window, by tenant.
 struct UsageReport {
-  /// Window k begins k window lengths after the start of 1970.
+  /// Window k begins k window lengths after the Unix epoch.
   std::uint64_t window = 0;
   TenantCounts counts;
 
   bool operator==(const UsageReport&) const = default;
 };
 
-/// How many engines a service is to have in one of the platform's zones.
+/// Target number of engines of a service in one of the platform's zones.
 struct CapacityOrder {
-  /// The platform's name of the service.
+  /// Name of the service on the platform.
   std::string service;
   std::string zone;
   std::uint32_t engines = 0;
-  /// Engines that cost less and may be taken away; the two kinds are counted apart.
+  /// Cheaper engines that the platform may reclaim. Both kinds are ordered separately.
   bool preemptible = false;
 
   bool operator==(const CapacityOrder&) const = default;
 };
 
-/// Called once, never before the call returns; without a failure the call was carried out.
+/// Called once, never before the call returns; no failure means that the call was executed.
 using DutyCallback = std::function<void(std::optional<DutyFailure>)>;
 
 class DutyPlatform {
--- a/src/cypresswall/duties/fleet_duties.cpp
+++ b/src/cypresswall/duties/fleet_duties.cpp
@@ -28,12 +28,12 @@
       lease_(settings.lease, kDutiesLeaseKey, context, membership, store),
       collector_(settings.usage, context, membership, collectors_, time_),
       counter_(settings.usage, context, membership, collectors_, time_,
-               [this](const UsageTold& told) { collector_.onTold(context_.self, told); }),
+               [this](const UsageUpdate& update) { collector_.onUpdate(context_.self, update); }),
       reporter_(settings.usage, context, membership, collectors_, machine_, time_, collector_,
                 lease_, store, platform_) {}
 
 void FleetDuties::start() {
-  if (!settings_.usage.reports && further_work_.empty()) {
+  if (!settings_.usage.reports && additional_work_.empty()) {
     return;
   }
   counter_.start();
@@ -46,8 +46,9 @@
 
 void FleetDuties::tick() {
   context_.scheduler.schedule(kTickInterval, [this] { tick(); });
-  lease_.setNeeded(reporter_.needed() || std::any_of(further_work_.begin(), further_work_.end(),
-                                                     [](const auto& needed) { return needed(); }));
+  lease_.setNeeded(reporter_.needed() ||
+                   std::any_of(additional_work_.begin(), additional_work_.end(),
+                               [](const auto& needed) { return needed(); }));
 }
 
 }  // namespace cypresswall::duties
--- a/src/cypresswall/duties/fleet_duties.h
+++ b/src/cypresswall/duties/fleet_duties.h
@@ -1,5 +1,5 @@
-/// The duties of one node of the whole fleet, put together: who holds them, what is counted and
-/// reported.
+/// Duties that one node performs for the whole fleet: the lease that selects the node, the
+/// collection of usage counts and their reports.
 #pragma once
 
 #include <functional>
@@ -21,17 +21,17 @@
 
 struct DutySettings {
   UsageSettings usage;
-  /// The hand-over gap has to outlast the platform's own bound on holders that take turns.
+  /// The hand-over gap must exceed the platform's own limit on how fast holders may alternate.
   lease::StoreLeaseSettings lease;
 };
 
-/// Key of the lease that all duties of the fleet share.
+/// Store key of the lease that all duties of the fleet share.
 inline constexpr const char* kDutiesLeaseKey = "duties/lease";
 
-/// Answers every call at once: nothing was done. For platforms without such duties.
-class NoDutyPlatform final : public DutyPlatform {
+/// Fails every call with kUnavailable. For platforms without such duties.
+class NullDutyPlatform final : public DutyPlatform {
  public:
-  explicit NoDutyPlatform(common::Scheduler& scheduler) : scheduler_(scheduler) {}
+  explicit NullDutyPlatform(common::Scheduler& scheduler) : scheduler_(scheduler) {}
   void reportUsage(const DutyAuthority& /*authority*/, const UsageReport& /*report*/,
                    DutyCallback callback) override {
     refuse(std::move(callback));
@@ -49,11 +49,11 @@
   common::Scheduler& scheduler_;
 };
 
-/// Takes the lease only while there is something to do: a fleet at rest makes no call.
+/// Requests the lease only while there is work, so that an idle fleet makes no calls.
 class FleetDuties {
  public:
   /// \pre all references outlive this object
-  /// \param platform null if it has no such duties
+  /// \param platform null if the platform has no such duties
   /// \param time_of_day may be empty if no usage is reported
   FleetDuties(const DutySettings& settings, const api::ProcessContext& context,
               membership::MembershipView& membership, common::MachineName machine,
@@ -63,7 +63,7 @@
   FleetDuties& operator=(const FleetDuties&) = delete;
 
   void start();
-  /// Takes no duty any more; see flushUsage() for what is not told yet.
+  /// Releases the lease for good; flushUsage() sends the counts that are still unsent.
   void resign();
   void flushUsage() { counter_.flushUsage(); }
 
@@ -73,8 +73,9 @@
   DutyPlatform& platform() { return platform_; }
   const Collectors& collectors() const { return collectors_; }
   const common::MachineName& machine() const { return machine_; }
-  /// Further work of the holder. \param needed asked at each tick whether there is some
-  void addWork(std::function<bool()> needed) { further_work_.push_back(std::move(needed)); }
+  /// Adds work that requires the lease. \param needed called at each tick, returns true if the
+  ///   lease is needed
+  void addWork(std::function<bool()> needed) { additional_work_.push_back(std::move(needed)); }
 
  private:
   void tick();
@@ -82,7 +83,7 @@
   const DutySettings settings_;
   const api::ProcessContext& context_;
   const common::MachineName machine_;
-  NoDutyPlatform no_platform_;
+  NullDutyPlatform no_platform_;
   DutyPlatform& platform_;
   FleetTime time_;
   Collectors collectors_;
@@ -90,7 +91,7 @@
   UsageCollector collector_;
   UsageCounter counter_;
   UsageReporter reporter_;
-  std::vector<std::function<bool()>> further_work_;
+  std::vector<std::function<bool()>> additional_work_;
 };
 
 }  // namespace cypresswall::duties
--- a/src/cypresswall/duties/usage_collector.cpp
+++ b/src/cypresswall/duties/usage_collector.cpp
@@ -6,10 +6,10 @@
 namespace cypresswall::duties {
 namespace {
 
-/// Messages of a node of which the one that was fastest on its way tells the node's time.
-constexpr std::uint32_t kTimesTold = 4;
-/// The middle of fewer nodes' times proves nothing.
-constexpr std::size_t kLeastClocks = 3;
+/// Messages per estimate of a node's clock offset; the one with the least network delay is used.
+constexpr std::uint32_t kClockSamples = 4;
+/// Minimum number of nodes whose median clock counts as the fleet's time.
+constexpr std::size_t kMinimumClocks = 3;
 
 }  // namespace
 
@@ -21,68 +21,70 @@
       membership_(membership),
       ranking_(collectors),
       time_(time),
-      asked_again_(context.counters.counter("cypresswall_usage_asked_again_total",
-                                            "Messages with counts that did not arrive")),
+      resync_requests_(context.counters.counter("cypresswall_usage_asked_again_total",
+                                                "Messages with counts that did not arrive")),
       corrected_(context.counters.counter("cypresswall_usage_clock_corrections_total",
                                           "Corrections of this node's time by a collector")) {
-  context_.dispatcher.handle<UsageTold>(
-      [this](const common::NodeId& sender, const UsageTold& told) { onTold(sender, told); });
+  context_.dispatcher.handle<UsageUpdate>(
+      [this](const common::NodeId& sender, const UsageUpdate& update) {
+        onUpdate(sender, update);
+      });
   context_.dispatcher.handle<ClockCorrection>(
       [this](const common::NodeId& sender, const ClockCorrection& correction) {
         corrected_.add();
         common::LogEvent(context_.log, common::LogLevel::kWarning, "clock_corrected")
-            .field("ahead_us", correction.ahead)
+            .field("ahead_us", correction.clock_offset)
             .field("collector", sender.address);
-        time_.correct(common::Duration(correction.ahead));
+        time_.correct(common::Duration(correction.clock_offset));
       });
 }
 
-void UsageCollector::onTold(const common::NodeId& sender, const UsageTold& told) {
+void UsageCollector::onUpdate(const common::NodeId& sender, const UsageUpdate& update) {
   if (!settings_.reports) {
     return;
   }
-  NodeCounts& counts = nodes_[told.node];
-  merge(counts, told.windows);
-  if (told.node != sender) {
+  NodeCounts& counts = nodes_[update.node];
+  merge(counts, update.windows);
+  if (update.node != sender) {
     return;
   }
-  const bool next = told.sequence == counts.last_sequence + 1;
-  counts.last_sequence = std::max(counts.last_sequence, told.sequence);
-  counts.whole = told.complete || (counts.whole && next);
-  if (counts.whole) {
-    counts.closed_through = std::max(counts.closed_through, told.closed_through);
+  const bool next = update.sequence == counts.last_sequence + 1;
+  counts.last_sequence = std::max(counts.last_sequence, update.sequence);
+  counts.gap_free = update.complete || (counts.gap_free && next);
+  if (counts.gap_free) {
+    counts.closed_through = std::max(counts.closed_through, update.closed_through);
   } else if (sender != context_.self) {
-    asked_again_.add();
-    context_.sendTo(sender, UsageAsk{counts.last_sequence});
+    resync_requests_.add();
+    context_.sendTo(sender, UsageResyncRequest{counts.last_sequence});
   }
-  noteTime(sender, counts, common::Duration(told.time));
+  recordClockSample(sender, counts, common::Duration(update.time));
 }
 
 void UsageCollector::merge(NodeCounts& counts, const std::vector<WindowCounts>& windows) const {
-  for (const WindowCounts& told : windows) {
-    if (told.window <= forgotten_through_) {
+  for (const WindowCounts& update : windows) {
+    if (update.window <= discarded_through_) {
       continue;
     }
-    TenantCounts& known = counts.windows[told.window];
-    for (const auto& [tenant, count] : told.counts) {
+    TenantCounts& known = counts.windows[update.window];
+    for (const auto& [tenant, count] : update.counts) {
       std::uint64_t& sum = known[tenant];
       sum = std::max(sum, count);
     }
   }
 }
 
-void UsageCollector::noteTime(const common::NodeId& sender, NodeCounts& counts,
-                              common::Duration told_time) {
-  const common::Duration ahead = told_time - time_.now();
-  counts.ahead = std::max(counts.ahead.value_or(ahead), ahead);
-  if (++counts.times_told < kTimesTold) {
+void UsageCollector::recordClockSample(const common::NodeId& sender, NodeCounts& counts,
+                                       common::Duration sender_time) {
+  const common::Duration clock_offset = sender_time - time_.now();
+  counts.clock_offset = std::max(counts.clock_offset.value_or(clock_offset), clock_offset);
+  if (++counts.clock_samples < kClockSamples) {
     return;
   }
-  const auto fleet = fleetAhead();
-  const common::Duration own = std::exchange(counts.ahead, std::nullopt).value();
-  counts.times_told = 0;
-  counts.ahead = own;
-  // One collector judges, so that nobody is corrected twice.
+  const auto fleet = medianClockOffset();
+  const common::Duration own = std::exchange(counts.clock_offset, std::nullopt).value();
+  counts.clock_samples = 0;
+  counts.clock_offset = own;
+  // Only the first collector sends corrections, so that no node is corrected twice.
   if (!fleet || ranking_.first() != context_.self) {
     return;
   }
@@ -90,35 +92,35 @@
   if (std::chrono::abs(difference) <= settings_.clock_tolerance) {
     return;
   }
-  counts.ahead.reset();
+  counts.clock_offset.reset();
   if (sender == context_.self) {
     time_.correct(difference);
     for (auto& [node, other] : nodes_) {
-      other.ahead.reset();
-      other.times_told = 0;
+      other.clock_offset.reset();
+      other.clock_samples = 0;
     }
   } else {
     context_.sendTo(sender, ClockCorrection{difference.count()});
   }
 }
 
-std::optional<common::Duration> UsageCollector::fleetAhead() const {
-  std::vector<common::Duration> aheads;
+std::optional<common::Duration> UsageCollector::medianClockOffset() const {
+  std::vector<common::Duration> offsets;
   for (const membership::Member& member : membership_.members()) {
     const auto found = nodes_.find(member.node);
-    if (found != nodes_.end() && found->second.ahead) {
-      aheads.push_back(*found->second.ahead);
+    if (found != nodes_.end() && found->second.clock_offset) {
+      offsets.push_back(*found->second.clock_offset);
     }
   }
-  if (aheads.size() < kLeastClocks) {
+  if (offsets.size() < kMinimumClocks) {
     return std::nullopt;
   }
-  const auto middle = aheads.begin() + static_cast<std::ptrdiff_t>(aheads.size() / 2);
-  std::nth_element(aheads.begin(), middle, aheads.end());
+  const auto middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
+  std::nth_element(offsets.begin(), middle, offsets.end());
   return *middle;
 }
 
-void UsageCollector::handOn() {
+void UsageCollector::transferToNewCollectors() {
   const auto& collectors = ranking_.all();
   if (collectors == collectors_) {
     return;
@@ -135,32 +137,32 @@
   if (added.empty()) {
     return;
   }
-  if (forgotten_through_ > 0) {
-    context_.sendToAll(added, UsageSettled{forgotten_through_});
+  if (discarded_through_ > 0) {
+    context_.sendToAll(added, UsageReportedThrough{discarded_through_});
   }
   for (const auto& [node, counts] : nodes_) {
     if (counts.windows.empty()) {
       continue;
     }
-    UsageTold told;
-    told.node = node;
+    UsageUpdate update;
+    update.node = node;
     for (const auto& [window, of_window] : counts.windows) {
-      told.windows.push_back({window, of_window});
+      update.windows.push_back({window, of_window});
     }
-    context_.sendToAll(added, told);
+    context_.sendToAll(added, update);
   }
 }
 
-bool UsageCollector::counts(const membership::Member& member) const {
+bool UsageCollector::reportsUsage(const membership::Member& member) const {
   return membership_.handles(member.node, api::MessageSet::kUsage);
 }
 
-bool UsageCollector::complete(std::uint64_t window) const { return missing(window) == 0; }
+bool UsageCollector::complete(std::uint64_t window) const { return missingNodes(window) == 0; }
 
-std::size_t UsageCollector::missing(std::uint64_t window) const {
+std::size_t UsageCollector::missingNodes(std::uint64_t window) const {
   std::size_t count = 0;
   for (const membership::Member& member : membership_.members()) {
-    if (!counts(member)) {
+    if (!reportsUsage(member)) {
       continue;
     }
     const auto found = nodes_.find(member.node);
@@ -183,11 +185,11 @@
   return sums;
 }
 
-void UsageCollector::forgetThrough(std::uint64_t window) {
-  if (window <= forgotten_through_) {
+void UsageCollector::discardThrough(std::uint64_t window) {
+  if (window <= discarded_through_) {
     return;
   }
-  forgotten_through_ = window;
+  discarded_through_ = window;
   const auto& members = membership_.members();
   for (auto& [node, counts] : nodes_) {
     counts.windows.erase(counts.windows.begin(), counts.windows.upper_bound(window));
--- a/src/cypresswall/duties/usage_collector.h
+++ b/src/cypresswall/duties/usage_collector.h
@@ -1,4 +1,4 @@
-/// Sums up what all nodes tell of the requests that they served.
+/// Sums up the usage counts of all nodes.
 #pragma once
 
 #include <cstdint>
@@ -16,47 +16,48 @@
 
 namespace cypresswall::duties {
 
-/// Kept by each collector, whether or not it reports, so that the loss of the others loses nothing.
-/// What a node told stays after the node has ended.
+/// Runs on each collector, whether or not it reports, so that no counts are lost as long as one
+/// collector survives. The counts of a node are kept after it has ended.
 class UsageCollector {
  public:
-  /// Registers the handlers of UsageTold and ClockCorrection. \pre all references outlive this
+  /// Registers the handlers of UsageUpdate and ClockCorrection. \pre all references outlive this
   UsageCollector(const UsageSettings& settings, const api::ProcessContext& context,
                  const membership::MembershipView& membership, const Collectors& collectors,
                  FleetTime& time);
   UsageCollector(const UsageCollector&) = delete;
   UsageCollector& operator=(const UsageCollector&) = delete;
 
-  void onTold(const common::NodeId& sender, const UsageTold& told);
-  /// Hands on to collectors that are new what nodes told: one that has ended, perhaps unnoticed so
-  /// far, can't tell it again.
-  void handOn();
+  void onUpdate(const common::NodeId& sender, const UsageUpdate& update);
+  /// Forwards the counts of all nodes to new collectors: a node that has ended, possibly without
+  /// having been detected as dead yet, cannot send them again.
+  void transferToNewCollectors();
 
-  /// \return true once every node that is there has told all that it will count in the window
+  /// \return true once the counts of every member for the window are final
   bool complete(std::uint64_t window) const;
-  /// \return the nodes that are there and have not told all of the window
-  std::size_t missing(std::uint64_t window) const;
-  /// \return the sums of a window as far as they were told
+  /// \return the number of members whose counts for the window are not final yet
+  std::size_t missingNodes(std::uint64_t window) const;
+  /// \return the sums of the counts received for a window
   TenantCounts sum(std::uint64_t window) const;
-  /// Forgets windows up to this one.
-  void forgetThrough(std::uint64_t window);
+  /// Discards windows up to this one.
+  void discardThrough(std::uint64_t window);
 
  private:
   struct NodeCounts {
     std::uint64_t last_sequence = 0;
-    /// No message was missed since the last complete one.
-    bool whole = false;
+    /// True if no message was missed since the last complete one.
+    bool gap_free = false;
     std::uint64_t closed_through = 0;
     std::map<std::uint64_t, TenantCounts> windows;
-    /// How far the node's time was before this one's at its last messages, less their way.
-    std::optional<common::Duration> ahead;
-    std::uint32_t times_told = 0;
+    /// How far the node's time was ahead of this node's in its last messages, less network delay.
+    std::optional<common::Duration> clock_offset;
+    std::uint32_t clock_samples = 0;
   };
 
-  bool counts(const membership::Member& member) const;
+  bool reportsUsage(const membership::Member& member) const;
   void merge(NodeCounts& counts, const std::vector<WindowCounts>& windows) const;
-  void noteTime(const common::NodeId& sender, NodeCounts& counts, common::Duration told_time);
-  std::optional<common::Duration> fleetAhead() const;
+  void recordClockSample(const common::NodeId& sender, NodeCounts& counts,
+                         common::Duration sender_time);
+  std::optional<common::Duration> medianClockOffset() const;
 
   const UsageSettings settings_;
   const api::ProcessContext& context_;
@@ -65,8 +66,8 @@
   FleetTime& time_;
   std::map<common::NodeId, NodeCounts> nodes_;
   std::vector<common::NodeId> collectors_;
-  std::uint64_t forgotten_through_ = 0;
-  common::Counter& asked_again_;
+  std::uint64_t discarded_through_ = 0;
+  common::Counter& resync_requests_;
   common::Counter& corrected_;
 };
 
--- a/src/cypresswall/duties/usage_counter.cpp
+++ b/src/cypresswall/duties/usage_counter.cpp
@@ -7,17 +7,19 @@
 UsageCounter::UsageCounter(const UsageSettings& settings, const api::ProcessContext& context,
                            const membership::MembershipView& membership,
                            const Collectors& collectors, const FleetTime& time,
-                           std::function<void(const UsageTold&)> tell_self)
+                           std::function<void(const UsageUpdate&)> local_collector)
     : settings_(settings),
       context_(context),
       membership_(membership),
       collectors_(collectors),
       time_(time),
-      tell_self_(std::move(tell_self)),
+      local_collector_(std::move(local_collector)),
       counted_(context.counters.counter("cypresswall_usage_requests_total",
                                         "Requests that began to run, counted for tenants")) {
-  context_.dispatcher.handle<UsageAsk>(
-      [this](const common::NodeId& sender, const UsageAsk&) { told_[sender].asked = true; });
+  context_.dispatcher.handle<UsageResyncRequest>(
+      [this](const common::NodeId& sender, const UsageResyncRequest&) {
+        collector_states_[sender].resync_requested = true;
+      });
 }
 
 void UsageCounter::start() {
@@ -43,49 +45,51 @@
 
 common::Duration UsageCounter::interval() const {
   const double nodes = static_cast<double>(membership_.members().size());
-  return std::max(settings_.tell_interval, common::fromSeconds(nodes / settings_.told_per_second));
+  return std::max(settings_.update_interval,
+                  common::fromSeconds(nodes / settings_.maximum_updates_per_second));
 }
 
 void UsageCounter::tick() {
   context_.scheduler.schedule(interval(), [this] { tick(); });
-  tell();
+  sendUpdates();
 }
 
 void UsageCounter::flushUsage() {
   if (settings_.reports) {
-    tell();
+    sendUpdates();
   }
 }
 
-void UsageCounter::tell() {
+void UsageCounter::sendUpdates() {
   const std::uint64_t closed = std::max(closed_through_, currentWindow() - 1);
   const bool window_ended = std::exchange(closed_through_, closed) != closed;
   const auto& collectors = collectors_.all();
-  std::erase_if(told_, [&](const auto& entry) {
+  std::erase_if(collector_states_, [&](const auto& entry) {
     return std::find(collectors.begin(), collectors.end(), entry.first) == collectors.end();
   });
   for (const common::NodeId& collector : collectors) {
-    Told& told = told_[collector];
-    const bool news = window_ended || !changed_.empty() || told.sequence == 0 || told.asked;
-    if (!news) {
+    CollectorState& state = collector_states_[collector];
+    const bool update_due =
+        window_ended || !changed_.empty() || state.sequence == 0 || state.resync_requested;
+    if (!update_due) {
       continue;
     }
-    const UsageTold message = messageTo(told);
+    const UsageUpdate message = makeUpdate(state);
     if (collector == context_.self) {
-      tell_self_(message);
+      local_collector_(message);
     } else {
       context_.sendTo(collector, message);
     }
   }
   changed_.clear();
-  forgetOld();
+  dropOldWindows();
 }
 
-UsageTold UsageCounter::messageTo(Told& told) const {
-  UsageTold message;
+UsageUpdate UsageCounter::makeUpdate(CollectorState& state) const {
+  UsageUpdate message;
   message.node = context_.self;
-  message.complete = told.sequence == 0 || std::exchange(told.asked, false);
-  message.sequence = ++told.sequence;
+  message.complete = state.sequence == 0 || std::exchange(state.resync_requested, false);
+  message.sequence = ++state.sequence;
   message.closed_through = closed_through_;
   message.time = time_.now().count();
   for (const auto& [window, counts] : windows_) {
@@ -96,8 +100,8 @@
   return message;
 }
 
-void UsageCounter::forgetOld() {
-  while (windows_.size() > settings_.kept_windows) {
+void UsageCounter::dropOldWindows() {
+  while (windows_.size() > settings_.retained_windows) {
     windows_.erase(windows_.begin());
   }
 }
--- a/src/cypresswall/duties/usage_counter.h
+++ b/src/cypresswall/duties/usage_counter.h
@@ -1,4 +1,4 @@
-/// Counts what this node serves, and tells it to the collectors.
+/// Counts the requests of this node and sends the counts to the collectors.
 #pragma once
 
 #include <cstdint>
@@ -17,51 +17,51 @@
 
 namespace cypresswall::duties {
 
-/// Sends a message for each collector and interval in which something changed, and one at each end
-/// of a window: constant for a node, whatever the size of the fleet.
+/// Sends one message to each collector per interval in which counts changed, and one at the end of
+/// each window; the number of messages of a node is independent of the size of the fleet.
 class UsageCounter final : public UsageRecorder {
  public:
-  /// Registers the handler of UsageAsk. \pre all references outlive this object
-  /// \param tell_self takes what this node, being a collector, tells itself
+  /// Registers the handler of UsageResyncRequest. \pre all references outlive this object
+  /// \param local_collector receives the updates if this node is a collector itself
   UsageCounter(const UsageSettings& settings, const api::ProcessContext& context,
                const membership::MembershipView& membership, const Collectors& collectors,
-               const FleetTime& time, std::function<void(const UsageTold&)> tell_self);
+               const FleetTime& time, std::function<void(const UsageUpdate&)> local_collector);
   UsageCounter(const UsageCounter&) = delete;
   UsageCounter& operator=(const UsageCounter&) = delete;
 
   void start();
   void requestBegan(const common::TenantName& tenant) override;
-  /// Tells what is not told yet; for a node that is about to end.
+  /// Sends unsent counts at once; for a node that is about to stop.
   void flushUsage();
 
-  /// \return the window that is under way
+  /// \return the current window
   std::uint64_t currentWindow() const;
 
  private:
-  struct Told {
+  struct CollectorState {
     std::uint64_t sequence = 0;
-    /// The collector has asked for all windows.
-    bool asked = false;
+    /// True if the collector has requested all windows.
+    bool resync_requested = false;
   };
 
   void tick();
-  void tell();
-  UsageTold messageTo(Told& told) const;
+  void sendUpdates();
+  UsageUpdate makeUpdate(CollectorState& state) const;
   common::Duration interval() const;
-  void forgetOld();
+  void dropOldWindows();
 
   const UsageSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
   const Collectors& collectors_;
   const FleetTime& time_;
-  std::function<void(const UsageTold&)> tell_self_;
+  std::function<void(const UsageUpdate&)> local_collector_;
   std::map<std::uint64_t, TenantCounts> windows_;
   /// Windows that changed since the last message.
   std::set<std::uint64_t> changed_;
-  /// Windows up to this one take no more requests: the fleet's time may be set back.
+  /// Windows up to this one are final, even if the fleet's time is set back into them.
   std::uint64_t closed_through_ = 0;
-  std::map<common::NodeId, Told> told_;
+  std::map<common::NodeId, CollectorState> collector_states_;
   common::Counter& counted_;
 };
 
--- a/src/cypresswall/duties/usage_ledger.cpp
+++ b/src/cypresswall/duties/usage_ledger.cpp
@@ -29,14 +29,14 @@
       UsageReport report{entry.at(kWindow).get<std::uint64_t>(),
                          entry.at(kCounts).get<TenantCounts>()};
       if (report.window != ledger.fixedThrough() + 1) {
-        throw UsageLedgerError("usage ledger with a gap before window " +
+        throw UsageLedgerError("usage ledger has a gap before window " +
                                std::to_string(report.window));
       }
       ledger.fixed.push_back(std::move(report));
     }
     return ledger;
   } catch (const nlohmann::json::exception& error) {
-    throw UsageLedgerError(std::string("usage ledger can't be read: ") + error.what());
+    throw UsageLedgerError(std::string("malformed usage ledger: ") + error.what());
   }
 }
 
--- a/src/cypresswall/duties/usage_ledger.h
+++ b/src/cypresswall/duties/usage_ledger.h
@@ -1,5 +1,5 @@
-/// What the store holds of the reports of usage: what is to be said of each window stands here
-/// before it is said, so that no two holders of the duty ever say different things.
+/// Write-ahead record of usage reports in the object store. The counts of a window are stored here
+/// before they are sent, so that two lease holders never report different counts for a window.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,18 @@
 
 namespace cypresswall::duties {
 
-/// The stored ledger can't be read.
 class UsageLedgerError : public common::Error {
  public:
   using common::Error::Error;
 };
 
 struct UsageLedger {
-  /// The platform has taken the reports of all windows up to this one.
+  /// The platform has accepted the reports of all windows up to this one.
   std::uint64_t taken_through = 0;
-  /// The windows after it that are fixed, in order and without a gap.
+  /// Reports of the following windows, which are final; consecutive.
   std::vector<UsageReport> fixed;
 
-  /// \return the last window that is fixed
+  /// \return the last window whose report is final
   std::uint64_t fixedThrough() const { return fixed.empty() ? taken_through : fixed.back().window; }
 };
 
--- a/src/cypresswall/duties/usage_recorder.h
+++ b/src/cypresswall/duties/usage_recorder.h
@@ -1,4 +1,4 @@
-/// Where requests that begin to run are counted.
+/// Interface for counting requests that start to run.
 #pragma once
 
 #include "cypresswall/common/identifiers.h"
@@ -8,7 +8,7 @@
 class UsageRecorder {
  public:
   virtual ~UsageRecorder() = default;
-  /// A request of the tenant began to run on an engine or a back end.
+  /// Counts a request of the tenant that started to run on an engine or a back end.
   virtual void requestBegan(const common::TenantName& tenant) = 0;
 };
 
--- a/src/cypresswall/duties/usage_reporter.cpp
+++ b/src/cypresswall/duties/usage_reporter.cpp
@@ -10,7 +10,7 @@
 using object_store::StoreFailure;
 using object_store::StoreResult;
 
-/// Windows that operators can still ask about.
+/// Recent windows kept for operators.
 constexpr std::size_t kRememberedWindows = 12;
 
 std::uint64_t totalOf(const TenantCounts& counts) {
@@ -49,33 +49,35 @@
       given_up_(usageCounter(context.counters, "given_up")),
       unreadable_(context.counters.counter("cypresswall_usage_ledger_unreadable_total",
                                            "Stored ledgers of usage that could not be read")) {
-  context_.dispatcher.handle<UsageSettled>(
-      [this](const common::NodeId&, const UsageSettled& settled) { settle(settled.window); });
+  context_.dispatcher.handle<UsageReportedThrough>(
+      [this](const common::NodeId&, const UsageReportedThrough& reported) {
+        markReportedThrough(reported.window);
+      });
 }
 
 void UsageReporter::start() {
   if (settings_.reports) {
-    settled_through_ = currentWindow() - 1;
+    reported_through_ = currentWindow() - 1;
     tick();
   }
 }
 
 void UsageReporter::tick() {
   context_.scheduler.schedule(settings_.tick_interval, [this] { tick(); });
-  collector_.handOn();
-  const auto own_place = place();
-  if (!own_place) {
+  collector_.transferToNewCollectors();
+  const auto own_rank = rank();
+  if (!own_rank) {
     collector_since_.reset();
   } else if (!collector_since_) {
     collector_since_ = context_.clock.now();
   }
-  needed_ = own_place && late(*own_place);
-  if (needed_ && !call_under_way_ && context_.clock.now() >= next_call_at_) {
-    act();
+  needed_ = own_rank && reportingDue(*own_rank);
+  if (needed_ && !call_in_flight_ && context_.clock.now() >= next_call_at_) {
+    advance();
   }
 }
 
-std::optional<std::size_t> UsageReporter::place() const {
+std::optional<std::size_t> UsageReporter::rank() const {
   if (membership_.joining()) {
     return std::nullopt;
   }
@@ -86,43 +88,43 @@
              : std::make_optional(static_cast<std::size_t>(own - collectors.begin()));
 }
 
-bool UsageReporter::late(std::size_t place) const {
-  const auto turn = static_cast<std::int64_t>(place) * settings_.stand_in_delay;
-  return time_.now() >= endOf(settled_through_ + 1) + settings_.settling_time + turn &&
-         context_.clock.now() >= *collector_since_ + settings_.hand_on_time + turn;
+bool UsageReporter::reportingDue(std::size_t rank) const {
+  const auto delay = static_cast<std::int64_t>(rank) * settings_.takeover_delay;
+  return time_.now() >= windowEnd(reported_through_ + 1) + settings_.settling_time + delay &&
+         context_.clock.now() >= *collector_since_ + settings_.handover_time + delay;
 }
 
-void UsageReporter::act() {
+void UsageReporter::advance() {
   const auto epoch = authority_.heldEpoch();
   if (!epoch) {
     return;
   }
-  // Under one token no other node can have written.
+  // While the token is unchanged, no other node can have written the ledger.
   if (!ledger_ || ledger_token_ != epoch->term) {
     readLedger();
   } else if (!ledger_->fixed.empty()) {
     send(ledger_->fixed.front());
   } else if (!fixDueWindows()) {
-    settle(ledger_->taken_through);
+    markReportedThrough(ledger_->taken_through);
   }
 }
 
 void UsageReporter::readLedger() {
-  call_under_way_ = true;
+  call_in_flight_ = true;
   ledger_token_ = authority_.heldEpoch()->term;
   store_.get(kUsageLedgerKey, [this](const StoreResult<StoredObject>& result) { onRead(result); });
 }
 
 void UsageReporter::onRead(const StoreResult<StoredObject>& result) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   if (result.ok()) {
     observe(result.value());
   } else if (result.failure().kind == StoreFailure::kNotFound) {
-    // The fleet's first holder: what came before was nobody's to count.
-    ledger_.emplace().taken_through = settled_through_;
+    // First holder of the fleet: there are no earlier windows to report.
+    ledger_.emplace().taken_through = reported_through_;
     ledger_version_ = 0;
   } else {
-    callAgainAfter(settings_.retry_delay);
+    retryAfter(settings_.retry_delay);
   }
 }
 
@@ -130,7 +132,7 @@
   UsageLedger ledger = *ledger_;
   const std::uint64_t current = currentWindow();
   const std::uint64_t oldest =
-      current > settings_.windows_made_up_for ? current - settings_.windows_made_up_for : 0;
+      current > settings_.maximum_backlog_windows ? current - settings_.maximum_backlog_windows : 0;
   if (ledger.taken_through + 1 < oldest) {
     given_up_.add(static_cast<double>(oldest - 1 - ledger.taken_through));
     common::LogEvent(context_.log, common::LogLevel::kError, "usage_given_up")
@@ -151,10 +153,10 @@
 
 bool UsageReporter::due(std::uint64_t window) const {
   const common::Duration now = time_.now();
-  const common::Duration end = endOf(window);
-  const common::Duration patience = settings_.due_after - settings_.kept_for_reporting;
+  const common::Duration end = windowEnd(window);
+  const common::Duration collection_limit = settings_.due_after - settings_.reporting_reserve;
   return now >= end + settings_.settling_time &&
-         (collector_.complete(window) || now >= end + patience);
+         (collector_.complete(window) || now >= end + collection_limit);
 }
 
 void UsageReporter::writeLedger(const UsageLedger& ledger) {
@@ -163,26 +165,26 @@
   request.expected_version = ledger_version_;
   request.value = encodeUsageLedger(ledger);
   request.change_id = context_.self.toString() + "/usage/" + std::to_string(++next_change_);
-  call_under_way_ = true;
+  call_in_flight_ = true;
   for (const UsageReport& report : ledger.fixed) {
-    noteFixed(report);
+    recordFixed(report);
   }
   store_.compareAndSet(std::move(request),
                        [this](const StoreResult<StoredObject>& result) { onWritten(result); });
 }
 
 void UsageReporter::onWritten(const StoreResult<StoredObject>& result) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   if (result.ok()) {
     observe(result.value());
-    act();
+    advance();
     return;
   }
-  // Another holder may have written, or the write may take effect later: what the store holds is
-  // read before anything is said.
+  // Another holder may have written, or this write may still take effect: read the ledger again
+  // before sending any report.
   ledger_.reset();
   if (result.failure().kind != StoreFailure::kConflict) {
-    callAgainAfter(settings_.retry_delay);
+    retryAfter(settings_.retry_delay);
   }
 }
 
@@ -191,10 +193,10 @@
     ledger_ = decodeUsageLedger(object.value);
     ledger_version_ = object.version;
   } catch (const UsageLedgerError& error) {
-    // Not ours to replace: other counts for a window that was reported could follow.
+    // Replacing the ledger could lead to a second report with different counts for a window.
     ledger_.reset();
     unreadable_.add();
-    callAgainAfter(settings_.due_after);
+    retryAfter(settings_.due_after);
     common::LogEvent(context_.log, common::LogLevel::kError, "usage_ledger_unreadable")
         .field("version", object.version)
         .field("reason", error.what());
@@ -206,7 +208,7 @@
   if (!epoch) {
     return;
   }
-  call_under_way_ = true;
+  call_in_flight_ = true;
   platform_.reportUsage({machine_, epoch->term}, report,
                         [this, report, epoch = *epoch](std::optional<DutyFailure> failure) {
                           onSent(report, epoch, failure);
@@ -215,7 +217,7 @@
 
 void UsageReporter::onSent(const UsageReport& report, const common::Epoch& epoch,
                            std::optional<DutyFailure> failure) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   common::LogEvent(context_.log, failure ? common::LogLevel::kWarning : common::LogLevel::kInfo,
                    "usage_reported")
       .field("window", report.window)
@@ -225,13 +227,13 @@
       .field("failure", toString(failure));
   if (!failure || failure == DutyFailure::kInvalid) {
     (failure ? failed_ : reported_).add();
-    noteReported(report, epoch.term);
-    settle(report.window);
+    recordReported(report, epoch.term);
+    markReportedThrough(report.window);
     if (ledger_ && !ledger_->fixed.empty() && ledger_->fixed.front().window == report.window) {
       ledger_->fixed.erase(ledger_->fixed.begin());
       ledger_->taken_through = report.window;
     }
-    context_.sendToAll(collectors_.all(), UsageSettled{report.window});
+    context_.sendToAll(collectors_.all(), UsageReportedThrough{report.window});
     return;
   }
   failed_.add();
@@ -239,41 +241,41 @@
     authority_.superseded(epoch);
     ledger_.reset();
   }
-  callAgainAfter(settings_.retry_delay);
+  retryAfter(settings_.retry_delay);
 }
 
-void UsageReporter::settle(std::uint64_t window) {
-  settled_through_ = std::max(settled_through_, window);
-  collector_.forgetThrough(settled_through_);
+void UsageReporter::markReportedThrough(std::uint64_t window) {
+  reported_through_ = std::max(reported_through_, window);
+  collector_.discardThrough(reported_through_);
 }
 
-void UsageReporter::callAgainAfter(common::Duration delay) {
+void UsageReporter::retryAfter(common::Duration delay) {
   next_call_at_ = context_.clock.now() + delay;
 }
 
-void UsageReporter::noteFixed(const UsageReport& report) {
-  ReportedWindow noted;
-  noted.window = report.window;
-  noted.requests = totalOf(report.counts);
-  noted.tenants = report.counts.size();
-  noted.nodes_missing = collector_.missing(report.window);
-  noted.at = context_.clock.now();
+void UsageReporter::recordFixed(const UsageReport& report) {
+  ReportedWindow entry;
+  entry.window = report.window;
+  entry.requests = totalOf(report.counts);
+  entry.tenants = report.counts.size();
+  entry.nodes_missing = collector_.missingNodes(report.window);
+  entry.at = context_.clock.now();
   common::LogEvent(context_.log, common::LogLevel::kInfo, "usage_fixed")
       .field("window", report.window)
-      .field("requests", noted.requests)
-      .field("nodes_missing", noted.nodes_missing)
-      .field("age_ms", (time_.now() - endOf(report.window)).count() / 1000);
-  windows_.push_back(noted);
+      .field("requests", entry.requests)
+      .field("nodes_missing", entry.nodes_missing)
+      .field("age_ms", (time_.now() - windowEnd(report.window)).count() / 1000);
+  windows_.push_back(entry);
   if (windows_.size() > kRememberedWindows) {
     windows_.pop_front();
   }
 }
 
-void UsageReporter::noteReported(const UsageReport& report, std::uint32_t token) {
-  for (ReportedWindow& noted : windows_) {
-    if (noted.window == report.window) {
-      noted.token = token;
-      noted.at = context_.clock.now();
+void UsageReporter::recordReported(const UsageReport& report, std::uint32_t token) {
+  for (ReportedWindow& entry : windows_) {
+    if (entry.window == report.window) {
+      entry.token = token;
+      entry.at = context_.clock.now();
     }
   }
 }
--- a/src/cypresswall/duties/usage_reporter.h
+++ b/src/cypresswall/duties/usage_reporter.h
@@ -1,4 +1,4 @@
-/// Reports the fleet's usage to the platform, once for each window of time.
+/// Reports the usage of the fleet to the platform, once per time window.
 #pragma once
 
 #include <cstdint>
@@ -20,21 +20,21 @@
 
 namespace cypresswall::duties {
 
-/// A window as operators see it.
+/// Status of a window for operators.
 struct ReportedWindow {
   std::uint64_t window = 0;
   std::uint64_t requests = 0;
   std::size_t tenants = 0;
-  /// Under which fencing token it was reported here; zero if it waits.
+  /// Fencing token under which this node reported it; zero if the report is pending.
   std::uint32_t token = 0;
-  /// Nodes that had not told all of it when it was fixed.
+  /// Nodes whose counts were not final when the report was.
   std::size_t nodes_missing = 0;
   common::MonotonicTime at{};
 };
 
-/// Works on collectors only; the first of them takes the duty, and the others one after the other
-/// where a window is late. What is to be said of a window is first written to the store under a
-/// condition, then sent; a successor sends what it finds there.
+/// Active on collectors only. The first collector reports; the others take over in order of rank if
+/// a window is late. The counts of a window are stored by a conditional write before they are sent,
+/// and a successor sends the stored counts.
 class UsageReporter {
  public:
   /// \pre all references outlive this object
@@ -47,22 +47,22 @@
   UsageReporter& operator=(const UsageReporter&) = delete;
 
   void start();
-  /// \return true if this node has something to report and should hold the duty's lease
+  /// \return true if this node has something to report and should hold the lease
   bool needed() const { return needed_; }
-  /// \return the windows that this node fixed or reported lately, the oldest first
+  /// \return the windows that this node stored or reported recently, oldest first
   const std::deque<ReportedWindow>& windows() const { return windows_; }
-  /// \return the last window whose report the platform has taken, as far as this node knows
-  std::uint64_t settledThrough() const { return settled_through_; }
+  /// \return the last window whose report the platform has accepted, as far as this node knows
+  std::uint64_t reportedThrough() const { return reported_through_; }
 
  private:
   void tick();
-  /// \return this node's place in the order of collectors; nothing if it is none
-  std::optional<std::size_t> place() const;
-  bool late(std::size_t place) const;
-  void act();
+  /// \return this node's rank among the collectors; nothing if it is not a collector
+  std::optional<std::size_t> rank() const;
+  bool reportingDue(std::size_t rank) const;
+  void advance();
   void readLedger();
   void onRead(const object_store::StoreResult<object_store::StoredObject>& result);
-  /// \return true if something is written
+  /// Stores the reports of all windows that are due. \return true if a write was started
   bool fixDueWindows();
   bool due(std::uint64_t window) const;
   void writeLedger(const UsageLedger& ledger);
@@ -71,16 +71,16 @@
   void send(const UsageReport& report);
   void onSent(const UsageReport& report, const common::Epoch& epoch,
               std::optional<DutyFailure> failure);
-  void settle(std::uint64_t window);
-  void callAgainAfter(common::Duration delay);
-  common::Duration endOf(std::uint64_t window) const {
+  void markReportedThrough(std::uint64_t window);
+  void retryAfter(common::Duration delay);
+  common::Duration windowEnd(std::uint64_t window) const {
     return settings_.window * static_cast<std::int64_t>(window + 1);
   }
   std::uint64_t currentWindow() const {
     return static_cast<std::uint64_t>(time_.now() / settings_.window);
   }
-  void noteFixed(const UsageReport& report);
-  void noteReported(const UsageReport& report, std::uint32_t token);
+  void recordFixed(const UsageReport& report);
+  void recordReported(const UsageReport& report, std::uint32_t token);
 
   const UsageSettings settings_;
   const api::ProcessContext& context_;
@@ -93,15 +93,15 @@
   object_store::ObjectStore& store_;
   DutyPlatform& platform_;
 
-  /// Nothing until it was read under the present authority.
+  /// Empty until read under the current fencing token.
   std::optional<UsageLedger> ledger_;
   std::uint64_t ledger_version_ = 0;
   std::uint32_t ledger_token_ = 0;
-  std::uint64_t settled_through_ = 0;
-  /// Since when this node has been a collector; nothing if it is none.
+  std::uint64_t reported_through_ = 0;
+  /// Since when this node has been a collector; nothing if it is not one.
   std::optional<common::MonotonicTime> collector_since_;
   bool needed_ = false;
-  bool call_under_way_ = false;
+  bool call_in_flight_ = false;
   common::MonotonicTime next_call_at_{};
   std::uint64_t next_change_ = 0;
   std::deque<ReportedWindow> windows_;
--- a/src/cypresswall/duties/usage_settings.h
+++ b/src/cypresswall/duties/usage_settings.h
@@ -1,4 +1,4 @@
-/// How the requests of tenants are counted and reported.
+/// Settings of the counting and reporting of tenants' requests.
 #pragma once
 
 #include <cstddef>
@@ -9,39 +9,38 @@
 namespace cypresswall::duties {
 
 struct UsageSettings {
-  /// False where the platform takes no reports: nothing is counted.
+  /// False if the platform accepts no reports; then nothing is counted.
   bool reports = false;
-  /// Length of a window; windows are counted from the start of 1970.
+  /// Length of a window; windows are numbered from the Unix epoch.
   common::Duration window = std::chrono::seconds(5);
-  /// How long after its end a window's report is due.
+  /// Deadline of a report after the end of its window.
   common::Duration due_after = std::chrono::seconds(10);
-  /// Of that, kept for the calls that a report takes and for a holder that has to be replaced: a
-  /// node that told nothing of a window until then is no longer waited for.
-  common::Duration kept_for_reporting = std::chrono::seconds(4);
-  /// A window is summed up no earlier than this after its end: messages are on their way.
+  /// Part of `due_after` reserved for the calls that a report needs and for a change of the lease
+  /// holder. Once only this much time is left, the report no longer waits for missing nodes.
+  common::Duration reporting_reserve = std::chrono::seconds(4);
+  /// Minimum delay between the end of a window and its report, for messages in flight.
   common::Duration settling_time = std::chrono::milliseconds(150);
-  /// Nodes that collect the counts of all; each may end at any moment.
+  /// Number of nodes that collect all counts redundantly, since any node may fail at any time.
   std::size_t collectors = 3;
-  /// Between two messages of a node to the collectors, at least. What a node counted since its last
-  /// message is lost if it ends.
-  common::Duration tell_interval = std::chrono::milliseconds(300);
-  /// Messages a second that a collector takes: in a fleet that would send more, each node waits
-  /// longer between two.
-  double told_per_second = 250;
-  /// Windows that a node can tell again to a new collector.
-  std::size_t kept_windows = 12;
-  /// Windows that are made up for after a time without a report; older ones are given up.
-  std::uint64_t windows_made_up_for = 120;
-  /// Another collector takes the duty over if a window is late by this times its place in the
-  /// order of collectors.
-  common::Duration stand_in_delay = std::chrono::seconds(2);
-  /// A new collector waits so long for what the others hand on to it: which windows were reported,
-  /// and what nodes told that have ended.
-  common::Duration hand_on_time = std::chrono::milliseconds(500);
-  /// Before another call after one that failed.
+  /// Minimum interval between messages of a node to the collectors. Counts since the last message
+  /// are lost if the node fails.
+  common::Duration update_interval = std::chrono::milliseconds(300);
+  /// Target maximum of messages per second to a collector: in a larger fleet, each node sends less
+  /// often.
+  double maximum_updates_per_second = 250;
+  /// Windows that a node retains for new collectors.
+  std::size_t retained_windows = 12;
+  /// Windows that are reported late after an outage; older ones are dropped.
+  std::uint64_t maximum_backlog_windows = 120;
+  /// A collector takes over if a window is late by this time multiplied by the collector's rank.
+  common::Duration takeover_delay = std::chrono::seconds(2);
+  /// Time that a new collector waits for state from the others: which windows were reported, and
+  /// the counts of nodes that have ended.
+  common::Duration handover_time = std::chrono::milliseconds(500);
+  /// Delay before the next call after a failed one.
   common::Duration retry_delay = std::chrono::milliseconds(250);
   common::Duration tick_interval = std::chrono::milliseconds(100);
-  /// A node whose time of day differs by more from the middle of the fleet's is told so.
+  /// A node whose clock differs by more than this from the fleet's median is corrected.
   common::Duration clock_tolerance = std::chrono::milliseconds(200);
 };
 
--- a/tests/duties/duty_zone.h
+++ b/tests/duties/duty_zone.h
@@ -1,5 +1,5 @@
-/// Nodes of one fleet that serve tenants, and the platform that takes their reports, in virtual
-/// time, with a check of every call that the platform gets.
+/// Simulated fleet in virtual time: nodes that serve tenants, and a fake platform that checks every
+/// usage report that it receives.
 #pragma once
 
 #include <algorithm>
@@ -22,18 +22,18 @@
 using std::chrono::seconds;
 using testing::VirtualWorld;
 
-/// Start of the virtual world in true time, within a window.
+/// Wall-clock time at the start of the simulation; not at the beginning of a window.
 inline constexpr Duration kWorldStart = std::chrono::hours(500000) + milliseconds(1700);
 
-/// The platform's side: shared by all nodes, with faults.
-class StandInDuties {
+/// Fake platform shared by all nodes, with fault injection.
+class FakeDutyPlatform {
  public:
-  explicit StandInDuties(VirtualWorld& world) : world_(world) {}
+  explicit FakeDutyPlatform(VirtualWorld& world) : world_(world) {}
 
   bool down = false;
   bool checks_tokens = true;
-  /// Share of calls that are carried out and not answered, and of those that are carried out
-  /// seconds later and not answered.
+  /// Share of calls that are executed without an answer, and of calls that are executed seconds
+  /// later without an answer.
   double lost_answers = 0;
   double late_calls = 0;
 
@@ -44,7 +44,7 @@
   std::string violation;
   std::uint32_t highest_token = 0;
 
-  /// \return how a call fails that reaches the platform now
+  /// Handles a call that reaches the platform now. \return the failure, if any
   std::optional<DutyFailure> take(const DutyAuthority& authority, const UsageReport& report) {
     ++calls;
     checkToken(authority);
@@ -57,7 +57,7 @@
     if (first) {
       taken_at[report.window] = world_.now();
     } else if (entry->second != report.counts) {
-      reportViolation("two counts for window " + std::to_string(report.window));
+      reportViolation("different counts for window " + std::to_string(report.window));
     }
     return std::nullopt;
   }
@@ -80,18 +80,18 @@
   std::map<std::uint32_t, common::MachineName> holders_;
 };
 
-/// One node's way to the platform.
-class DutyCalls final : public DutyPlatform {
+/// One node's client of the fake platform.
+class FakeDutyClient final : public DutyPlatform {
  public:
-  DutyCalls(VirtualWorld& world, testing::VirtualProcess& process, StandInDuties& platform)
+  FakeDutyClient(VirtualWorld& world, testing::VirtualProcess& process, FakeDutyPlatform& platform)
       : world_(world), process_(process), platform_(platform) {}
 
   void reportUsage(const DutyAuthority& authority, const UsageReport& report,
                    DutyCallback callback) override {
-    constexpr Duration kWay = milliseconds(4);
+    constexpr Duration kAnswerDelay = milliseconds(4);
     constexpr Duration kTimeLimit = milliseconds(1500);
     if (platform_.down) {
-      process_.schedule(kWay, [callback] { callback(DutyFailure::kUnavailable); });
+      process_.schedule(kAnswerDelay, [callback] { callback(DutyFailure::kUnavailable); });
       return;
     }
     const double drawn = world_.random.unit();
@@ -106,7 +106,7 @@
     if (drawn < platform_.late_calls + platform_.lost_answers) {
       process_.schedule(kTimeLimit, [callback] { callback(DutyFailure::kUnknownOutcome); });
     } else {
-      process_.schedule(kWay, [callback, failure] { callback(failure); });
+      process_.schedule(kAnswerDelay, [callback, failure] { callback(failure); });
     }
   }
   void orderCapacity(const DutyAuthority&, const CapacityOrder&, DutyCallback) override {}
@@ -114,14 +114,14 @@
  private:
   VirtualWorld& world_;
   testing::VirtualProcess& process_;
-  StandInDuties& platform_;
+  FakeDutyPlatform& platform_;
 };
 
 class DutyZone {
  public:
   struct Node {
     std::unique_ptr<membership::Membership> membership;
-    std::unique_ptr<DutyCalls> calls;
+    std::unique_ptr<FakeDutyClient> calls;
     std::unique_ptr<FleetDuties> duties;
   };
 
@@ -131,7 +131,7 @@
 
   static common::Address address(int index) { return "10.0.0." + std::to_string(index) + ":7000"; }
 
-  /// \param clock_error of the time of day that the node reads as it starts
+  /// \param clock_error error of the wall-clock time that the node reads when it starts
   void start(int index, Duration clock_error = Duration{0}) {
     stop(index);
     auto& process = world.spawn({address(index), ++next_incarnation_}, "hall-a", 1.0);
@@ -142,7 +142,7 @@
     Node& node = nodes[index];
     node.membership =
         std::make_unique<membership::Membership>(membership, process.context(), process);
-    node.calls = std::make_unique<DutyCalls>(world, process, platform);
+    node.calls = std::make_unique<FakeDutyClient>(world, process, platform);
     node.duties = std::make_unique<FleetDuties>(
         settings, *contexts_[index], *node.membership, membership.machine, process,
         node.calls.get(), [this, clock_error] { return trueTime() + clock_error; });
@@ -163,7 +163,7 @@
   std::uint64_t currentWindow() const {
     return static_cast<std::uint64_t>(trueTime() / settings.usage.window);
   }
-  /// A request of a tenant begins at each node that runs, each 20 ms.
+  /// Starts a request of a random tenant on each running node every 20 ms.
   void serve(Duration length) {
     const auto end = world.now() + length;
     while (world.now() < end) {
@@ -186,7 +186,7 @@
     }
     return std::nullopt;
   }
-  /// \return how far the count of a window is off, over all tenants, relative to what was served
+  /// \return the relative error of a window's report, summed over all tenants
   double error(std::uint64_t window) {
     double off = 0;
     double total = 0;
@@ -199,7 +199,7 @@
   }
 
   VirtualWorld world;
-  StandInDuties platform;
+  FakeDutyPlatform platform;
   DutySettings settings;
   std::map<int, Node> nodes;
   std::map<std::uint64_t, TenantCounts> served;
--- a/tests/duties/usage_test.cpp
+++ b/tests/duties/usage_test.cpp
@@ -7,17 +7,17 @@
 namespace cypresswall::duties {
 namespace {
 
-/// Stated by the platform: a count may be off by this share; what the project aims at is less.
+/// Relative error of a count that the platform allows; the project's own targets are stricter.
 constexpr double kAllowedError = 0.05;
-constexpr double kAimedError = 0.01;
-constexpr double kAimedErrorAfterKills = 0.02;
+constexpr double kTargetError = 0.01;
+constexpr double kTargetErrorAfterKills = 0.02;
 
 enum class FaultKind : std::uint8_t {
   kRestart,
   kKill,
   kPauseHolder,
   kKillHolder,
-  kHideStoreFromHolder,
+  kBlockStoreForHolder,
   kStoreDown,
   kPlatformDown,
   kHeal,
@@ -79,7 +79,7 @@
         zone.stop(*holder);
       }
       break;
-    case FaultKind::kHideStoreFromHolder:
+    case FaultKind::kBlockStoreForHolder:
       if (holder) {
         zone.world.setStoreReachable(DutyZone::address(*holder), false);
       }
@@ -107,36 +107,36 @@
 
 class UsageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UsageTest);
-  CPPUNIT_TEST(eachWindowIsReportedOnceInTime);
-  CPPUNIT_TEST(theLossOfTheHolderIsMadeUpFor);
-  CPPUNIT_TEST(aHolderWithoutTheStoreIsReplacedInTime);
-  CPPUNIT_TEST(halfOfTheFleetKilledIsStillCounted);
-  CPPUNIT_TEST(collectorsThatComeAreToldOfNodesThatEnded);
-  CPPUNIT_TEST(windowsWithoutAReporterAreMadeUpFor);
-  CPPUNIT_TEST(aClockThatIsWrongMovesNoWindow);
-  CPPUNIT_TEST(whatIsSaidIsFixedBefore);
-  CPPUNIT_TEST(aLedgerThatCannotBeReadIsLeftAlone);
-  CPPUNIT_TEST(messagesOfANodeStayConstant);
-  CPPUNIT_TEST(ledgersAreReadAsWritten);
-  CPPUNIT_TEST(oneCountAWindowInFaultStorms);
+  CPPUNIT_TEST(eachWindowIsReportedOnceAndOnTime);
+  CPPUNIT_TEST(holderFailureCausesNoLateReport);
+  CPPUNIT_TEST(holderWithoutStoreIsReplacedInTime);
+  CPPUNIT_TEST(countsSurviveLossOfHalfTheFleet);
+  CPPUNIT_TEST(newCollectorsReceiveCountsOfEndedNodes);
+  CPPUNIT_TEST(backlogIsReportedAfterOutage);
+  CPPUNIT_TEST(wrongClocksAreCorrected);
+  CPPUNIT_TEST(countsAreStoredBeforeReporting);
+  CPPUNIT_TEST(unreadableLedgerIsNotOverwritten);
+  CPPUNIT_TEST(messagesPerNodeAreIndependentOfFleetSize);
+  CPPUNIT_TEST(ledgerRoundTrip);
+  CPPUNIT_TEST(oneCountPerWindowUnderFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void eachWindowIsReportedOnceInTime() {
+  void eachWindowIsReportedOnceAndOnTime() {
     DutyZone zone(1);
     zone.startAll(9);
     const std::uint64_t first = zone.currentWindow();
     zone.serve(seconds(31));
     for (std::uint64_t window = first; window < zone.currentWindow() - 1; ++window) {
       CPPUNIT_ASSERT(zone.platform.taken.contains(window));
-      CPPUNIT_ASSERT(zone.error(window) <= kAimedError);
+      CPPUNIT_ASSERT(zone.error(window) <= kTargetError);
       CPPUNIT_ASSERT(lateness(zone, window) < seconds(2));
     }
     CPPUNIT_ASSERT_EQUAL(zone.platform.taken.size(), std::size_t{zone.platform.calls});
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.platform.violation);
   }
 
-  void theLossOfTheHolderIsMadeUpFor() {
+  void holderFailureCausesNoLateReport() {
     DutyZone zone(2);
     zone.startAll(9);
     zone.serve(seconds(12));
@@ -150,7 +150,7 @@
     requireWindowsInTime(zone, 3, kAllowedError);
   }
 
-  void aHolderWithoutTheStoreIsReplacedInTime() {
+  void holderWithoutStoreIsReplacedInTime() {
     DutyZone zone(3);
     zone.startAll(9);
     zone.serve(seconds(12));
@@ -159,14 +159,14 @@
     }
     zone.world.setStoreReachable(DutyZone::address(*zone.holder()), false);
     zone.serve(seconds(30));
-    requireWindowsInTime(zone, 0, kAimedError);
+    requireWindowsInTime(zone, 0, kTargetError);
   }
 
-  void halfOfTheFleetKilledIsStillCounted() {
+  void countsSurviveLossOfHalfTheFleet() {
     DutyZone zone(4);
     zone.startAll(20);
     zone.serve(seconds(12));
-    // Seconds into a window.
+    // Advance to at least 3 s into a window.
     while (zone.trueTime() % zone.settings.usage.window < seconds(3)) {
       zone.serve(milliseconds(20));
     }
@@ -183,11 +183,11 @@
       }
     }
     zone.serve(seconds(25));
-    CPPUNIT_ASSERT(zone.error(window) <= kAimedErrorAfterKills);
+    CPPUNIT_ASSERT(zone.error(window) <= kTargetErrorAfterKills);
     requireWindowsInTime(zone, 0, kAllowedError);
   }
 
-  void collectorsThatComeAreToldOfNodesThatEnded() {
+  void newCollectorsReceiveCountsOfEndedNodes() {
     DutyZone zone(5);
     zone.startAll(10);
     zone.serve(seconds(11));
@@ -196,7 +196,7 @@
     }
     const std::uint64_t window = zone.currentWindow();
     zone.serve(milliseconds(600));
-    // A node ends, then, one after the other, all that had collected its counts.
+    // A node is killed, then, one after the other, all collectors that had received its counts.
     const auto before = collectorsOf(*zone.nodes.begin()->second.membership, 3);
     for (int index = 1; index <= 10; ++index) {
       const auto address = DutyZone::address(index);
@@ -221,7 +221,7 @@
     CPPUNIT_ASSERT(zone.error(window) <= kAllowedError);
   }
 
-  void windowsWithoutAReporterAreMadeUpFor() {
+  void backlogIsReportedAfterOutage() {
     DutyZone zone(6);
     zone.startAll(5);
     zone.serve(seconds(12));
@@ -232,14 +232,14 @@
     std::uint64_t last = 0;
     for (const auto& [window, counts] : zone.platform.taken) {
       CPPUNIT_ASSERT(last == 0 || window == last + 1);
-      CPPUNIT_ASSERT(zone.error(window) <= kAimedError);
+      CPPUNIT_ASSERT(zone.error(window) <= kTargetError);
       last = window;
     }
     CPPUNIT_ASSERT(last + 2 >= zone.currentWindow());
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.platform.violation);
   }
 
-  void aClockThatIsWrongMovesNoWindow() {
+  void wrongClocksAreCorrected() {
     DutyZone zone(7);
     for (int index = 1; index <= 10; ++index) {
       zone.start(index, index <= 3 ? milliseconds(2000) : Duration{0});
@@ -253,7 +253,7 @@
     }
   }
 
-  void whatIsSaidIsFixedBefore() {
+  void countsAreStoredBeforeReporting() {
     DutyZone zone(8);
     zone.platform.lost_answers = 1;
     zone.startAll(5);
@@ -266,7 +266,7 @@
     CPPUNIT_ASSERT(ledger.fixed.front().counts == zone.platform.taken.begin()->second);
   }
 
-  void aLedgerThatCannotBeReadIsLeftAlone() {
+  void unreadableLedgerIsNotOverwritten() {
     DutyZone zone(9);
     zone.world.store.objects[kUsageLedgerKey] = {kUsageLedgerKey, 3, "{\"fixed\": 7}", "somebody"};
     zone.startAll(3);
@@ -275,8 +275,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, zone.world.store.objects.at(kUsageLedgerKey).version);
   }
 
-  /// Messages and bytes of counting a second and node don't grow with the fleet.
-  void messagesOfANodeStayConstant() {
+  /// The rate of usage messages per node must not grow with the size of the fleet.
+  void messagesPerNodeAreIndependentOfFleetSize() {
     std::map<int, double> per_node;
     for (const int count : {9, 63, 200}) {
       DutyZone zone(10);
@@ -298,7 +298,7 @@
     CPPUNIT_ASSERT(per_node[63] <= per_node[9] * 1.2);
   }
 
-  void ledgersAreReadAsWritten() {
+  void ledgerRoundTrip() {
     testing::requireProperty("usage ledgers are read as written", 100, [] {
       UsageLedger ledger;
       ledger.taken_through = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 40U);
@@ -316,9 +316,10 @@
     });
   }
 
-  /// Whatever becomes of nodes, links, store, platform, clocks, answers and late calls: no two
-  /// counts for a window, no token of two holders, no window without a report once faults end.
-  void oneCountAWindowInFaultStorms() {
+  /// Under faults of nodes, links, store, platform and clocks, lost answers and late calls, no
+  /// window gets two different counts, no two holders share a token, and every window is reported
+  /// once the faults end.
+  void oneCountPerWindowUnderFaults() {
     constexpr int kRuns = 40;
     constexpr int kFaults = 14;
     std::uint64_t reports = 0;
@@ -368,7 +369,8 @@
     const Duration end = zone.settings.usage.window * static_cast<std::int64_t>(window + 1);
     return kWorldStart + zone.platform.taken_at.at(window) - end;
   }
-  /// \param killed windows in which a node was killed, whose count may be off by what is allowed
+  /// \param killed number of windows in which a node was killed, whose error may exceed
+  ///   kTargetError
   static void requireWindowsInTime(DutyZone& zone, std::size_t killed, double error) {
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.platform.violation);
     const std::uint64_t last = zone.currentWindow() - 3;
@@ -377,7 +379,7 @@
       CPPUNIT_ASSERT(zone.platform.taken.contains(window));
       CPPUNIT_ASSERT(lateness(zone, window) <= zone.settings.usage.due_after);
       CPPUNIT_ASSERT(zone.error(window) <= error);
-      off += zone.error(window) > kAimedError ? 1 : 0;
+      off += zone.error(window) > kTargetError ? 1 : 0;
     }
     CPPUNIT_ASSERT(off <= killed + 1);
   }
