--- a/src/cypresswall/autoscaling/controller.cpp
+++ b/src/cypresswall/autoscaling/controller.cpp
@@ -9,14 +9,15 @@
 using configuration::AutoscalingDeclaration;
 using configuration::FleetConfiguration;
 
-/// Between two looks at orders and two tellings of the demand.
+/// Interval at which orders are sent and demand is forwarded.
 constexpr common::Duration kTickInterval = std::chrono::milliseconds(250);
-/// Lasting engines are ordered away in steps of at least so many while others take their place.
-constexpr std::uint32_t kLeastStep = 4;
-/// Engines that run already have appeared in the platform's list once it stood still for so long.
-constexpr common::Duration kAppearingTime = std::chrono::milliseconds(1500);
-/// Share of a target latency in which a first token is planned.
-constexpr double kPlannedShare = 0.85;
+/// Minimum number of lasting engines released per order while preemptible engines replace them.
+constexpr std::uint32_t kMinimumShrinkStep = 4;
+/// Discovery of running engines counts as complete once the platform's list has been unchanged for
+/// this long.
+constexpr common::Duration kDiscoveryTime = std::chrono::milliseconds(1500);
+/// Share of the target latency that is planned for the first token.
+constexpr double kFirstTokenBudgetShare = 0.85;
 
 ModelLoad loadOf(const planning::ModelDemand& demand) {
   const planning::DemandRate& rate = demand.short_window;
@@ -35,7 +36,7 @@
   return found != fleet.engine_overrides.end() && found->second.drained;
 }
 
-bool usable(const AutoscalingDeclaration& declaration) {
+bool isValid(const AutoscalingDeclaration& declaration) {
   const auto& prices = declaration.location_prices;
   return declaration.maximum_engines > 0 &&
          declaration.minimum_engines <= declaration.maximum_engines && !prices.empty() &&
@@ -44,8 +45,9 @@
                      [](const auto& entry) { return entry.second > 0; });
 }
 
-/// \return true if an order within the bounds would take away engines that stand there
-bool exceeds(const PoolNumbers& present, const AutoscalingDeclaration& declaration) {
+/// \return true if more engines are present than the bounds allow, so that an order within the
+///   bounds would release engines
+bool exceedsMaximum(const PoolCounts& present, const AutoscalingDeclaration& declaration) {
   return std::any_of(present.begin(), present.end(), [&](const auto& entry) {
     return entry.second.total() > declaration.maximum_engines;
   });
@@ -68,8 +70,8 @@
                                         "Orders of engines that the platform took")),
       failed_(context.counters.counter("cypresswall_autoscaling_orders_failed_total",
                                        "Orders of engines that failed")) {
-  context_.dispatcher.handle<DemandNews>(
-      [this](const common::NodeId&, const DemandNews& news) { onDemand(news); });
+  context_.dispatcher.handle<DemandUpdate>(
+      [this](const common::NodeId&, const DemandUpdate& update) { onDemand(update); });
   if (planner_) {
     duties_.addWork([this] { return !orders_.empty(); });
   }
@@ -83,43 +85,43 @@
 
 void Controller::tick() {
   context_.scheduler.schedule(kTickInterval, [this] { tick(); });
-  passDemandOn();
-  if (!leads()) {
+  forwardDemand();
+  if (!isLeader()) {
     pools_.clear();
     orders_.clear();
     return;
   }
   const auto now = context_.clock.now();
-  if (now >= next_plan_at_ && !call_under_way_) {
+  if (now >= next_plan_at_ && !call_in_flight_) {
     next_plan_at_ = now + settings_.interval;
     planAll();
   }
   sendNext();
 }
 
-bool Controller::leads() const {
+bool Controller::isLeader() const {
   return !membership_.joining() && duties_.collectors().first() == context_.self;
 }
 
-void Controller::passDemandOn() {
+void Controller::forwardDemand() {
   const auto demand = demand_();
   if (!demand) {
     return;
   }
-  DemandNews news;
+  DemandUpdate update;
   for (const auto& [model, of_model] : *demand) {
-    news.loads[model] = loadOf(of_model);
+    update.loads[model] = loadOf(of_model);
   }
   const common::NodeId holder = duties_.collectors().first();
   if (holder == context_.self) {
-    onDemand(news);
+    onDemand(update);
   } else if (!holder.empty()) {
-    context_.sendTo(holder, news);
+    context_.sendTo(holder, update);
   }
 }
 
-void Controller::onDemand(const DemandNews& news) {
-  if (!planner_ || !leads()) {
+void Controller::onDemand(const DemandUpdate& update) {
+  if (!planner_ || !isLeader()) {
     return;
   }
   const auto now = context_.clock.now();
@@ -127,18 +129,19 @@
   std::map<std::string, PoolLoad> loads;
   std::map<std::string, common::ModelName> counted;
   for (const auto& [name, service] : fleet->model_services) {
-    const auto told = news.loads.find(service.model);
-    if (told == news.loads.end() || !fleet->autoscaling.contains(service.backend_pool)) {
+    const auto reported = update.loads.find(service.model);
+    if (reported == update.loads.end() || !fleet->autoscaling.contains(service.backend_pool)) {
       continue;
     }
     PoolLoad& load = loads[service.backend_pool];
     if (counted.emplace(service.backend_pool + "\n" + service.model, service.model).second) {
-      load.busy_engines += told->second.busy_engines;
+      load.busy_engines += reported->second.busy_engines;
     }
-    load.long_prompt_seconds = std::max(load.long_prompt_seconds, told->second.long_prompt_seconds);
-    load.slack_seconds =
-        std::max(load.slack_seconds, kPlannedShare * common::toSeconds(service.first_token_target) -
-                                         told->second.long_prompt_seconds);
+    load.long_prompt_seconds =
+        std::max(load.long_prompt_seconds, reported->second.long_prompt_seconds);
+    load.slack_seconds = std::max(
+        load.slack_seconds, kFirstTokenBudgetShare * common::toSeconds(service.first_token_target) -
+                                reported->second.long_prompt_seconds);
   }
   for (const auto& [name, load] : loads) {
     Pool& pool = pools_[name];
@@ -155,28 +158,28 @@
   orders_.clear();
   for (const auto& [name, declaration] : fleet->autoscaling) {
     Pool& pool = pools_[name];
-    if (!usable(declaration)) {
-      tellUnusable(name, pool, "bounds or prices contradict each other");
+    if (!isValid(declaration)) {
+      logUnusable(name, pool, "invalid bounds or prices");
       continue;
     }
-    if (!settled(declaration, pool)) {
+    if (!initialEnginesKnown(declaration, pool)) {
       continue;
     }
-    if (exceeds(*pool.begun_with, declaration)) {
-      tellUnusable(name, pool, "more engines stand there than its bounds allow");
+    if (exceedsMaximum(*pool.initial, declaration)) {
+      logUnusable(name, pool, "more engines present than maximum_engines allows");
       continue;
     }
     while (!pool.loads.empty() && now - pool.loads.front().first > settings_.memory) {
       pool.loads.pop_front();
     }
-    const PoolInput input = inputOf(declaration, pool);
+    const PoolInput input = makeInput(declaration, pool);
     PoolPlan plan = planner_->plan(input);
     if (plan.wanted != pool.plan.wanted) {
       common::LogEvent event(context_.log, common::LogLevel::kInfo, "engines_planned");
       event.field("pool", name).field("reason", plan.reason);
-      for (const auto& [location, numbers] : plan.wanted) {
+      for (const auto& [location, counts] : plan.wanted) {
         event.field(location,
-                    std::to_string(numbers.lasting) + "+" + std::to_string(numbers.preemptible));
+                    std::to_string(counts.lasting) + "+" + std::to_string(counts.preemptible));
       }
     }
     pool.plan = std::move(plan);
@@ -184,87 +187,88 @@
   }
 }
 
-void Controller::tellUnusable(const std::string& name, Pool& pool, const char* reason) {
-  if (!std::exchange(pool.unusable_told, true)) {
+void Controller::logUnusable(const std::string& name, Pool& pool, const char* reason) {
+  if (!std::exchange(pool.unusable_logged, true)) {
     common::LogEvent(context_.log, common::LogLevel::kWarning, "autoscaling_not_usable")
         .field("pool", name)
         .field("reason", reason);
   }
 }
 
-bool Controller::settled(const AutoscalingDeclaration& declaration, Pool& pool) const {
+bool Controller::initialEnginesKnown(const AutoscalingDeclaration& declaration, Pool& pool) const {
   const auto now = context_.clock.now();
-  if (pool.begun_with) {
+  if (pool.initial) {
     return true;
   }
-  const PoolNumbers present = presentOf(declaration);
-  if (!pool.led_since) {
-    pool.led_since = now;
+  const PoolCounts present = presentEngines(declaration);
+  if (!pool.leader_since) {
+    pool.leader_since = now;
   }
-  if (present != pool.appeared) {
-    pool.appeared = present;
+  if (present != pool.last_present) {
+    pool.last_present = present;
     pool.unchanged_since = now;
   }
-  const bool all_there = totalOf(present) > 0 && now - pool.unchanged_since >= kAppearingTime;
-  if (all_there || now - *pool.led_since >= std::max(declaration.boot_time, kAppearingTime)) {
-    pool.begun_with = present;
+  const bool all_there = totalOf(present) > 0 && now - pool.unchanged_since >= kDiscoveryTime;
+  if (all_there || now - *pool.leader_since >= std::max(declaration.boot_time, kDiscoveryTime)) {
+    pool.initial = present;
   }
-  return pool.begun_with.has_value();
+  return pool.initial.has_value();
 }
 
-PoolInput Controller::inputOf(const AutoscalingDeclaration& declaration, Pool& pool) const {
+PoolInput Controller::makeInput(const AutoscalingDeclaration& declaration, Pool& pool) const {
   const auto now = context_.clock.now();
   PoolInput input;
   input.declaration = declaration;
-  input.present = presentOf(declaration);
-  input.at_first = totalOf(*pool.begun_with);
-  input.kept = std::max(input.at_first, totalOf(pool.plan.wanted));
+  input.present = presentEngines(declaration);
+  input.initial_engines = totalOf(*pool.initial);
+  input.retained = std::max(input.initial_engines, totalOf(pool.plan.wanted));
   for (const auto& [time, load] : pool.loads) {
     input.loads.push_back(load);
   }
   input.may_shrink = pool.demand_since && now - *pool.demand_since >= settings_.memory;
-  std::erase_if(pool.none_until, [now](const auto& entry) { return entry.second <= now; });
-  for (const auto& [location, until] : pool.none_until) {
+  std::erase_if(pool.unavailable_until, [now](const auto& entry) { return entry.second <= now; });
+  for (const auto& [location, until] : pool.unavailable_until) {
     input.without_preemptible.push_back(location);
   }
   return input;
 }
 
-PoolNumbers Controller::presentOf(const AutoscalingDeclaration& declaration) const {
+PoolCounts Controller::presentEngines(const AutoscalingDeclaration& declaration) const {
   const auto fleet = configuration_.current();
-  PoolNumbers present;
+  PoolCounts present;
   for (const auto& [name, engine] : fleet->engines) {
     if (engine.pool != declaration.pool || drained(*fleet, name)) {
       continue;
     }
-    EngineNumbers& numbers = present[engine.location];
-    ++(engine.preemptible ? numbers.preemptible : numbers.lasting);
+    EngineCounts& counts = present[engine.location];
+    ++(engine.preemptible ? counts.preemptible : counts.lasting);
   }
   return present;
 }
 
 void Controller::collectOrders(const AutoscalingDeclaration& declaration, Pool& pool,
-                               const PoolNumbers& present) {
+                               const PoolCounts& present) {
   for (const auto& [location, wanted] : pool.plan.wanted) {
     const auto found = present.find(location);
-    const EngineNumbers there = found == present.end() ? EngineNumbers{} : found->second;
-    want(pool, {declaration.pool, location, wanted.preemptible, true}, there.preemptible);
-    // A lasting engine goes only once another one serves in its place. Both kinds share the bound,
-    // so that all of the others can come only after it went.
-    const auto begun = pool.begun_with->find(location);
+    const EngineCounts actual = found == present.end() ? EngineCounts{} : found->second;
+    orderIfNeeded(pool, {declaration.pool, location, wanted.preemptible, true}, actual.preemptible);
+    // Release a lasting engine only once a preemptible one serves in its place. Both kinds share
+    // maximum_engines, so the last preemptible engines can start only after lasting ones have gone.
+    const auto initial = pool.initial->find(location);
     const std::uint32_t needed =
-        std::min(wanted.total(), begun == pool.begun_with->end() ? 0 : begun->second.total());
-    const std::uint32_t replaced = std::min(there.preemptible, needed);
-    const std::uint32_t kept = std::max(wanted.lasting, needed - replaced);
-    const bool grows = wanted.lasting > there.lasting;
-    const bool step = kept == wanted.lasting || kept + kLeastStep <= there.lasting;
-    if (grows || (kept < there.lasting && step)) {
-      want(pool, {declaration.pool, location, grows ? wanted.lasting : kept, false}, there.lasting);
+        std::min(wanted.total(), initial == pool.initial->end() ? 0 : initial->second.total());
+    const std::uint32_t replaced = std::min(actual.preemptible, needed);
+    const std::uint32_t retained = std::max(wanted.lasting, needed - replaced);
+    const bool grows = wanted.lasting > actual.lasting;
+    const bool step = retained == wanted.lasting || retained + kMinimumShrinkStep <= actual.lasting;
+    if (grows || (retained < actual.lasting && step)) {
+      orderIfNeeded(pool, {declaration.pool, location, grows ? wanted.lasting : retained, false},
+                    actual.lasting);
     }
   }
 }
 
-void Controller::want(Pool& pool, duties::CapacityOrder order, std::uint32_t present) {
+void Controller::orderIfNeeded(Pool& pool, duties::CapacityOrder order, std::uint32_t present) {
   const auto last = pool.ordered.find({order.zone, order.preemptible});
   const bool never = last == pool.ordered.end();
   if (never && present == order.engines) {
@@ -279,7 +283,7 @@
 }
 
 void Controller::sendNext() {
-  if (call_under_way_ || orders_.empty()) {
+  if (call_in_flight_ || orders_.empty()) {
     return;
   }
   const auto epoch = duties_.authority().heldEpoch();
@@ -288,7 +292,7 @@
   }
   const duties::CapacityOrder order = orders_.front();
   orders_.pop_front();
-  call_under_way_ = true;
+  call_in_flight_ = true;
   duties_.platform().orderCapacity(
       {duties_.machine(), epoch->term}, order,
       [this, order, epoch = *epoch](std::optional<duties::DutyFailure> failure) {
@@ -298,7 +302,7 @@
 
 void Controller::onSent(const duties::CapacityOrder& order, const common::Epoch& epoch,
                         std::optional<duties::DutyFailure> failure) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   const auto now = context_.clock.now();
   (failure ? failed_ : ordered_).add();
   common::LogEvent(context_.log, failure ? common::LogLevel::kWarning : common::LogLevel::kInfo,
@@ -318,9 +322,9 @@
     return;
   }
   if (failure == duties::DutyFailure::kNoneAvailable) {
-    pool->second.none_until[order.zone] = now + settings_.none_available_pause;
+    pool->second.unavailable_until[order.zone] = now + settings_.none_available_pause;
   }
-  // A call that was refused or may still be carried out is repeated after a while.
+  // A call that failed or has an unknown outcome is repeated after `repeat_delay`.
   pool->second.ordered[{order.zone, order.preemptible}] = {order.engines, now};
   sendNext();
 }
@@ -331,7 +335,7 @@
   for (const auto& [name, pool] : pools_) {
     const auto declared = fleet->autoscaling.find(name);
     if (declared != fleet->autoscaling.end()) {
-      states.push_back({name, presentOf(declared->second), pool.plan.wanted, pool.plan.reason,
+      states.push_back({name, presentEngines(declared->second), pool.plan.wanted, pool.plan.reason,
                         duties_.authority().highestEpoch().term});
     }
   }
--- a/src/cypresswall/autoscaling/controller.h
+++ b/src/cypresswall/autoscaling/controller.h
@@ -1,4 +1,4 @@
-/// Orders engines from the platform, as a duty of one node of the whole fleet.
+/// Autoscaling controller: one node of the fleet orders engines from the platform.
 #pragma once
 
 #include <cstdint>
@@ -22,22 +22,22 @@
 
 namespace cypresswall::autoscaling {
 
-/// What callers ask of each model, as the node sees it that plans the zone's roles.
+/// Demand for each model, as known to the node that plans the zone's roles; nothing on other nodes.
 using DemandSource =
     std::function<std::optional<std::map<common::ModelName, planning::ModelDemand>>()>;
 
-/// A pool as operators see it.
+/// Status of a pool for operators.
 struct PoolState {
   std::string pool;
-  PoolNumbers present;
-  PoolNumbers wanted;
+  PoolCounts present;
+  PoolCounts wanted;
   std::string reason;
   std::uint32_t token = 0;
 };
 
-/// Plans on the first of the nodes that hold the fleet's duties; every other node only passes on
-/// the demand that it sees. Knows nothing of earlier holders' orders: what is there counts, and an
-/// order says the whole number.
+/// Plans on the first duty collector; all other nodes only forward the demand that they know. Keeps
+/// no record of earlier holders' orders: plans are based on the engines present, and each order
+/// contains the total number of engines.
 class Controller {
  public:
   /// \pre all references outlive this object
@@ -57,41 +57,41 @@
     std::uint32_t engines = 0;
     common::MonotonicTime at{};
   };
-  /// Of one pool.
   struct Pool {
     std::deque<std::pair<common::MonotonicTime, PoolLoad>> loads;
     PoolPlan plan;
-    /// Since when this node leads; it orders only once the engines that run have appeared.
-    std::optional<common::MonotonicTime> led_since;
-    PoolNumbers appeared;
+    /// Since when this node is the leader; it orders only once running engines were discovered.
+    std::optional<common::MonotonicTime> leader_since;
+    PoolCounts last_present;
     common::MonotonicTime unchanged_since{};
-    /// What was there when this node began to plan.
-    std::optional<PoolNumbers> begun_with;
-    /// The last order for each location and kind, by (location, preemptible).
+    /// Engines present when this node started to plan.
+    std::optional<PoolCounts> initial;
+    /// Last order for each (location, preemptible).
     std::map<std::pair<std::string, bool>, Ordered> ordered;
-    /// Until when a location is taken to have no preemptible engines.
-    std::map<std::string, common::MonotonicTime> none_until;
+    /// Until when a location counts as having no preemptible engines available.
+    std::map<std::string, common::MonotonicTime> unavailable_until;
     std::optional<common::MonotonicTime> demand_since;
-    bool unusable_told = false;
+    bool unusable_logged = false;
   };
 
   void tick();
-  void passDemandOn();
-  void onDemand(const DemandNews& news);
+  void forwardDemand();
+  void onDemand(const DemandUpdate& update);
   void planAll();
-  /// Says once that nothing is ordered for a pool.
-  void tellUnusable(const std::string& name, Pool& pool, const char* reason);
-  /// \return false while engines that run already may not have appeared yet
-  bool settled(const configuration::AutoscalingDeclaration& declaration, Pool& pool) const;
-  PoolInput inputOf(const configuration::AutoscalingDeclaration& declaration, Pool& pool) const;
-  PoolNumbers presentOf(const configuration::AutoscalingDeclaration& declaration) const;
+  /// Logs once that nothing is ordered for the pool.
+  void logUnusable(const std::string& name, Pool& pool, const char* reason);
+  /// \return false while some running engines may not have been discovered yet
+  bool initialEnginesKnown(const configuration::AutoscalingDeclaration& declaration,
+                           Pool& pool) const;
+  PoolInput makeInput(const configuration::AutoscalingDeclaration& declaration, Pool& pool) const;
+  PoolCounts presentEngines(const configuration::AutoscalingDeclaration& declaration) const;
   void collectOrders(const configuration::AutoscalingDeclaration& declaration, Pool& pool,
-                     const PoolNumbers& present);
-  void want(Pool& pool, duties::CapacityOrder order, std::uint32_t present);
+                     const PoolCounts& present);
+  void orderIfNeeded(Pool& pool, duties::CapacityOrder order, std::uint32_t present);
   void sendNext();
   void onSent(const duties::CapacityOrder& order, const common::Epoch& epoch,
               std::optional<duties::DutyFailure> failure);
-  bool leads() const;
+  bool isLeader() const;
 
   const AutoscalingSettings settings_;
   const api::ProcessContext& context_;
@@ -102,7 +102,7 @@
   std::unique_ptr<Planner> planner_;
   std::map<std::string, Pool> pools_;
   std::deque<duties::CapacityOrder> orders_;
-  bool call_under_way_ = false;
+  bool call_in_flight_ = false;
   common::MonotonicTime next_plan_at_{};
   common::Counter& ordered_;
   common::Counter& failed_;
--- a/src/cypresswall/autoscaling/messages.h
+++ b/src/cypresswall/autoscaling/messages.h
@@ -1,4 +1,4 @@
-/// Messages between the node that plans the zone's roles and the one that orders engines.
+/// Messages from the node that plans the zone's roles to the one that orders engines.
 #pragma once
 
 #include <map>
@@ -8,17 +8,17 @@
 
 namespace cypresswall::autoscaling {
 
-/// What callers ask of a model now.
+/// Current load of a model.
 struct ModelLoad {
-  /// Seconds a second that the work takes engines.
+  /// Engine time per second that the requests need, i.e. the mean number of busy engines.
   double busy_engines = 0;
-  /// Mean time that a long prompt takes an engine, in seconds.
+  /// Mean engine time of a long prompt, in seconds.
   double long_prompt_seconds = 0;
   MSGPACK_DEFINE(busy_engines, long_prompt_seconds)
 };
 
-/// Told by the node that sees the demand of all others.
-struct DemandNews {
+/// Sent by the node that aggregates the demand of the zone.
+struct DemandUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kAutoscalingFirst, 0);
   std::map<common::ModelName, ModelLoad> loads;
   MSGPACK_DEFINE(loads)
--- a/src/cypresswall/autoscaling/planner.cpp
+++ b/src/cypresswall/autoscaling/planner.cpp
@@ -11,7 +11,7 @@
 
 using configuration::AutoscalingDeclaration;
 
-/// Utilisation from which on queues only grow.
+/// Utilisation above which queues grow without bound.
 constexpr double kFullUtilisation = 0.98;
 
 bool offersPreemptible(const PoolInput& input) {
@@ -19,7 +19,7 @@
   return price > 0 && price < 1;
 }
 
-std::string describe(const char* policy, const PoolNumbers& wanted, double busy_engines) {
+std::string describe(const char* policy, const PoolCounts& wanted, double busy_engines) {
   constexpr std::size_t kLength = 96;
   std::string text(kLength, '\0');
   const int length = std::snprintf(text.data(), text.size(), "%s: %u engines for %.1f busy", policy,
@@ -28,7 +28,7 @@
   return text;
 }
 
-double largestLoad(const PoolInput& input) {
+double peakLoad(const PoolInput& input) {
   double largest = 0;
   for (const PoolLoad& load : input.loads) {
     largest = std::max(largest, load.busy_engines);
@@ -36,9 +36,9 @@
   return largest;
 }
 
-/// Divides engines of a location by kind.
-EngineNumbers byKind(const AutoscalingSettings& settings, const PoolInput& input,
-                     std::uint32_t total) {
+/// Splits the engines of a location by kind.
+EngineCounts splitByKind(const AutoscalingSettings& settings, const PoolInput& input,
+                         std::uint32_t total) {
   if (!offersPreemptible(input)) {
     return {total, 0};
   }
@@ -47,61 +47,62 @@
   return {std::min(lasting, total), total - std::min(lasting, total)};
 }
 
-/// Adds engines to the locations of `numbers`, as evenly as their bound allows, the cheapest first.
-void addEvenly(std::map<std::string, std::uint32_t>& numbers,
-               const AutoscalingDeclaration& declared, std::uint32_t engines) {
+/// Adds engines to the locations in `counts` as evenly as their maximum allows, cheapest first.
+void addEvenly(std::map<std::string, std::uint32_t>& counts, const AutoscalingDeclaration& declared,
+               std::uint32_t engines) {
   const auto price = [&](const std::string& location) {
     return declared.location_prices.at(location);
   };
   for (; engines > 0; --engines) {
-    auto best = numbers.end();
-    for (auto entry = numbers.begin(); entry != numbers.end(); ++entry) {
+    auto best = counts.end();
+    for (auto entry = counts.begin(); entry != counts.end(); ++entry) {
       if (entry->second >= declared.maximum_engines) {
         continue;
       }
       const bool better =
-          best == numbers.end() || entry->second < best->second ||
+          best == counts.end() || entry->second < best->second ||
           (entry->second == best->second && price(entry->first) < price(best->first));
       best = better ? entry : best;
     }
-    if (best == numbers.end()) {
+    if (best == counts.end()) {
       return;
     }
     ++best->second;
   }
 }
 
-/// Spreads `total` engines over the locations. What a location can't have now is wanted in the
-/// others as well; its own order stands, so that it is filled again as soon as there are any.
-PoolNumbers spread(const AutoscalingSettings& settings, const PoolInput& input,
-                   std::uint32_t total) {
+/// Spreads `total` engines over the locations. Engines that a location cannot provide now are added
+/// to the other locations; the location's own count is not reduced, so that it is refilled as soon
+/// as engines are available there.
+PoolCounts spread(const AutoscalingSettings& settings, const PoolInput& input,
+                  std::uint32_t total) {
   const AutoscalingDeclaration& declared = input.declaration;
-  std::map<std::string, std::uint32_t> numbers;
+  std::map<std::string, std::uint32_t> counts;
   for (const auto& [location, price] : declared.location_prices) {
-    numbers[location] = declared.minimum_engines;
+    counts[location] = declared.minimum_engines;
   }
-  const auto least = declared.minimum_engines * static_cast<std::uint32_t>(numbers.size());
-  addEvenly(numbers, declared, total > least ? total - least : 0);
-  std::map<std::string, std::uint32_t> others = numbers;
+  const auto least = declared.minimum_engines * static_cast<std::uint32_t>(counts.size());
+  addEvenly(counts, declared, total > least ? total - least : 0);
+  std::map<std::string, std::uint32_t> others = counts;
   std::uint32_t lacking = 0;
   for (const std::string& location : input.without_preemptible) {
     const auto present = input.present.find(location);
     const std::uint32_t there = present == input.present.end() ? 0 : present->second.total();
-    lacking += numbers[location] > there ? numbers[location] - there : 0;
+    lacking += counts[location] > there ? counts[location] - there : 0;
     others.erase(location);
   }
   addEvenly(others, declared, lacking);
   for (const auto& [location, number] : others) {
-    numbers[location] = number;
+    counts[location] = number;
   }
-  PoolNumbers wanted;
-  for (const auto& [location, number] : numbers) {
-    wanted[location] = byKind(settings, input, number);
+  PoolCounts wanted;
+  for (const auto& [location, number] : counts) {
+    wanted[location] = splitByKind(settings, input, number);
   }
   return wanted;
 }
 
-/// A planner that chooses the number of all engines together, and spreads them.
+/// Base of planners that choose a total number of engines, which is then spread over the locations.
 class TotalPlanner : public Planner {
  public:
   TotalPlanner(const AutoscalingSettings& settings, const char* name)
@@ -110,22 +111,22 @@
   PoolPlan plan(const PoolInput& input) const override {
     std::uint32_t total = input.loads.empty() ? 0 : totalFor(input);
     if (!input.may_shrink) {
-      total = std::max({total, input.kept, affordable(input)});
+      total = std::max({total, input.retained, affordable(input)});
     }
     PoolPlan plan;
     plan.wanted = spread(settings_, input, total);
-    plan.reason = describe(name_, plan.wanted, largestLoad(input));
+    plan.reason = describe(name_, plan.wanted, peakLoad(input));
     return plan;
   }
 
  private:
-  /// \return how many of the cheaper engines the first bill's share pays for
+  /// \return the number of preemptible engines that `first_bill_share` of the initial cost pays for
   std::uint32_t affordable(const PoolInput& input) const {
     if (!offersPreemptible(input)) {
       return 0;
     }
     const double engines =
-        settings_.first_bill_share * input.at_first / input.declaration.preemptible_price;
+        settings_.first_bill_share * input.initial_engines / input.declaration.preemptible_price;
     return static_cast<std::uint32_t>(engines);
   }
 
@@ -144,20 +145,22 @@
 
  private:
   std::uint32_t totalFor(const PoolInput& input) const override {
-    return static_cast<std::uint32_t>(std::ceil(largestLoad(input) / settings_.utilisation_limit));
+    return static_cast<std::uint32_t>(std::ceil(peakLoad(input) / settings_.utilisation_limit));
   }
 };
 
-/// Adds engines as long as one more is worth more than its price.
-class WorthPlanner final : public TotalPlanner {
+/// Minimises engine prices plus the value of late work, so that engines are added as long as the
+/// work that they save is worth more than their price.
+class MarginalValuePlanner final : public TotalPlanner {
  public:
-  explicit WorthPlanner(const AutoscalingSettings& settings) : TotalPlanner(settings, "worth") {}
+  explicit MarginalValuePlanner(const AutoscalingSettings& settings)
+      : TotalPlanner(settings, "worth") {}
 
  private:
   std::uint32_t totalFor(const PoolInput& input) const override {
     const std::uint32_t most = input.declaration.maximum_engines *
                                static_cast<std::uint32_t>(input.declaration.location_prices.size());
-    const double price = priceOfOne(input);
+    const double price = marginalPrice(input);
     std::uint32_t best = 1;
     double least_cost = cost(input, 1, price);
     for (std::uint32_t engines = 2; engines <= most; ++engines) {
@@ -170,8 +173,8 @@
     return best;
   }
 
-  /// \return the mean price of a second of one more engine
-  double priceOfOne(const PoolInput& input) const {
+  /// \return the mean price per second of one more engine
+  double marginalPrice(const PoolInput& input) const {
     double sum = 0;
     for (const auto& [location, price] : input.declaration.location_prices) {
       const double lasting = offersPreemptible(input) ? settings_.lasting_share : 1.0;
@@ -181,19 +184,19 @@
     return locations > 0 ? sum / locations : 0;
   }
 
-  /// \return prices and lost work a second with so many engines
+  /// \return the cost per second of `engines` engines and of the work that is late with them
   double cost(const PoolInput& input, std::uint32_t engines, double price) const {
     const auto locations = static_cast<double>(input.declaration.location_prices.size());
     const double all = engines;
-    // The preemptible engines of one location leave together.
+    // All preemptible engines of one location are reclaimed together.
     const double after_loss = all - all / locations * (1 - settings_.lasting_share);
-    const double lost = (1 - settings_.loss_share) * lostWork(input, all) +
-                        settings_.loss_share * lostWork(input, after_loss);
+    const double lost = (1 - settings_.loss_share) * lateWork(input, all) +
+                        settings_.loss_share * lateWork(input, after_loss);
     return all * price + settings_.worth_of_work * lost;
   }
 
-  /// \return engine seconds a second whose answers come late, over the loads that were seen
-  double lostWork(const PoolInput& input, double engines) const {
+  /// \return engine time per second spent on late answers, averaged over the recent loads
+  double lateWork(const PoolInput& input, double engines) const {
     double lost = 0;
     for (const PoolLoad& load : input.loads) {
       const double mean = engines > 0 ? load.busy_engines / engines : kFullUtilisation;
@@ -215,10 +218,10 @@
           std::min<std::size_t>(settings_.fixed_lasting, declared.maximum_engines));
       const auto preemptible = static_cast<std::uint32_t>(
           std::min<std::size_t>(settings_.fixed_preemptible, declared.maximum_engines - lasting));
-      plan.wanted[location] = offersPreemptible(input) ? EngineNumbers{lasting, preemptible}
-                                                       : EngineNumbers{lasting + preemptible, 0};
+      plan.wanted[location] = offersPreemptible(input) ? EngineCounts{lasting, preemptible}
+                                                       : EngineCounts{lasting + preemptible, 0};
     }
-    plan.reason = describe("fixed", plan.wanted, largestLoad(input));
+    plan.reason = describe("fixed", plan.wanted, peakLoad(input));
     return plan;
   }
 
@@ -228,9 +231,9 @@
 
 }  // namespace
 
-std::uint32_t totalOf(const PoolNumbers& numbers) {
+std::uint32_t totalOf(const PoolCounts& counts) {
   std::uint32_t total = 0;
-  for (const auto& [location, engines] : numbers) {
+  for (const auto& [location, engines] : counts) {
     total += engines.total();
   }
   return total;
@@ -255,7 +258,7 @@
     case Policy::kThreshold:
       return std::make_unique<ThresholdPlanner>(settings);
     case Policy::kWorth:
-      return std::make_unique<WorthPlanner>(settings);
+      return std::make_unique<MarginalValuePlanner>(settings);
   }
   return nullptr;
 }
--- a/src/cypresswall/autoscaling/planner.h
+++ b/src/cypresswall/autoscaling/planner.h
@@ -1,5 +1,5 @@
-/// Chooses how many engines of which kind a pool is to have in each location. Holds no clock and
-/// does no I/O.
+/// Chooses the number of engines of each kind for each location of a pool. Pure computation without
+/// a clock or I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,49 +13,50 @@
 
 namespace cypresswall::autoscaling {
 
-/// Engines in one location, by kind.
-struct EngineNumbers {
+/// Number of engines in one location by kind: lasting ones, and cheaper preemptible ones that the
+/// platform may reclaim.
+struct EngineCounts {
   std::uint32_t lasting = 0;
   std::uint32_t preemptible = 0;
 
   std::uint32_t total() const { return lasting + preemptible; }
-  bool operator==(const EngineNumbers&) const = default;
+  bool operator==(const EngineCounts&) const = default;
 };
 
-/// Numbers by location.
-using PoolNumbers = std::map<std::string, EngineNumbers>;
+/// Engine counts by location.
+using PoolCounts = std::map<std::string, EngineCounts>;
 
-/// The work of a pool at one moment.
+/// Load of a pool at one moment.
 struct PoolLoad {
-  /// Seconds a second that the work takes engines: engines that are busy all the time.
+  /// Engine time per second that the requests need, i.e. the mean number of busy engines.
   double busy_engines = 0;
-  /// Time that a long prompt takes an engine, and how long its caller can wait for that to begin;
-  /// in seconds.
+  /// Engine time of a long prompt, and how long it may wait before it starts without missing its
+  /// target; in seconds.
   double long_prompt_seconds = 0;
   double slack_seconds = 0;
 };
 
 struct PoolInput {
   configuration::AutoscalingDeclaration declaration;
-  /// Engines that serve.
-  PoolNumbers present;
-  /// Engines that were there when this node began to plan.
-  std::uint32_t at_first = 0;
-  /// What is kept until `may_shrink`: engines that were there at first, or were wanted since.
-  std::uint32_t kept = 0;
-  /// The loads seen lately, the newest last; empty if nothing was seen yet.
+  /// Engines that serve requests.
+  PoolCounts present;
+  /// Engines present when this node started to plan.
+  std::uint32_t initial_engines = 0;
+  /// Minimum number of engines until `may_shrink`: those present initially or wanted since then.
+  std::uint32_t retained = 0;
+  /// Recent loads, newest last; empty if none were reported yet.
   std::vector<PoolLoad> loads;
-  /// False until demand was seen for long enough to order engines away.
+  /// False until demand has been observed for long enough to release engines.
   bool may_shrink = false;
-  /// Locations where no preemptible engines are to be had now.
+  /// Locations where no preemptible engines are available now.
   std::vector<std::string> without_preemptible;
 };
 
-std::uint32_t totalOf(const PoolNumbers& numbers);
+std::uint32_t totalOf(const PoolCounts& counts);
 
-/// What is wanted, and why.
+/// Wanted engines, and the reason for operators.
 struct PoolPlan {
-  PoolNumbers wanted;
+  PoolCounts wanted;
   std::string reason;
 };
 
@@ -65,11 +66,11 @@
   virtual PoolPlan plan(const PoolInput& input) const = 0;
 };
 
-/// \return the planner of a policy
+/// \return the planner of the configured policy; null if the policy orders nothing
 std::unique_ptr<Planner> makePlanner(const AutoscalingSettings& settings);
 
-/// \return the part of the requests that wait longer than their slack for an engine of its own
-///   queue: engines hold different prefixes, so that a free one elsewhere does not help.
+/// \return the share of requests that wait longer than their slack, with a separate queue for each
+///   engine: engines cache different prefixes, so another idle engine does not help
 double lateShare(double utilisation, const PoolLoad& load);
 
 }  // namespace cypresswall::autoscaling
--- a/tests/autoscaling/controller_test.cpp
+++ b/tests/autoscaling/controller_test.cpp
@@ -26,10 +26,10 @@
 
 constexpr const char* kPool = "llm";
 constexpr const char* kModel = "llm/m";
-constexpr Duration kBoot = seconds(4);
-constexpr Duration kDrain = seconds(3);
+constexpr Duration kBootTime = seconds(4);
+constexpr Duration kDrainTime = seconds(3);
 
-/// What the platform declares, the same for all nodes.
+/// Fleet declared by the platform, identical for all nodes.
 class DeclaredFleet final : public configuration::ConfigurationView {
  public:
   std::shared_ptr<const configuration::FleetConfiguration> current() const override {
@@ -40,11 +40,10 @@
   configuration::FleetConfiguration fleet;
 };
 
-/// A platform that starts and ends engines as it is ordered to, with faults.
-class StandInPlatform {
+/// Fake platform that starts and stops engines as ordered, with fault injection.
+class FakePlatform {
  public:
-  StandInPlatform(VirtualWorld& world, DeclaredFleet& declared)
-      : world_(world), declared_(declared) {}
+  FakePlatform(VirtualWorld& world, DeclaredFleet& declared) : world_(world), declared_(declared) {}
 
   std::set<std::string> without_preemptible;
   bool down = false;
@@ -82,7 +81,7 @@
     engine.preemptible = preemptible;
     declared_.fleet.engines[name] = engine;
   }
-  /// All preemptible engines of a location leave, and none are to be had there.
+  /// Reclaims all preemptible engines of a location and makes new ones unavailable there.
   void reclaim(const std::string& location) {
     without_preemptible.insert(location);
     wanted_[{location, true}] = 0;
@@ -125,7 +124,7 @@
     const std::size_t most = declared_.fleet.autoscaling.at(kPool).maximum_engines;
     while (names.size() + booting < wanted && names.size() + booting + others < most) {
       ++booting;
-      world_.at(world_.now() + kBoot, [this, location, preemptible] {
+      world_.at(world_.now() + kBootTime, [this, location, preemptible] {
         --booting_[{location, preemptible}];
         add(location, preemptible);
       });
@@ -135,7 +134,7 @@
     auto& drained = declared_.fleet.engine_overrides[name];
     drained.engine = name;
     drained.drained = true;
-    world_.at(world_.now() + kDrain, [this, name] {
+    world_.at(world_.now() + kDrainTime, [this, name] {
       declared_.fleet.engines.erase(name);
       declared_.fleet.engine_overrides.erase(name);
     });
@@ -149,10 +148,10 @@
   int next_engine_ = 0;
 };
 
-/// One node's way to the platform.
-class Calls final : public duties::DutyPlatform {
+/// One node's client of the fake platform.
+class FakePlatformClient final : public duties::DutyPlatform {
  public:
-  Calls(VirtualWorld& world, testing::VirtualProcess& process, StandInPlatform& platform)
+  FakePlatformClient(VirtualWorld& world, testing::VirtualProcess& process, FakePlatform& platform)
       : world_(world), process_(process), platform_(platform) {}
 
   void reportUsage(const DutyAuthority&, const duties::UsageReport&, DutyCallback) override {}
@@ -173,15 +172,15 @@
  private:
   VirtualWorld& world_;
   testing::VirtualProcess& process_;
-  StandInPlatform& platform_;
+  FakePlatform& platform_;
 };
 
-/// Three nodes before a pool in two locations, 10 lasting engines in each.
+/// Three nodes serving a pool in two locations, with 10 lasting engines in each.
 class ScalingZone {
  public:
   struct Node {
     std::unique_ptr<membership::Membership> membership;
-    std::unique_ptr<Calls> calls;
+    std::unique_ptr<FakePlatformClient> calls;
     std::unique_ptr<duties::FleetDuties> duties;
     std::unique_ptr<Controller> controller;
   };
@@ -192,7 +191,7 @@
     pool.pool = kPool;
     pool.minimum_engines = 1;
     pool.maximum_engines = 15;
-    pool.boot_time = kBoot;
+    pool.boot_time = kBootTime;
     pool.preemptible_price = 0.2;
     pool.location_prices = {{"east", 1.0}, {"west", 1.0}};
     declared.fleet.version = 1;
@@ -226,7 +225,7 @@
     Node& node = nodes[index];
     node.membership =
         std::make_unique<membership::Membership>(membership, process.context(), process);
-    node.calls = std::make_unique<Calls>(world, process, platform);
+    node.calls = std::make_unique<FakePlatformClient>(world, process, platform);
     node.duties = std::make_unique<duties::FleetDuties>(
         duties::DutySettings{}, *contexts_[index], *node.membership, membership.machine, process,
         node.calls.get(), [] { return Duration{0}; });
@@ -247,7 +246,7 @@
       start(index);
     }
   }
-  /// Callers keep so many engines busy.
+  /// Sets a demand that keeps `busy_engines` engines busy.
   void setDemand(double busy_engines) {
     planning::ModelDemand of_model;
     of_model.short_window.prefill_engine_seconds = busy_engines;
@@ -265,7 +264,7 @@
 
   VirtualWorld world;
   DeclaredFleet declared;
-  StandInPlatform platform;
+  FakePlatform platform;
   AutoscalingSettings settings;
   std::map<int, Node> nodes;
   int planning_node = 1;
@@ -278,21 +277,21 @@
 
 class AutoscalingControllerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AutoscalingControllerTest);
-  CPPUNIT_TEST(cheaperEnginesTakeThePlaceOfLastingOnes);
-  CPPUNIT_TEST(enginesThatAppearOneByOneAreAllReplaced);
-  CPPUNIT_TEST(theBoundOfBothKindsDoesNotStopTheExchange);
-  CPPUNIT_TEST(theFirstBillPaysForMoreOfTheCheaperKind);
-  CPPUNIT_TEST(nothingIsLostBeforeDemandIsSeen);
-  CPPUNIT_TEST(followsTheDemandUpAtOnceAndDownLate);
-  CPPUNIT_TEST(aLocationThatGoesIsMadeUpForAndFilledAgain);
-  CPPUNIT_TEST(refusedAndLateOrdersAreRepeated);
-  CPPUNIT_TEST(aNewHolderOrdersNothingAway);
-  CPPUNIT_TEST(nothingIsOrderedWithoutTheDutyOrByThePolicy);
-  CPPUNIT_TEST(boundsThatContradictOrderNothing);
+  CPPUNIT_TEST(preemptibleEnginesReplaceLastingOnes);
+  CPPUNIT_TEST(enginesDiscoveredGraduallyAreAllReplaced);
+  CPPUNIT_TEST(sharedMaximumDoesNotBlockReplacement);
+  CPPUNIT_TEST(initialBudgetBuysMorePreemptibleEngines);
+  CPPUNIT_TEST(doesNotShrinkBeforeDemandIsKnown);
+  CPPUNIT_TEST(scalesUpAtOnceAndDownAfterMemory);
+  CPPUNIT_TEST(lostLocationIsCompensatedAndRefilled);
+  CPPUNIT_TEST(failedAndLateOrdersAreRetried);
+  CPPUNIT_TEST(newHolderDoesNotScaleDown);
+  CPPUNIT_TEST(noOrdersIfUnavailableOrPolicyNone);
+  CPPUNIT_TEST(contradictoryBoundsCauseNoOrders);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void cheaperEnginesTakeThePlaceOfLastingOnes() {
+  void preemptibleEnginesReplaceLastingOnes() {
     ScalingZone zone(1);
     zone.startAll();
     std::size_t least = zone.platform.all();
@@ -306,8 +305,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.platform.violation);
   }
 
-  /// A platform that starts: its engines enter the list one after the other.
-  void enginesThatAppearOneByOneAreAllReplaced() {
+  /// While the platform starts, its engines appear in the list one after the other; orders must be
+  /// based on the complete list.
+  void enginesDiscoveredGraduallyAreAllReplaced() {
     ScalingZone zone(11);
     auto late = zone.declared.fleet.engines;
     zone.declared.fleet.engines.clear();
@@ -326,7 +326,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, zone.platform.count("east", true));
   }
 
-  void theBoundOfBothKindsDoesNotStopTheExchange() {
+  void sharedMaximumDoesNotBlockReplacement() {
     ScalingZone zone(2);
     zone.setDemand(9);
     zone.startAll();
@@ -336,33 +336,34 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, zone.platform.count("west", true));
   }
 
-  void theFirstBillPaysForMoreOfTheCheaperKind() {
+  void initialBudgetBuysMorePreemptibleEngines() {
     ScalingZone zone(12);
     zone.settings.lasting_share = 0.02;
     zone.settings.first_bill_share = 0.25;
     zone.startAll();
     zone.world.runFor(seconds(30));
-    // A quarter of the price of 20 pays for 25 at a fifth of it; one in each location is lasting.
+    // A quarter of the cost of 20 lasting engines pays for 25 at a fifth of the price; one engine
+    // in each location is lasting.
     CPPUNIT_ASSERT_EQUAL(std::size_t{25}, zone.platform.all());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.platform.count("east", false));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.platform.count("west", false));
   }
 
-  void nothingIsLostBeforeDemandIsSeen() {
+  void doesNotShrinkBeforeDemandIsKnown() {
     ScalingZone zone(3);
     zone.startAll();
     zone.world.runFor(seconds(60));
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, zone.platform.all());
   }
 
-  void followsTheDemandUpAtOnceAndDownLate() {
+  void scalesUpAtOnceAndDownAfterMemory() {
     ScalingZone zone(4);
     zone.setDemand(3);
     zone.startAll();
     zone.world.runFor(seconds(30));
     CPPUNIT_ASSERT_EQUAL(std::size_t{10}, zone.platform.all());
     zone.setDemand(6);
-    zone.world.runFor(kBoot + seconds(3));
+    zone.world.runFor(kBootTime + seconds(3));
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, zone.platform.all());
     zone.setDemand(1);
     zone.world.runFor(seconds(15));
@@ -371,7 +372,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{4}, zone.platform.all());
   }
 
-  void aLocationThatGoesIsMadeUpForAndFilledAgain() {
+  void lostLocationIsCompensatedAndRefilled() {
     ScalingZone zone(5);
     zone.setDemand(4.5);
     zone.startAll();
@@ -379,7 +380,7 @@
     const auto before = zone.platform.count("west", true);
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, zone.platform.all());
     zone.platform.reclaim("east");
-    zone.world.runFor(seconds(9) + kBoot);
+    zone.world.runFor(seconds(9) + kBootTime);
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, zone.platform.count("west", true));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, zone.platform.count("east", false));
     zone.platform.without_preemptible.clear();
@@ -388,7 +389,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{15}, zone.platform.all());
   }
 
-  void refusedAndLateOrdersAreRepeated() {
+  void failedAndLateOrdersAreRetried() {
     ScalingZone zone(6);
     zone.platform.down = true;
     zone.startAll();
@@ -402,13 +403,13 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.platform.violation);
   }
 
-  void aNewHolderOrdersNothingAway() {
+  void newHolderDoesNotScaleDown() {
     ScalingZone zone(7);
     zone.setDemand(6);
     zone.startAll();
     zone.world.runFor(seconds(30));
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, zone.platform.all());
-    // The holder is lost, the next one knows nothing of the demand for a while.
+    // The holder fails, and its successor does not know the demand yet.
     const int first = *zone.holder();
     zone.demand.reset();
     zone.stop(first);
@@ -418,7 +419,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.platform.violation);
   }
 
-  void nothingIsOrderedWithoutTheDutyOrByThePolicy() {
+  void noOrdersIfUnavailableOrPolicyNone() {
     for (const bool available : {false, true}) {
       ScalingZone zone(8);
       zone.settings.available = available;
@@ -431,7 +432,7 @@
     }
   }
 
-  void boundsThatContradictOrderNothing() {
+  void contradictoryBoundsCauseNoOrders() {
     for (int wrong = 0; wrong < 4; ++wrong) {
       ScalingZone zone(9);
       auto& pool = zone.declared.fleet.autoscaling.at(kPool);
@@ -442,7 +443,7 @@
       } else if (wrong == 2) {
         pool.location_prices.clear();
       } else {
-        // Ten stand in each location: an order within the bound would take most of them away.
+        // Ten engines are present in each location: an order within the bound would release half.
         pool.maximum_engines = 5;
       }
       zone.setDemand(9);
--- a/tests/autoscaling/planner_test.cpp
+++ b/tests/autoscaling/planner_test.cpp
@@ -26,13 +26,13 @@
   for (const char* location : {"a", "b", "c", "d"}) {
     input.present[location] = {18, 0};
   }
-  input.kept = 72;
+  input.retained = 72;
   input.loads = std::move(loads);
   input.may_shrink = true;
   return input;
 }
 
-std::uint32_t total(const PoolNumbers& numbers) { return totalOf(numbers); }
+std::uint32_t total(const PoolCounts& counts) { return totalOf(counts); }
 
 PoolPlan plan(Policy policy, const PoolInput& input) {
   AutoscalingSettings settings;
@@ -43,33 +43,33 @@
 
 class AutoscalingPlannerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AutoscalingPlannerTest);
-  CPPUNIT_TEST(nothingIsOrderedAwayBeforeDemandWasSeen);
-  CPPUNIT_TEST(theMostThatWasSeenCounts);
+  CPPUNIT_TEST(doesNotShrinkBeforeDemandIsKnown);
+  CPPUNIT_TEST(peakLoadDeterminesSize);
   CPPUNIT_TEST(moreLoadNeverWantsFewerEngines);
-  CPPUNIT_TEST(dearerEnginesAreFewer);
-  CPPUNIT_TEST(theRiskOfALocationIsHeldAgainstIt);
-  CPPUNIT_TEST(aLocationWithoutEnginesIsMadeUpForByOthers);
-  CPPUNIT_TEST(withoutACheaperKindAllAreLasting);
+  CPPUNIT_TEST(higherPriceMeansFewerEngines);
+  CPPUNIT_TEST(higherLossShareAddsEngines);
+  CPPUNIT_TEST(otherLocationsCoverUnavailableOne);
+  CPPUNIT_TEST(allLastingWithoutCheaperPreemptible);
   CPPUNIT_TEST(boundsAndEvennessHoldForAnyLoad);
-  CPPUNIT_TEST(queuesGrowWithUtilisation);
+  CPPUNIT_TEST(lateShareGrowsWithUtilisation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void nothingIsOrderedAwayBeforeDemandWasSeen() {
+  void doesNotShrinkBeforeDemandIsKnown() {
     for (const Policy policy : {Policy::kThreshold, Policy::kWorth}) {
-      PoolInput known_nothing = input({});
-      known_nothing.may_shrink = false;
-      CPPUNIT_ASSERT_EQUAL(72U, total(plan(policy, known_nothing).wanted));
-      PoolInput short_sight = input({load(0.1)});
-      short_sight.may_shrink = false;
-      CPPUNIT_ASSERT_EQUAL(72U, total(plan(policy, short_sight).wanted));
-      short_sight.may_shrink = true;
-      CPPUNIT_ASSERT(total(plan(policy, short_sight).wanted) < 72);
+      PoolInput no_loads = input({});
+      no_loads.may_shrink = false;
+      CPPUNIT_ASSERT_EQUAL(72U, total(plan(policy, no_loads).wanted));
+      PoolInput one_load = input({load(0.1)});
+      one_load.may_shrink = false;
+      CPPUNIT_ASSERT_EQUAL(72U, total(plan(policy, one_load).wanted));
+      one_load.may_shrink = true;
+      CPPUNIT_ASSERT(total(plan(policy, one_load).wanted) < 72);
     }
   }
 
-  /// A swing that is shorter than a boot: the trough doesn't count.
-  void theMostThatWasSeenCounts() {
+  /// A drop in demand that is shorter than the boot time must not release engines.
+  void peakLoadDeterminesSize() {
     const auto peak = total(plan(Policy::kThreshold, input({load(20)})).wanted);
     const auto swing = total(plan(Policy::kThreshold, input({load(2), load(20), load(2)})).wanted);
     CPPUNIT_ASSERT_EQUAL(peak, swing);
@@ -89,7 +89,7 @@
     }
   }
 
-  void dearerEnginesAreFewer() {
+  void higherPriceMeansFewerEngines() {
     PoolInput cheap = input({load(10)});
     PoolInput dear = cheap;
     dear.declaration.preemptible_price = 0.9;
@@ -97,7 +97,7 @@
                    total(plan(Policy::kWorth, cheap).wanted));
   }
 
-  void theRiskOfALocationIsHeldAgainstIt() {
+  void higherLossShareAddsEngines() {
     AutoscalingSettings sure;
     sure.loss_share = 0;
     AutoscalingSettings risky;
@@ -107,25 +107,25 @@
                    total(makePlanner(sure)->plan(loaded).wanted));
   }
 
-  void aLocationWithoutEnginesIsMadeUpForByOthers() {
+  void otherLocationsCoverUnavailableOne() {
     PoolInput whole = input({load(15)});
-    const PoolNumbers before = plan(Policy::kWorth, whole).wanted;
+    const PoolCounts before = plan(Policy::kWorth, whole).wanted;
     whole.present["b"] = {0, 0};
     whole.without_preemptible = {"b"};
-    const PoolNumbers after = plan(Policy::kWorth, whole).wanted;
+    const PoolCounts after = plan(Policy::kWorth, whole).wanted;
     CPPUNIT_ASSERT(after.at("b") == before.at("b"));
-    const auto others = [](const PoolNumbers& numbers) {
-      return total(numbers) - numbers.at("b").total();
+    const auto others = [](const PoolCounts& counts) {
+      return total(counts) - counts.at("b").total();
     };
     CPPUNIT_ASSERT_EQUAL(std::min(total(before), 3 * 36U), others(after));
   }
 
-  void withoutACheaperKindAllAreLasting() {
+  void allLastingWithoutCheaperPreemptible() {
     for (const double price : {0.0, 1.0, 1.5}) {
       PoolInput only_lasting = input({load(10)});
       only_lasting.declaration.preemptible_price = price;
-      for (const auto& [location, numbers] : plan(Policy::kWorth, only_lasting).wanted) {
-        CPPUNIT_ASSERT_EQUAL(0U, numbers.preemptible);
+      for (const auto& [location, counts] : plan(Policy::kWorth, only_lasting).wanted) {
+        CPPUNIT_ASSERT_EQUAL(0U, counts.preemptible);
       }
     }
   }
@@ -139,9 +139,9 @@
       const auto policy = *rc::gen::element(Policy::kThreshold, Policy::kWorth);
       std::uint32_t least = UINT32_MAX;
       std::uint32_t most = 0;
-      for (const auto& [location, numbers] : plan(policy, any).wanted) {
-        least = std::min(least, numbers.total());
-        most = std::max(most, numbers.total());
+      for (const auto& [location, counts] : plan(policy, any).wanted) {
+        least = std::min(least, counts.total());
+        most = std::max(most, counts.total());
       }
       RC_ASSERT(least >= any.declaration.minimum_engines);
       RC_ASSERT(most <= any.declaration.maximum_engines);
@@ -149,7 +149,7 @@
     });
   }
 
-  void queuesGrowWithUtilisation() {
+  void lateShareGrowsWithUtilisation() {
     CPPUNIT_ASSERT_EQUAL(0.0, lateShare(0, load(1)));
     CPPUNIT_ASSERT(lateShare(0.3, load(1)) < lateShare(0.6, load(1)));
     CPPUNIT_ASSERT(lateShare(2, load(1)) >= 0.5);
