--- a/src/cypresswall/orders/desired_state.cpp
+++ b/src/cypresswall/orders/desired_state.cpp
@@ -33,7 +33,7 @@
     if (!contains(load.adapters, adapter.name)) {
       change.content.kind = OrderKind::kLoadAdapter;
       change.content.adapter = adapter.name;
-      // Loading an adapter takes nothing away from running streams.
+      // Loading an adapter does not affect running streams.
       change.content.only_if_idle = false;
       change.drain = false;
       change.reason = "declared: adapter " + adapter.name;
--- a/src/cypresswall/orders/desired_state.h
+++ b/src/cypresswall/orders/desired_state.h
@@ -1,4 +1,4 @@
-/// Which change an engine needs so that it serves what operators declared.
+/// Computes the change that brings an engine to the declared configuration.
 #pragma once
 
 #include <optional>
@@ -10,15 +10,14 @@
 namespace cypresswall::orders {
 
 /// Compares an engine's last report with the configuration.
-/// \return the most urgent change: model and version, then adapters, then a pinned role; nothing
-///   if the engine is as declared, or not to be touched
+/// \return the first change needed, in the order model and version, adapters, pinned role; nothing
+///   if the engine is as declared
 std::optional<PlannedChange> declaredChange(const configuration::FleetConfiguration& fleet,
                                             const routing::EngineRecord& record);
 
-/// \return a change of role.
 PlannedChange roleChange(engines::EngineRole role, std::string reason);
 
-/// \return true if an operator fixed the engine's role.
+/// \return true if an operator pinned the engine's role.
 bool rolePinned(const configuration::FleetConfiguration& fleet, const common::EngineName& engine);
 
 }  // namespace cypresswall::orders
--- a/src/cypresswall/orders/drain_follower.h
+++ b/src/cypresswall/orders/drain_follower.h
@@ -1,4 +1,5 @@
-/// The drain table as one node obeys it: engines in it get no new work from this node.
+/// Applies the lease holder's drain table on one node: the node sends no new work to the engines in
+/// the table.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +18,8 @@
   DrainFollower(const DrainSettings& settings, const api::ProcessContext& context,
                 routing::EngineDirectory& directory);
 
-  /// Takes an announcement, also one that this node made itself.
-  /// \return true if its table is now in force on this node
+  /// Applies an announcement, including this node's own.
+  /// \return true if the announced table is now in force on this node
   bool apply(const DrainAnnouncement& announcement);
   const std::set<common::EngineName>& engines() const { return engines_; }
   const common::Epoch& epoch() const { return epoch_; }
--- a/src/cypresswall/orders/drain_table.cpp
+++ b/src/cypresswall/orders/drain_table.cpp
@@ -48,7 +48,7 @@
   if (added == added_at_.end()) {
     return false;
   }
-  const auto members = workGivers();
+  const auto members = dispatchingMembers();
   return std::all_of(members.begin(), members.end(), [&](const membership::Member& member) {
     const bool live = member.state == membership::MemberState::kAlive ||
                       member.state == membership::MemberState::kLeaving;
@@ -71,15 +71,15 @@
   return added_at_.empty() && seen != acknowledged_.end() && seen->second == version_;
 }
 
-std::vector<membership::Member> DrainTable::workGivers() const {
-  std::vector<membership::Member> givers = membership_.members();
+std::vector<membership::Member> DrainTable::dispatchingMembers() const {
+  std::vector<membership::Member> dispatching = membership_.members();
   if (!groups_.everyNodeDecides()) {
     const auto& deciders = groups_.allDeciders();
-    std::erase_if(givers, [&deciders](const membership::Member& member) {
+    std::erase_if(dispatching, [&deciders](const membership::Member& member) {
       return std::find(deciders.begin(), deciders.end(), member.node) == deciders.end();
     });
   }
-  return givers;
+  return dispatching;
 }
 
 void DrainTable::announce() {
@@ -91,7 +91,7 @@
     announcement.engines.push_back(engine);
   }
   own_follower_.apply(announcement);
-  for (const membership::Member& member : workGivers()) {
+  for (const membership::Member& member : dispatchingMembers()) {
     if (member.node != context_.self && member.state != membership::MemberState::kDead &&
         !holdsEmptyTable(member.node)) {
       context_.sendTo(member.node, announcement);
--- a/src/cypresswall/orders/drain_table.h
+++ b/src/cypresswall/orders/drain_table.h
@@ -1,5 +1,5 @@
-/// The holder's drain table: which engines are to be idle for a planned change, and which nodes
-/// have said that they give them no new work.
+/// The lease holder's drain table: the engines to be drained for a planned change, and which nodes
+/// have acknowledged that they send them no new work.
 #pragma once
 
 #include <cstdint>
@@ -23,23 +23,23 @@
              const membership::MembershipView& membership, const routing::EngineGroups& groups,
              DrainFollower& own_follower);
 
-  /// Begins an empty table of a new epoch and announces it, which ends the drains of every earlier
-  /// holder.
+  /// Announces an empty table under a new epoch, which ends the drains of all earlier holders.
   void begin(const common::Epoch& epoch);
   void add(const common::EngineName& engine);
   void remove(const common::EngineName& engine);
   bool contains(const common::EngineName& engine) const { return added_at_.count(engine) != 0; }
-  /// \return true if every live node that gives engines work gives this one none.
+  /// \return true if every live node that dispatches work has acknowledged the drain of the engine.
   bool acknowledged(const common::EngineName& engine) const;
-  /// Announces the table again if that is due; called often while the lease is held.
+  /// Announces the table again once DrainSettings::renewal_period has passed; called periodically
+  /// while the lease is held.
   void renewIfDue();
 
  private:
   void announce();
-  /// \return the members, without those that give no engine any work
-  std::vector<membership::Member> workGivers() const;
-  /// \return true if the table is empty and the node has said so of its own: an empty table does
-  ///   not expire, so it needs no renewal.
+  /// \return the members that dispatch work to engines
+  std::vector<membership::Member> dispatchingMembers() const;
+  /// \return true if the table is empty and the node has acknowledged this version. An empty table
+  ///   does not expire, so it needs no renewal.
   bool holdsEmptyTable(const common::NodeId& node) const;
 
   DrainSettings settings_;
@@ -49,7 +49,7 @@
   DrainFollower& own_follower_;
   std::optional<common::Epoch> epoch_;
   std::uint64_t version_ = 0;
-  /// Version of the table that first had the engine.
+  /// Version of the table in which the engine was added.
   std::map<common::EngineName, std::uint64_t> added_at_;
   std::map<common::NodeId, std::uint64_t> acknowledged_;
   common::MonotonicTime announced_at_{};
--- a/src/cypresswall/orders/engine_control.cpp
+++ b/src/cypresswall/orders/engine_control.cpp
@@ -68,7 +68,7 @@
 }
 
 bool EngineControl::drainOverdue() const {
-  return context_.clock.now() - record_.started_at > settings_.drain.limit;
+  return context_.clock.now() - record_.started_at > settings_.drain.timeout;
 }
 
 void EngineControl::tick() {
@@ -82,7 +82,7 @@
         cancel(ChangeOutcome::kDrainCancelled);
         break;
       }
-      noteAcknowledgement();
+      updateDrainAcknowledgement();
       if (drain_acknowledged_) {
         readLoad();
       }
@@ -104,13 +104,13 @@
   }
 }
 
-void EngineControl::noteAcknowledgement() {
+void EngineControl::updateDrainAcknowledgement() {
   if (drain_acknowledged_) {
     return;
   }
   const common::MonotonicTime now = context_.clock.now();
   const bool waited = settings_.order.engines_finish_streams &&
-                      now - record_.started_at >= settings_.drain.acknowledgement_limit;
+                      now - record_.started_at >= settings_.drain.acknowledgement_timeout;
   if (waited || drains_.acknowledged(endpoint().name)) {
     drain_acknowledged_ = true;
     acknowledged_at_ = now;
@@ -150,7 +150,7 @@
     if (result.ok()) {
       onLoad(result.value());
     } else {
-      fence_tried_ = true;
+      fence_attempted_ = true;
     }
   });
 }
@@ -165,7 +165,7 @@
       checkDrained(load);
       break;
     case ControlPhase::kOrdering:
-      settleOrder(load);
+      resolveBusyOrder(load);
       break;
     case ControlPhase::kConfirming:
       checkDone(load);
@@ -183,7 +183,7 @@
 }
 
 void EngineControl::onFence(OrderResult result) {
-  fence_tried_ = true;
+  fence_attempted_ = true;
   switch (result) {
     case OrderResult::kTaken:
       fenced_at_ = context_.clock.now();
@@ -235,37 +235,37 @@
     return;
   }
   if (!settings_.order.engines_finish_streams && !drains_.acknowledged(endpoint().name)) {
-    // A node joined that has not heard of the drain yet.
+    // A node has joined that does not know the drain yet.
     drain_acknowledged_ = false;
     return;
   }
-  if (mayOrder(load)) {
+  if (readyForOrder(load)) {
     sendOrder();
   }
 }
 
-bool EngineControl::mayOrder(const engines::EngineLoad& load) const {
+bool EngineControl::readyForOrder(const engines::EngineLoad& load) const {
   const common::MonotonicTime described = context_.clock.now() - load.age;
   const bool running = load.running_streams != 0 && !settings_.order.engines_finish_streams;
   const bool idle = !running && load.waiting_streams == 0;
   return idle && described >= acknowledged_at_ && !load.order_in_progress;
 }
 
-void EngineControl::settleOrder(const engines::EngineLoad& load) {
+void EngineControl::resolveBusyOrder(const engines::EngineLoad& load) {
   if (!channel_.open() || !channel_.busy()) {
     return;
   }
   if (load.incarnation != incarnation_) {
-    channel_.settle();
+    channel_.closeBusyOrder();
     restarts_in_change_.add();
     endChange(ChangeOutcome::kEngineRestarted, ControlPhase::kUnknown);
   } else if (load.order_in_progress) {
     return;
   } else if (load.role == record_.change.content.role) {
-    channel_.settle();
-    noteTaken();
-  } else if (load.last_sequence != ordered_at_count_) {
-    channel_.settle();
+    channel_.closeBusyOrder();
+    startConfirming();
+  } else if (load.last_sequence != orders_taken_at_submit_) {
+    channel_.closeBusyOrder();
     endChange(ChangeOutcome::kRefused, ControlPhase::kUnknown);
   } else if (drainOverdue()) {
     withdraw();
@@ -276,12 +276,12 @@
 
 void EngineControl::sendOrder() {
   phase_ = ControlPhase::kOrdering;
-  ordered_at_count_ = orders_taken_;
+  orders_taken_at_submit_ = orders_taken_;
   channel_.submit(incarnation_, orders_taken_, record_.change.content,
                   [this](OrderResult result) { onOrder(result); });
 }
 
-void EngineControl::noteTaken() {
+void EngineControl::startConfirming() {
   taken_at_ = context_.clock.now();
   phase_ = ControlPhase::kConfirming;
 }
@@ -289,7 +289,7 @@
 void EngineControl::onOrder(OrderResult result) {
   switch (result) {
     case OrderResult::kTaken:
-      noteTaken();
+      startConfirming();
       break;
     case OrderResult::kBusy:
       break;
@@ -312,7 +312,8 @@
 void EngineControl::withdraw() {
   phase_ = ControlPhase::kWithdrawing;
   outcome_if_done_ = ChangeOutcome::kDrainCancelled;
-  // An earlier copy of the order may have been taken meanwhile; the load tells once it is settled.
+  // An earlier copy of the order may have been accepted meanwhile; once the withdrawal is complete,
+  // the load report shows whether it was.
   channel_.withdraw([this](OrderResult result) { onOrder(result); });
 }
 
@@ -327,9 +328,9 @@
   if (!ready || described < taken_at_) {
     return;
   }
-  if (!showsEffect(load)) {
-    // Reports lag by an unknown time: this one may describe the moment before the order.
-    if (described - taken_at_ > settings_.order.effect_limit) {
+  if (!reflectsOrder(load)) {
+    // Load reports lag by an unknown time: this one may describe the state before the order.
+    if (described - taken_at_ > settings_.order.effect_timeout) {
       endChange(ChangeOutcome::kRefused, ControlPhase::kUnknown);
     }
     return;
@@ -340,7 +341,7 @@
   endChange(outcome_if_done_, ControlPhase::kIdle);
 }
 
-bool EngineControl::showsEffect(const engines::EngineLoad& load) const {
+bool EngineControl::reflectsOrder(const engines::EngineLoad& load) const {
   const engines::OrderContent& content = record_.change.content;
   return outcome_if_done_ != ChangeOutcome::kDone ||
          content.kind != engines::OrderKind::kChangeRole || load.role == content.role;
--- a/src/cypresswall/orders/engine_control.h
+++ b/src/cypresswall/orders/engine_control.h
@@ -1,6 +1,6 @@
-/// What the lease's holder does with one engine: raises its fence, then carries planned changes
-/// out one at a time. A change drains the engine, orders it, and waits until the engine reports
-/// that it is done.
+/// Controls one engine on behalf of the lease holder: raises its fence, then executes planned
+/// changes one at a time. A change drains the engine, sends the order, and waits until the engine
+/// reports completion.
 #pragma once
 
 #include <cstdint>
@@ -16,25 +16,24 @@
 namespace cypresswall::orders {
 
 enum class ControlPhase : std::uint8_t {
-  kUnknown,      ///< the engine's present incarnation has to be read and fenced
-  kFencing,      ///< the fence order is on its way
+  kUnknown,      ///< the engine's current incarnation has to be read and fenced
+  kFencing,      ///< the fence order is in flight
   kIdle,         ///< fenced; a change may start
-  kDraining,     ///< the zone's nodes give no new work, streams are left to finish
-  kOrdering,     ///< the order is on its way, or the engine still is busy
-  kConfirming,   ///< the order was taken; the engine is changing
-  kWithdrawing,  ///< a busy order is being made ineffective
-  kFencedOut,    ///< the engine obeys a later holder
+  kDraining,     ///< nodes send no new work; running streams are left to finish
+  kOrdering,     ///< the order is in flight, or the engine answered that it is busy
+  kConfirming,   ///< the engine accepted the order and is changing
+  kWithdrawing,  ///< an order answered with "busy" is being superseded by a fence order
+  kFencedOut,    ///< the engine obeys a later lease holder
 };
 
-/// \return a word for tables and logs, such as "draining".
+/// \return the name of the phase in tables and logs, such as "draining".
 const char* toString(ControlPhase phase);
 
-/// One change of one engine.
 struct PlannedChange {
   engines::OrderContent content;
   /// False for changes that leave running streams alone.
   bool drain = true;
-  /// For people: which declaration or estimate asked for it.
+  /// Human-readable: the declaration or plan that requires the change.
   std::string reason;
 };
 
@@ -42,16 +41,16 @@
   kUnderWay,
   kDone,
   kDrainCancelled,  ///< streams did not finish in time; the engine keeps its role
-  kWithdrawn,       ///< no longer wanted before it was ordered
+  kWithdrawn,       ///< became obsolete before the order was sent
   kEngineRestarted,
   kLostAuthority,
   kRefused,
 };
 
-/// \return a word for tables, logs and counters, such as "drain-cancelled".
+/// \return the name of the outcome in tables, logs and metrics, such as "drain-cancelled".
 const char* toString(ChangeOutcome outcome);
 
-/// A change with how it went, for operators.
+/// A change and its outcome, shown to operators.
 struct ChangeRecord {
   common::EngineName engine;
   common::Epoch epoch;
@@ -63,7 +62,7 @@
 
 class EngineControl {
  public:
-  /// Called whenever a change ends.
+  /// Called at the end of each change.
   using ChangeListener = std::function<void(const ChangeRecord&)>;
 
   EngineControl(const ControllerSettings& settings, const api::ProcessContext& context,
@@ -74,13 +73,13 @@
   EngineControl(const EngineControl&) = delete;
   EngineControl& operator=(const EngineControl&) = delete;
 
-  /// Does what is due; called every control period.
+  /// Advances the current phase; called once per control period.
   void tick();
   /// Starts a change. \pre phase() == kIdle
   void start(PlannedChange change);
-  /// Gives up a change that was not ordered yet; otherwise does nothing.
+  /// Cancels a change whose order was not sent yet; otherwise does nothing.
   void cancel(ChangeOutcome outcome);
-  /// Tells which incarnation the directory saw last, so that a restart is noticed.
+  /// Passes on the incarnation last seen by the directory, so that restarts are detected.
   void observeIncarnation(std::uint64_t incarnation, common::MonotonicTime observed_at);
 
   ControlPhase phase() const { return phase_; }
@@ -89,9 +88,9 @@
   bool changing() const;
   /// \return the change under way. \pre changing()
   const ChangeRecord& change() const { return record_; }
-  /// \return true once the fence was raised, or the engine failed to answer.
-  bool fenceTried() const { return fence_tried_; }
-  /// No planned change may start before this, after a drain that was given up.
+  /// \return true once the fence was raised or the engine failed to answer.
+  bool fenceAttempted() const { return fence_attempted_; }
+  /// Earliest time of the next planned change after a cancelled drain.
   common::MonotonicTime pausedUntil() const { return paused_until_; }
 
  private:
@@ -100,17 +99,17 @@
   void raiseFence(std::uint64_t incarnation);
   void onFence(OrderResult result);
   void checkDrained(const engines::EngineLoad& load);
-  bool mayOrder(const engines::EngineLoad& load) const;
-  void noteAcknowledgement();
+  bool readyForOrder(const engines::EngineLoad& load) const;
+  void updateDrainAcknowledgement();
   void tickOrder();
-  /// Finds out from a report what became of an order that was answered with "busy".
-  void settleOrder(const engines::EngineLoad& load);
+  /// Determines from a load report what became of an order that was answered with "busy".
+  void resolveBusyOrder(const engines::EngineLoad& load);
   void sendOrder();
-  void noteTaken();
+  void startConfirming();
   void onOrder(OrderResult result);
   void checkDone(const engines::EngineLoad& load);
-  /// \return false while the report shows the role that the order was to change
-  bool showsEffect(const engines::EngineLoad& load) const;
+  /// \return false while the report still shows the role from before the order
+  bool reflectsOrder(const engines::EngineLoad& load) const;
   void withdraw();
   void endChange(ChangeOutcome outcome, ControlPhase next);
   bool drainOverdue() const;
@@ -123,18 +122,18 @@
   ChangeListener listener_;
   OrderChannel channel_;
   ControlPhase phase_ = ControlPhase::kUnknown;
-  /// The life of the engine whose fence was raised.
+  /// Incarnation of the engine whose fence was raised.
   std::uint64_t incarnation_ = 0;
-  /// By the engine's own count, as last read.
+  /// The engine's own count of accepted orders, as last read.
   std::uint64_t orders_taken_ = 0;
-  /// That count when the open order was decided.
-  std::uint64_t ordered_at_count_ = 0;
+  /// Value of orders_taken_ when the open order was submitted.
+  std::uint64_t orders_taken_at_submit_ = 0;
   common::MonotonicTime fenced_at_{};
-  bool fence_tried_ = false;
+  bool fence_attempted_ = false;
   bool load_pending_ = false;
   common::MonotonicTime load_read_at_{};
   ChangeRecord record_;
-  /// When all nodes had acknowledged the drain; meaningful if drain_acknowledged_.
+  /// When all nodes had acknowledged the drain; valid if drain_acknowledged_.
   common::MonotonicTime acknowledged_at_{};
   bool drain_acknowledged_ = false;
   common::MonotonicTime taken_at_{};
--- a/src/cypresswall/orders/messages.h
+++ b/src/cypresswall/orders/messages.h
@@ -1,4 +1,4 @@
-/// Messages between the zone controller of the lease's holder and the zone's nodes.
+/// Messages between the lease holder's zone controller and the nodes of the zone.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace cypresswall::orders {
 
-/// The whole drain table of one holder. It replaces any table of the same epoch with a lower
-/// version, and every table of a lower epoch.
+/// Complete drain table of one lease holder. Replaces tables of the same epoch with a lower
+/// version, and all tables of a lower epoch.
 struct DrainAnnouncement {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kOrdersFirst, 0);
 
@@ -23,7 +23,7 @@
   MSGPACK_DEFINE(epoch, version, engines)
 };
 
-/// From now on the sender gives no new work to the engines of that table.
+/// Confirms that the sender no longer sends new work to the engines in the table.
 struct DrainAck {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kOrdersFirst, 1);
 
@@ -33,7 +33,7 @@
   MSGPACK_DEFINE(epoch, version)
 };
 
-/// What callers asked of one node since its last report.
+/// Demand that callers placed on one node since its last report.
 struct DemandReport {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kOrdersFirst, 2);
 
--- a/src/cypresswall/orders/order_channel.cpp
+++ b/src/cypresswall/orders/order_channel.cpp
@@ -49,7 +49,7 @@
   submit(incarnation, orders_taken, engines::OrderContent{}, std::move(callback));
 }
 
-void OrderChannel::settle() {
+void OrderChannel::closeBusyOrder() {
   busy_ = false;
   open_.reset();
   callback_ = nullptr;
@@ -86,7 +86,7 @@
     return;
   }
   if (!result.ok()) {
-    // Whether it took effect can't be known: only the very same order may follow.
+    // The outcome is unknown: only the identical order may be sent next.
     scheduleResend();
     return;
   }
@@ -108,7 +108,7 @@
       break;
     case OrderVerdict::kBusy: {
       busy_ = true;
-      // A copy, since the callback may replace itself by withdraw().
+      // Copied, since the callback may replace callback_ by calling withdraw().
       const Callback callback = callback_;
       callback(OrderResult::kBusy);
       break;
--- a/src/cypresswall/orders/order_channel.h
+++ b/src/cypresswall/orders/order_channel.h
@@ -1,5 +1,5 @@
-/// All orders from one holder to one engine: one at a time, numbered, and sent again unchanged
-/// until the engine answers.
+/// Sends orders from one lease holder to one engine: one at a time, with sequence numbers, and
+/// retried unchanged until the engine answers.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 
 /// How an order ended.
 enum class OrderResult : std::uint8_t {
-  kTaken,             ///< the engine accepted it, now or when it was sent before
-  kBusy,              ///< streams run or a change is under way; the order stays open, see resend()
-  kStaleEpoch,        ///< another holder has the engine; this one gives it no more orders
+  kTaken,             ///< the engine accepted this or an earlier copy of the order
+  kBusy,              ///< streams or another change are running; the order stays open, see resend()
+  kStaleEpoch,        ///< the engine obeys a later holder; this one must send no more orders
   kWrongIncarnation,  ///< the engine restarted; nothing was done
-  kConflict,          ///< the engine obeyed a later order of this epoch; nothing was done
+  kConflict,          ///< the engine accepted a later order of this epoch; nothing was done
   kAuthorityLost,     ///< the order was not sent: the lease is no longer held
 };
 
@@ -35,22 +35,22 @@
   OrderChannel(const OrderChannel&) = delete;
   OrderChannel& operator=(const OrderChannel&) = delete;
 
-  /// Sends a new order to one life of the engine.
+  /// Sends a new order to one incarnation of the engine.
   /// \pre !open()
-  /// \param orders_taken the engine's own count of orders
+  /// \param orders_taken the engine's own count of accepted orders
   /// \param callback called for each result; after any but kBusy the order is closed
   void submit(std::uint64_t engine_incarnation, std::uint64_t orders_taken,
               const engines::OrderContent& content, Callback callback);
-  /// Sends the open order again, the very same.
+  /// Sends the open order again, unchanged.
   /// \pre open() and the last result was kBusy
   void resend();
-  /// Gives up an order that was answered with kBusy. A copy that is still on its way is made
-  /// ineffective by a later number: raises the fence once more with the next sequence number.
+  /// Withdraws an order that was answered with kBusy by sending a fence order with the next
+  /// sequence number, so that the engine rejects copies that are still in flight.
   /// \pre open() and the last result was kBusy
   void withdraw(Callback callback);
-  /// Closes an order that was answered with kBusy, without a further result: the engine's report
-  /// showed what became of it. \pre open() and the last result was kBusy
-  void settle();
+  /// Closes an order that was answered with kBusy without calling the callback, after the engine's
+  /// load report has shown the outcome. \pre open() and the last result was kBusy
+  void closeBusyOrder();
 
   bool open() const { return open_.has_value(); }
   bool busy() const { return busy_; }
@@ -76,7 +76,7 @@
   bool busy_ = false;
   common::Duration resend_delay_{0};
   common::TimerId resend_timer_ = 0;
-  /// Shows replies on their way that the channel is gone.
+  /// Set to false on destruction, so that replies in flight are ignored.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   common::Counter& sent_;
   common::Counter& resent_;
--- a/src/cypresswall/orders/planning_input.cpp
+++ b/src/cypresswall/orders/planning_input.cpp
@@ -9,7 +9,7 @@
 
 using engines::EngineRole;
 
-/// \return the prompt speed that the engine would have in the role "prefill".
+/// \return the prefill speed that the engine would have in the role "prefill".
 double fullPrefillSpeed(const engines::EngineLoad& load,
                         const planning::CapacitySettings& capacity) {
   switch (load.role) {
@@ -55,7 +55,8 @@
   return engine;
 }
 
-/// Takes the limits of the services that the model backs; limits that none has stay as they are.
+/// Applies the latency limits of the services that use the model; limits that no service declares
+/// keep their defaults.
 void applyLimits(const configuration::FleetConfiguration& fleet, const common::ModelName& model,
                  planning::ModelDemand& demand) {
   std::vector<common::Duration> between_tokens;
--- a/src/cypresswall/orders/planning_input.h
+++ b/src/cypresswall/orders/planning_input.h
@@ -1,4 +1,4 @@
-/// Builds the planner's view of the zone from what the controller knows.
+/// Builds the planner's input from the state of the zone controller.
 #pragma once
 
 #include <map>
@@ -13,19 +13,18 @@
 
 namespace cypresswall::orders {
 
-/// Where the planner's view comes from.
 struct PlanningSources {
   const configuration::FleetConfiguration& fleet;
   const std::vector<routing::EngineRecord>& records;
   const std::map<common::EngineName, std::unique_ptr<EngineControl>>& controls;
   const planning::DemandEstimator& demand;
   common::MonotonicTime now;
-  /// The lease is not held yet, so that no engine has a control: any that is available counts as
-  /// changeable.
+  /// True before the lease is held: no engine has an EngineControl yet, so that every available
+  /// engine counts as changeable.
   bool without_lease = false;
 };
 
-/// Engines that are changing count in the role they are changing to.
+/// Engines whose role is being changed count in their new role.
 planning::PlanningInput makePlanningInput(const PlanningSources& sources,
                                           const planning::CapacitySettings& capacity);
 
--- a/src/cypresswall/orders/zone_controller.cpp
+++ b/src/cypresswall/orders/zone_controller.cpp
@@ -11,9 +11,9 @@
 namespace cypresswall::orders {
 namespace {
 
-/// Ended changes kept for operators.
+/// Completed changes kept for operators.
 constexpr std::size_t kRememberedChanges = 256;
-/// Weight of the newest change in the moving average of the time away.
+/// Weight of the newest change in the moving average of the time that an engine is unavailable.
 constexpr double kTimeAwayWeight = 0.3;
 
 }  // namespace
@@ -63,7 +63,7 @@
   if (active_) {
     controlRound();
   } else if (demand_) {
-    standbyRound();
+    planWithoutLease();
   } else {
     authority_.setNeeded(false);
   }
@@ -76,14 +76,14 @@
     begin(*held);
   }
   active_ = held.has_value();
-  if (!plans()) {
+  if (!isPlanner()) {
     demand_.reset();
   } else if (!demand_) {
     demand_.emplace(settings_.demand, context_.clock.now());
   }
 }
 
-bool ZoneController::plans() const { return authority_.believedHolder() == context_.self; }
+bool ZoneController::isPlanner() const { return authority_.believedHolder() == context_.self; }
 
 void ZoneController::begin(const common::Epoch& epoch) {
   controls_.clear();
@@ -102,7 +102,7 @@
   updateControls(records);
   tickControls();
   drains_.renewIfDue();
-  if (!fencesTried()) {
+  if (!allFencesAttempted()) {
     return;
   }
   if (demand_) {
@@ -111,7 +111,7 @@
       planRoles(records);
     }
   }
-  noteNeed(changesUnderWay());
+  updateLeaseNeed(changesInProgress());
 }
 
 bool ZoneController::planningDue() const {
@@ -119,12 +119,12 @@
   return now - planned_at_ >= settings_.planning_period && demand_->warm(now);
 }
 
-bool ZoneController::changesUnderWay() const {
+bool ZoneController::changesInProgress() const {
   return std::any_of(controls_.begin(), controls_.end(),
                      [](const auto& item) { return item.second->changing(); });
 }
 
-void ZoneController::noteNeed(bool needed) {
+void ZoneController::updateLeaseNeed(bool needed) {
   const common::MonotonicTime now = context_.clock.now();
   if (needed) {
     needed_at_ = now;
@@ -132,13 +132,13 @@
   authority_.setNeeded(needed || now - needed_at_ < settings_.lease_idle_time);
 }
 
-void ZoneController::standbyRound() {
+void ZoneController::planWithoutLease() {
   if (!planningDue()) {
     return;
   }
   const auto records = directory_.records();
   const planning::Plan plan = makePlan(records, {}, true);
-  noteNeed(!plan.changes.empty());
+  updateLeaseNeed(!plan.changes.empty());
 }
 
 void ZoneController::updateControls(const std::vector<routing::EngineRecord>& records) {
@@ -156,7 +156,7 @@
     if (record.reported) {
       control->observeIncarnation(record.load.incarnation, record.observed_at);
     }
-    cancelUnwanted(record);
+    cancelObsoleteDrain(record);
   }
   std::erase_if(controls_, [&](const auto& item) {
     const bool gone = declared.count(item.first) == 0;
@@ -178,20 +178,20 @@
   }
 }
 
-bool ZoneController::fencesTried() const {
+bool ZoneController::allFencesAttempted() const {
   return std::all_of(controls_.begin(), controls_.end(),
-                     [](const auto& item) { return item.second->fenceTried(); });
+                     [](const auto& item) { return item.second->fenceAttempted(); });
 }
 
-bool ZoneController::mayBeChanged(const routing::EngineRecord& record) const {
+bool ZoneController::isChangeable(const routing::EngineRecord& record) const {
   const auto control = controls_.find(record.declaration.name);
   return record.availability == routing::EngineAvailability::kAvailable &&
          control != controls_.end() && control->second->phase() == ControlPhase::kIdle &&
          control->second->pausedUntil() <= context_.clock.now();
 }
 
-bool ZoneController::roomForChange(const common::ModelName& model,
-                                   const std::vector<routing::EngineRecord>& records) const {
+bool ZoneController::withinAwayLimit(const common::ModelName& model,
+                                     const std::vector<routing::EngineRecord>& records) const {
   std::size_t engines = 0;
   std::size_t away = 0;
   for (const routing::EngineRecord& record : records) {
@@ -209,12 +209,12 @@
   return away < std::max<std::size_t>(1, allowed);
 }
 
-void ZoneController::cancelUnwanted(const routing::EngineRecord& record) {
+void ZoneController::cancelObsoleteDrain(const routing::EngineRecord& record) {
   EngineControl& control = *controls_.at(record.declaration.name);
   if (control.phase() != ControlPhase::kDraining) {
     return;
   }
-  // An operator's drain and a leaving machine go first: such an engine gets no order.
+  // A drain by an operator or a leaving machine takes precedence: the engine gets no order.
   const bool withdrawn = record.availability == routing::EngineAvailability::kDrainedByOperator ||
                          record.availability == routing::EngineAvailability::kMachineLeaving;
   const auto& content = control.change().change.content;
@@ -231,14 +231,14 @@
 void ZoneController::startDeclaredChanges(const std::vector<routing::EngineRecord>& records) {
   const auto fleet = configuration_.current();
   for (const routing::EngineRecord& record : records) {
-    if (!mayBeChanged(record)) {
+    if (!isChangeable(record)) {
       continue;
     }
     const auto change = declaredChange(*fleet, record);
     if (!change) {
       continue;
     }
-    if (!change->drain || roomForChange(record.declaration.model, records)) {
+    if (!change->drain || withinAwayLimit(record.declaration.model, records)) {
       controls_.at(record.declaration.name)->start(*change);
     }
   }
@@ -282,7 +282,7 @@
   const planning::Plan plan = makePlan(records, controls_, false);
   for (const planning::RoleChange& change : plan.changes) {
     const routing::EngineRecord* record = directory_.find(change.engine);
-    const bool allowed = record != nullptr && mayBeChanged(*record) &&
+    const bool allowed = record != nullptr && isChangeable(*record) &&
                          !rolePinned(*fleet, change.engine) && record->load.role != change.role;
     if (allowed) {
       controls_.at(change.engine)->start(roleChange(change.role, "planned by " + planner_->name()));
--- a/src/cypresswall/orders/zone_controller.h
+++ b/src/cypresswall/orders/zone_controller.h
@@ -1,6 +1,6 @@
-/// The zone's controller. Every node has one; it gives orders only while its node holds the zone's
-/// lease, and asks the lease directly before each order. On every node it obeys the holder's drain
-/// table and reports demand.
+/// Zone controller. Every node runs one; it sends orders to engines only while its node holds the
+/// zone's lease, which is checked immediately before each order. On every node it applies the
+/// holder's drain table and reports demand.
 #pragma once
 
 #include <cstdint>
@@ -28,28 +28,29 @@
 
 class ZoneController {
  public:
-  /// \param planner null takes the cost-based planner
+  /// \param planner null selects the cost-based planner
   ZoneController(const ControllerSettings& settings, const api::ProcessContext& context,
                  lease::AuthorityView& authority, routing::EngineDirectory& directory,
                  engines::EngineClient& client, configuration::ConfigurationView& configuration,
                  membership::MembershipView& membership,
                  std::unique_ptr<planning::Planner> planner = nullptr);
 
-  /// Begins to work; called once.
+  /// Starts the control loop; called once.
   void start();
 
-  /// \return the epoch under which this node acts; nothing if it does not.
+  /// \return the epoch of the lease; nothing if this node does not hold it.
   std::optional<common::Epoch> activeEpoch() const { return active_ ? epoch_ : std::nullopt; }
-  /// \return the control of one engine; null if this node does not act or knows no such engine.
+  /// \return the control of one engine; null if this node does not hold the lease or does not know
+  ///   the engine.
   const EngineControl* control(const common::EngineName& engine) const;
-  /// \return changes under way, then the last ended ones, newest first. Only on the holder.
+  /// \return changes in progress, then the latest completed ones, newest first. Only on the holder.
   std::vector<ChangeRecord> changes() const;
-  /// \return why the planner changed or left each model's roles in its last round.
+  /// \return the planner's reasons, for each model, for changing or keeping roles in its last run.
   const std::vector<planning::ModelExplanation>& explanations() const { return explanations_; }
-  /// \return what callers ask of each model; nothing unless this node plans the zone's roles and
-  ///   has seen demand for the short window.
+  /// \return the demand for each model; nothing unless this node plans the zone's roles and has
+  ///   collected demand for the short window.
   std::optional<std::map<common::ModelName, planning::ModelDemand>> demand() const;
-  /// \return the drain table that this node obeys.
+  /// \return the drain table in force on this node.
   const DrainFollower& drains() const { return follower_; }
 
  private:
@@ -58,28 +59,28 @@
   void tick();
   void updateAuthority();
   void begin(const common::Epoch& epoch);
-  /// \return true if this node is the one that plans the zone's roles.
-  bool plans() const;
+  /// \return true if this node plans the zone's roles.
+  bool isPlanner() const;
   void controlRound();
-  /// Plans without the lease, and asks for it once there is something to order.
-  void standbyRound();
+  /// Plans without the lease, and requests it once the plan contains changes.
+  void planWithoutLease();
   bool planningDue() const;
-  bool changesUnderWay() const;
-  /// Notes whether there is something to order, so that the lease is kept or given back.
-  void noteNeed(bool needed);
+  bool changesInProgress() const;
+  /// Requests, keeps or releases the lease depending on whether there are changes.
+  void updateLeaseNeed(bool needed);
   void updateControls(const std::vector<routing::EngineRecord>& records);
   void tickControls();
-  bool fencesTried() const;
+  bool allFencesAttempted() const;
   void startDeclaredChanges(const std::vector<routing::EngineRecord>& records);
-  /// \return the planner's changes, none if roles are left to the operators.
+  /// \return the planner's changes; none if automatic roles are disabled.
   planning::Plan makePlan(const std::vector<routing::EngineRecord>& records,
                           const Controls& controls, bool without_lease);
   void logPlan() const;
   void planRoles(const std::vector<routing::EngineRecord>& records);
-  bool mayBeChanged(const routing::EngineRecord& record) const;
-  bool roomForChange(const common::ModelName& model,
-                     const std::vector<routing::EngineRecord>& records) const;
-  void cancelUnwanted(const routing::EngineRecord& record);
+  bool isChangeable(const routing::EngineRecord& record) const;
+  bool withinAwayLimit(const common::ModelName& model,
+                       const std::vector<routing::EngineRecord>& records) const;
+  void cancelObsoleteDrain(const routing::EngineRecord& record);
   void onChangeEnded(const ChangeRecord& record);
   void reportDemand();
 
@@ -93,18 +94,18 @@
   std::unique_ptr<planning::Planner> planner_;
   DrainFollower follower_;
   DrainTable drains_;
-  /// The last epoch acted under; kept while the lease lapses, since the numbers of its orders
-  /// must never be used again.
+  /// Last epoch of the lease. Kept while the lease lapses, so that a node that regains the same
+  /// epoch does not reuse sequence numbers of its orders.
   std::optional<common::Epoch> epoch_;
   bool active_ = false;
   Controls controls_;
-  /// Set while this node plans.
+  /// Set while this node plans the zone's roles.
   std::optional<planning::DemandEstimator> demand_;
   common::MonotonicTime planned_at_{};
   common::MonotonicTime needed_at_{};
   std::vector<planning::ModelExplanation> explanations_;
   std::deque<ChangeRecord> ended_;
-  /// Moving average of drain and change together.
+  /// Moving average of the duration of drain and change together.
   common::Duration time_away_{0};
   common::Counter& epochs_;
   common::Counter& demand_dropped_;
--- a/tests/orders/drain_follower_test.cpp
+++ b/tests/orders/drain_follower_test.cpp
@@ -10,11 +10,11 @@
 
 class DrainFollowerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DrainFollowerTest);
-  CPPUNIT_TEST(tablesOnlyMoveForward);
+  CPPUNIT_TEST(olderTablesAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void tablesOnlyMoveForward() {
+  void olderTablesAreRejected() {
     testing::requireProperty("the greatest epoch and version seen is in force", 100, [] {
       ZoneFixture zone(1, 1, 3);
       zone.loseLease();
--- a/tests/orders/engine_control_test.cpp
+++ b/tests/orders/engine_control_test.cpp
@@ -1,5 +1,5 @@
-/// Changes of engines that let running streams finish, count their orders themselves and may carry
-/// an order out seconds late.
+/// Changes of engines that finish running streams before a change, count accepted orders and may
+/// execute an order seconds late.
 #include "cypresswall/orders/engine_control.h"
 
 #include <vector>
@@ -16,9 +16,9 @@
 using testing::ZoneFixture;
 
 constexpr common::Duration kChangeTime = 1100ms;
-constexpr common::Duration kLateness = 2s;
+constexpr common::Duration kLateDelay = 2s;
 
-/// One such engine, as its client shows it.
+/// Fake client of one such engine.
 class CountingEngine final : public engines::EngineClient {
  public:
   explicit CountingEngine(simulation::SimulatedProcess& process) : process_(process) {}
@@ -55,7 +55,7 @@
     orders.push_back(order);
     if (late_orders > 0) {
       --late_orders;
-      process_.deliverAfter(kLateness, [this, order] { take(order); });
+      process_.deliverAfter(kLateDelay, [this, order] { take(order); });
       fail(std::move(callback));
       return;
     }
@@ -74,7 +74,7 @@
   std::uint32_t waiting = 0;
   static constexpr std::uint64_t kOrdersBefore = 3;
   std::uint64_t orders_taken = kOrdersBefore;
-  /// Reports after an order that still describe the moment before it.
+  /// Number of reports after an order that still describe the state before it.
   int outdated_reports = 0;
   int lost_answers = 0;
   int late_orders = 0;
@@ -110,7 +110,7 @@
   bool changing_ = false;
 };
 
-/// Holds one epoch and notes what it is told.
+/// Always holds one epoch and records calls of superseded().
 class HeldAuthority final : public lease::AuthorityView {
  public:
   std::optional<common::Epoch> heldEpoch() const override { return epoch; }
@@ -127,14 +127,14 @@
 class EngineControlTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineControlTest);
   CPPUNIT_TEST(ordersWhileStreamsRun);
-  CPPUNIT_TEST(waitsForPromptsThatHaveNotBegun);
-  CPPUNIT_TEST(lostAnswerIsSettledByTheReport);
-  CPPUNIT_TEST(anOutdatedReportDoesNotEndTheChange);
+  CPPUNIT_TEST(waitsForQueuedPrompts);
+  CPPUNIT_TEST(lostReplyIsResolvedByLoadReport);
+  CPPUNIT_TEST(outdatedReportDoesNotEndTheChange);
   CPPUNIT_TEST(lateOrderHasNoSecondEffect);
-  CPPUNIT_TEST(orderOfSomebodyElseEndsTheChange);
+  CPPUNIT_TEST(foreignOrderEndsTheChange);
   CPPUNIT_TEST(restartEndsTheChange);
-  CPPUNIT_TEST(refusalForAnOlderEpochIsTold);
-  CPPUNIT_TEST(silentNodesHoldUpNoChange);
+  CPPUNIT_TEST(staleEpochReplyIsReportedToAuthority);
+  CPPUNIT_TEST(unresponsiveNodesDoNotBlockChange);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -181,7 +181,7 @@
     requireDone();
   }
 
-  void waitsForPromptsThatHaveNotBegun() {
+  void waitsForQueuedPrompts() {
     engine_->waiting = 2;
     change();
     run(3s);
@@ -191,7 +191,7 @@
     requireDone();
   }
 
-  void lostAnswerIsSettledByTheReport() {
+  void lostReplyIsResolvedByLoadReport() {
     engine_->lost_answers = 1;
     change();
     run(5s);
@@ -200,8 +200,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, engine_->orders.size());
   }
 
-  /// Reports lag by more than they say: one that shows the old role proves nothing.
-  void anOutdatedReportDoesNotEndTheChange() {
+  /// Load reports may be older than their stated age, so the old role in a report does not prove
+  /// that the order failed.
+  void outdatedReportDoesNotEndTheChange() {
     engine_->outdated_reports = 3;
     change();
     run(500ms);
@@ -220,7 +221,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, engine_->orders_taken);
   }
 
-  void orderOfSomebodyElseEndsTheChange() {
+  void foreignOrderEndsTheChange() {
     engine_->late_orders = 1;
     change();
     run(200ms);
@@ -242,7 +243,7 @@
     CPPUNIT_ASSERT(ended_.front().outcome == ChangeOutcome::kEngineRestarted);
   }
 
-  void refusalForAnOlderEpochIsTold() {
+  void staleEpochReplyIsReportedToAuthority() {
     engine_->stale = true;
     change();
     run(2s);
@@ -251,7 +252,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, engine_->orders.size());
   }
 
-  void silentNodesHoldUpNoChange() {
+  void unresponsiveNodesDoNotBlockChange() {
     zone_->simulation.pauseFor(*zone_->nodes[1].process, 10s);
     change();
     run(500ms);
--- a/tests/orders/order_invariants_test.cpp
+++ b/tests/orders/order_invariants_test.cpp
@@ -1,5 +1,5 @@
-/// Fault schedules against a zone of controllers: what must always hold about orders and drains,
-/// and that everything settles once the faults end.
+/// Runs random fault schedules against a zone of controllers, and checks the invariants of orders
+/// and drains as well as the recovery once the faults end.
 #include <algorithm>
 #include <iostream>
 
@@ -17,7 +17,7 @@
 constexpr int kEngines = 5;
 constexpr auto kSettleTime = std::chrono::seconds(60);
 
-/// Things that a schedule does, one a step of about a second.
+/// Actions of a schedule, each followed by about a second of virtual time.
 enum class Step : std::uint8_t {
   kWantRole,
   kMoveLease,
@@ -31,12 +31,12 @@
   kLateOrders,
   kLagReports,
   kNewVersion,
-  kCalm,
+  kClearFaults,
   kCount,
 };
 
 struct Action {
-  Step step = Step::kCalm;
+  Step step = Step::kClearFaults;
   std::uint64_t choice = 0;
 };
 
@@ -50,7 +50,7 @@
   for (int step = 0; step < static_cast<int>(Step::kCount); ++step) {
     steps.push_back(static_cast<Step>(step));
   }
-  // Most of the rest only matters while engines change.
+  // Most faults only matter during a change, so that role changes are chosen more often.
   steps.insert(steps.end(), 6, Step::kWantRole);
   const auto action = rc::gen::apply(
       [](Step step, std::uint64_t choice) {
@@ -63,7 +63,7 @@
 class Run {
  public:
   explicit Run(std::uint64_t seed) : zone(seed, kNodes, kEngines) {
-    zone.settings.drain.limit = std::chrono::seconds(5);
+    zone.settings.drain.timeout = std::chrono::seconds(5);
     zone.settings.demand.short_window = std::chrono::seconds(1);
     for (std::size_t node = 0; node < kNodes; ++node) {
       zone.restart(node);
@@ -113,7 +113,7 @@
         zone.fleet.models["m"].version = "v" + std::to_string(action.choice % 3);
         zone.setConfiguration();
         break;
-      case Step::kCalm:
+      case Step::kClearFaults:
         zone.engines.faults = {};
         break;
       case Step::kCount:
@@ -122,8 +122,8 @@
     zone.run(std::chrono::milliseconds(200 + action.choice % 1500));
   }
 
-  /// Ends all faults and waits for everything to settle.
-  /// \return what has not settled, empty if nothing
+  /// Ends all faults and waits until the zone has recovered.
+  /// \return a description of what has not recovered; empty if everything has
   std::string settle() {
     zone.engines.faults = {};
     zone.script.wanted.clear();
@@ -190,10 +190,10 @@
     zone.giveLease(liveNode(index + 1));
   }
   void lapse() {
-    const common::NodeId holder = zone.truth.holder;
+    const common::NodeId holder = zone.lease_state.holder;
     zone.loseLease();
     zone.run(std::chrono::milliseconds(400));
-    zone.truth.holder = holder;
+    zone.lease_state.holder = holder;
   }
   void crashInNextChange(int engine) {
     emulation::EngineFaults faults;
@@ -209,11 +209,11 @@
 
 class OrderInvariantsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OrderInvariantsTest);
-  CPPUNIT_TEST(holdUnderAnyScheduleOfFaults);
+  CPPUNIT_TEST(invariantsHoldUnderFaultSchedules);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void holdUnderAnyScheduleOfFaults() {
+  void invariantsHoldUnderFaultSchedules() {
     simulation::FaultCounters faults;
     std::uint64_t orders = 0;
     std::uint64_t repeated = 0;
@@ -251,8 +251,8 @@
   }
 
  private:
-  /// Checks what each life of each engine took: orders of one epoch and number are equal, epochs
-  /// never go back, and nothing was taken before the holder's fence.
+  /// Checks the orders accepted by each incarnation of each engine: epochs never decrease, and the
+  /// first accepted order of each epoch raises the fence.
   static std::string conflictsOnEngines(ZoneFixture& zone) {
     for (const auto& [address, engine] : zone.engines.all()) {
       std::map<std::uint64_t, common::Epoch> highest;
--- a/tests/orders/zone_controller_test.cpp
+++ b/tests/orders/zone_controller_test.cpp
@@ -18,16 +18,16 @@
   CPPUNIT_TEST(changesARoleUnderLoadWithoutCuttingAStream);
   CPPUNIT_TEST(loadsANewVersionWhileServing);
   CPPUNIT_TEST(loadsAdaptersWithoutDraining);
-  CPPUNIT_TEST(setsPinnedRoles);
-  CPPUNIT_TEST(leavesDrainedEnginesAndLeavingMachinesAlone);
-  CPPUNIT_TEST(lostReplyIsAnsweredByTheSameOrder);
-  CPPUNIT_TEST(crashInMidChangeIsPlannedAnew);
-  CPPUNIT_TEST(nextHolderEndsDrainsOfALostOne);
-  CPPUNIT_TEST(nodesDropDrainsThatNobodyRenews);
+  CPPUNIT_TEST(appliesPinnedRoles);
+  CPPUNIT_TEST(doesNotChangeDrainedEnginesOrLeavingMachines);
+  CPPUNIT_TEST(lostReplyIsRetriedWithSameOrder);
+  CPPUNIT_TEST(crashDuringChangeIsReplanned);
+  CPPUNIT_TEST(newHolderClearsDrainsOfFailedHolder);
+  CPPUNIT_TEST(drainsExpireWithoutRenewal);
   CPPUNIT_TEST(emptyTableIsNotRenewed);
-  CPPUNIT_TEST(drainThatTakesTooLongIsGivenUp);
-  CPPUNIT_TEST(regainingOneEpochUsesNoNumberTwice);
-  CPPUNIT_TEST(asksForTheLeaseOnceThereIsSomethingToOrder);
+  CPPUNIT_TEST(overdueDrainIsCancelled);
+  CPPUNIT_TEST(regainedEpochReusesNoSequenceNumber);
+  CPPUNIT_TEST(requestsLeaseOnlyWhenChangesArePlanned);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.streamsCutByOrders());
   }
 
-  void setsPinnedRoles() {
+  void appliesPinnedRoles() {
     ZoneFixture zone(5, 2, 3);
     zone.fleet.engine_overrides["e101"] = {"e101", false, true, EngineRole::kPrefill};
     zone.script.wanted = {{"e101", EngineRole::kDecode}};
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.roleChanges());
   }
 
-  void leavesDrainedEnginesAndLeavingMachinesAlone() {
+  void doesNotChangeDrainedEnginesOrLeavingMachines() {
     ZoneFixture zone(6, 2, 4);
     zone.fleet.engine_overrides["e101"] = {"e101", true, false, EngineRole::kMixed};
     zone.setConfiguration();
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.roleChanges());
   }
 
-  void lostReplyIsAnsweredByTheSameOrder() {
+  void lostReplyIsRetriedWithSameOrder() {
     ZoneFixture zone(7, 2, 3);
     zone.engines.faults.orders.answer_lost = 0.6;
     zone.script.wanted = {{"e101", EngineRole::kDecode}};
@@ -143,7 +143,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.roleChanges());
   }
 
-  void crashInMidChangeIsPlannedAnew() {
+  void crashDuringChangeIsReplanned() {
     ZoneFixture zone(8, 2, 3);
     emulation::EngineFaults faults;
     faults.crash_in_next_change = true;
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.unsettled());
   }
 
-  /// Runs until the holder drains e101.
+  /// Runs until the lease holder drains e101.
   static void startDrain(ZoneFixture& zone) {
     zone.script.wanted = {{"e101", EngineRole::kDecode}};
     const bool draining = zone.simulation.time().runUntilTrue(
@@ -165,7 +165,7 @@
     zone.script.wanted.clear();
   }
 
-  void nextHolderEndsDrainsOfALostOne() {
+  void newHolderClearsDrainsOfFailedHolder() {
     ZoneFixture zone(9, 3, 3);
     startDrain(zone);
     zone.kill(0);
@@ -179,7 +179,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.unsettled());
   }
 
-  void nodesDropDrainsThatNobodyRenews() {
+  void drainsExpireWithoutRenewal() {
     ZoneFixture zone(10, 3, 3);
     startDrain(zone);
     zone.kill(0);
@@ -189,9 +189,9 @@
                    routing::EngineAvailability::kAvailable);
   }
 
-  void drainThatTakesTooLongIsGivenUp() {
+  void overdueDrainIsCancelled() {
     ZoneFixture zone(11, 2, 3);
-    zone.settings.drain.limit = 2 * kSecond;
+    zone.settings.drain.timeout = 2 * kSecond;
     zone.restart(0);
     zone.giveLease(0);
     zone.run(3 * kSecond);
@@ -218,40 +218,40 @@
     zone.engine(1).cancelStream("endless", 1);
   }
 
-  /// Where the lease is held only while it is needed, one node plans without it, asks for it when
-  /// its plan changes something, and lets it go some time after the last change.
-  void asksForTheLeaseOnceThereIsSomethingToOrder() {
+  /// With an on-demand lease, one node plans without it, requests it once its plan contains a
+  /// change, and releases it some time after the last change.
+  void requestsLeaseOnlyWhenChangesArePlanned() {
     ZoneFixture zone(5, 3, 6);
     zone.loseLease();
-    zone.truth.planner = zone.nodes[1].process->id();
+    zone.lease_state.planner = zone.nodes[1].process->id();
     zone.run(15 * kSecond);
-    CPPUNIT_ASSERT(zone.truth.in_need.empty());
+    CPPUNIT_ASSERT(zone.lease_state.needed_by.empty());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.audit.orders);
     zone.script.wanted = {{ZoneFixture::nameOf(2), EngineRole::kPrefill}};
     zone.run(2 * kSecond);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.truth.in_need.size());
-    CPPUNIT_ASSERT(zone.truth.in_need.contains(zone.truth.planner));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.lease_state.needed_by.size());
+    CPPUNIT_ASSERT(zone.lease_state.needed_by.contains(zone.lease_state.planner));
     zone.giveLease(1);
     zone.run(15 * kSecond);
     CPPUNIT_ASSERT(zone.engine(2).presentLoad().role == EngineRole::kPrefill);
-    CPPUNIT_ASSERT(zone.truth.in_need.empty());
+    CPPUNIT_ASSERT(zone.lease_state.needed_by.empty());
     CPPUNIT_ASSERT(zone.audit.violations.empty());
   }
 
-  void regainingOneEpochUsesNoNumberTwice() {
+  void regainedEpochReusesNoSequenceNumber() {
     ZoneFixture zone(12, 2, 3);
     zone.settings.demand.short_window = kSecond;
     zone.restart(0);
     zone.giveLease(0);
     zone.engines.faults.orders.answer_lost = 0.4;
-    const auto holder = zone.truth.holder;
+    const auto holder = zone.lease_state.holder;
     for (int i = 0; i < 30; ++i) {
       zone.script.wanted = {
           {ZoneFixture::nameOf(i % 3), i % 2 == 0 ? EngineRole::kDecode : EngineRole::kMixed}};
       zone.run(4 * kSecond);
-      zone.truth.holder = {};
+      zone.lease_state.holder = {};
       zone.run(kSecond / 3);
-      zone.truth.holder = holder;
+      zone.lease_state.holder = holder;
     }
     CPPUNIT_ASSERT(zone.roleChanges() > 5);
     CPPUNIT_ASSERT_EQUAL(std::string(),
--- a/tests/orders/zone_fixture.cpp
+++ b/tests/orders/zone_fixture.cpp
@@ -16,20 +16,20 @@
 void OrderAudit::sent(const common::NodeId& sender, const common::Address& engine,
                       const engines::EngineOrder& order) {
   ++orders;
-  if (!(truth_.holder == sender) || !(truth_.epoch == order.epoch)) {
+  if (!(lease_state_.holder == sender) || !(lease_state_.epoch == order.epoch)) {
     violations.push_back("sent without authority: " + describe(engine, order));
   }
   const bool planned = order.content.kind == engines::OrderKind::kChangeRole ||
                        order.content.kind == engines::OrderKind::kLoadModel;
   if (planned && !order.content.only_if_idle) {
-    violations.push_back("may cut streams: " + describe(engine, order));
+    violations.push_back("order may interrupt streams: " + describe(engine, order));
   }
   const Key key{engine, {order.epoch, order.sequence}};
   const auto same = sent_.find(key);
   if (same != sent_.end()) {
     ++repeated;
     if (!(same->second.order == order)) {
-      violations.push_back("two contents under one number: " + describe(engine, order));
+      violations.push_back("two orders with one sequence number: " + describe(engine, order));
     }
     return;
   }
@@ -38,7 +38,7 @@
   }
   std::uint64_t& newest = newest_[{engine, order.epoch}];
   if (order.sequence <= newest) {
-    violations.push_back("number went back: " + describe(engine, order));
+    violations.push_back("sequence number did not increase: " + describe(engine, order));
   }
   const auto previous = sent_.find({engine, {order.epoch, newest}});
   const bool open = previous != sent_.end() && !previous->second.answered &&
@@ -119,12 +119,12 @@
 }
 
 void StreamDriver::ended(const std::string& id) {
-  // The handler is still on the stack; it is destroyed on the next turn.
+  // The handler is still on the call stack, so it is destroyed in a later event.
   context_.scheduler.schedule(common::Duration(0), [this, id] { attempts_.erase(id); });
 }
 
 ZoneFixture::ZoneFixture(std::uint64_t seed, int node_count, int engine_count) : simulation(seed) {
-  settings.drain.limit = std::chrono::seconds(10);
+  settings.drain.timeout = std::chrono::seconds(10);
   fleet.planning.automatic_roles = true;
   audit.drained_everywhere = [this](const common::Address& address) {
     return std::all_of(nodes.begin(), nodes.end(), [&](const ZoneNode& node) {
@@ -163,7 +163,7 @@
   node.configuration = &process.emplace<SettableConfiguration>();
   node.membership = &process.emplace<SettableMembership>(process.id(), "z");
   auto& client = process.emplace<AuditedEngineClient>(simulation, process, engines, audit);
-  auto& authority = process.emplace<TrueAuthority>(process.id(), truth);
+  auto& authority = process.emplace<FakeAuthority>(process.id(), lease_state);
   node.directory = &process.emplace<routing::EngineDirectory>(
       routing::DirectorySettings{}, context, client, *node.configuration, *node.membership);
   node.router =
@@ -180,15 +180,15 @@
 
 void ZoneFixture::kill(std::size_t node) {
   simulation.kill(*nodes[node].process);
-  if (truth.holder == nodes[node].process->id()) {
+  if (lease_state.holder == nodes[node].process->id()) {
     loseLease();
   }
   shareMembers();
 }
 
 void ZoneFixture::giveLease(std::size_t node) {
-  ++truth.epoch.term;
-  truth.holder = nodes[node].process->id();
+  ++lease_state.epoch.term;
+  lease_state.holder = nodes[node].process->id();
 }
 
 void ZoneFixture::setConfiguration() {
@@ -215,7 +215,7 @@
 
 int ZoneFixture::holder() const {
   for (std::size_t node = 0; node < nodes.size(); ++node) {
-    if (nodes[node].process->alive() && truth.holder == nodes[node].process->id()) {
+    if (nodes[node].process->alive() && lease_state.holder == nodes[node].process->id()) {
       return static_cast<int>(node);
     }
   }
--- a/tests/orders/zone_fixture.h
+++ b/tests/orders/zone_fixture.h
@@ -1,5 +1,5 @@
-/// A zone of controllers with routers and streams before emulated engines, in virtual time, with a
-/// lease that the test hands around and a record of every order sent.
+/// Simulated zone in virtual time: zone controllers and routers with stream traffic to emulated
+/// engines, a lease assigned by the test, and an audit of every order sent.
 #pragma once
 
 #include <map>
@@ -16,50 +16,50 @@
 
 namespace cypresswall::testing {
 
-/// Who holds the lease, as it truly is.
-struct LeaseTruth {
+/// The actual state of the lease, assigned by the test.
+struct ActualLease {
   common::NodeId holder;
   common::Epoch epoch;
-  /// Takes the lease once it is needed; empty where the lease is always held.
+  /// Node that plans and requests the lease on demand; empty if the lease is always held.
   common::NodeId planner;
-  /// Who said last that there is something to order.
-  std::set<common::NodeId> in_need;
+  /// Nodes that currently request the lease.
+  std::set<common::NodeId> needed_by;
 };
 
-/// One process's view of LeaseTruth: right whenever asked, late in what it tells by itself.
-class TrueAuthority final : public lease::AuthorityView {
+/// One process's view of ActualLease: exact when queried, but never reports changes by itself.
+class FakeAuthority final : public lease::AuthorityView {
  public:
-  TrueAuthority(common::NodeId self, LeaseTruth& truth) : self_(std::move(self)), truth_(truth) {}
+  FakeAuthority(common::NodeId self, ActualLease& lease_state)
+      : self_(std::move(self)), lease_state_(lease_state) {}
   std::optional<common::Epoch> heldEpoch() const override {
-    return truth_.holder == self_ ? std::optional(truth_.epoch) : std::nullopt;
+    return lease_state_.holder == self_ ? std::optional(lease_state_.epoch) : std::nullopt;
   }
   common::NodeId believedHolder() const override {
-    return truth_.planner.empty() ? truth_.holder : truth_.planner;
+    return lease_state_.planner.empty() ? lease_state_.holder : lease_state_.planner;
   }
   void setNeeded(bool needed) override {
     if (needed) {
-      truth_.in_need.insert(self_);
+      lease_state_.needed_by.insert(self_);
     } else {
-      truth_.in_need.erase(self_);
+      lease_state_.needed_by.erase(self_);
     }
   }
   void onChange(std::function<void(std::optional<common::Epoch>)>) override {}
 
  private:
   common::NodeId self_;
-  LeaseTruth& truth_;
+  ActualLease& lease_state_;
 };
 
-/// What was seen of all orders of a run, and which promises they broke.
+/// Records all orders of a run and the invariants that they violate.
 class OrderAudit {
  public:
-  explicit OrderAudit(const LeaseTruth& truth) : truth_(truth) {}
-  /// \return a number that names the sending.
+  explicit OrderAudit(const ActualLease& lease_state) : lease_state_(lease_state) {}
   void sent(const common::NodeId& sender, const common::Address& engine,
             const engines::EngineOrder& order);
   void answered(const common::Address& engine, const engines::EngineOrder& order);
 
-  /// Tells whether every live node gives the engine no new work.
+  /// Returns true if no live node sends the engine new work.
   std::function<bool(const common::Address& engine)> drained_everywhere;
   std::vector<std::string> violations;
   std::uint64_t orders = 0;
@@ -72,12 +72,12 @@
   };
   using Key = std::pair<common::Address, std::pair<common::Epoch, std::uint64_t>>;
 
-  const LeaseTruth& truth_;
+  const ActualLease& lease_state_;
   std::map<Key, Sent> sent_;
   std::map<std::pair<common::Address, common::Epoch>, std::uint64_t> newest_;
 };
 
-/// Passes everything on to the simulated engines and reports orders to the audit.
+/// Forwards all calls to the simulated engines and reports orders to the audit.
 class AuditedEngineClient final : public engines::EngineClient {
  public:
   AuditedEngineClient(simulation::Simulation& simulation, simulation::SimulatedProcess& process,
@@ -115,7 +115,7 @@
   OrderAudit& audit_;
 };
 
-/// Asks for changes of role as the test tells; shared by all controllers of a run.
+/// Role changes requested by the test; shared by all controllers of a run.
 struct PlannerScript {
   std::vector<planning::RoleChange> wanted;
 };
@@ -168,12 +168,12 @@
  public:
   ZoneFixture(std::uint64_t seed, int nodes, int engines);
 
-  /// Starts a node anew at its address; an earlier life there ends.
+  /// Starts a new incarnation of a node at its address; an earlier one ends.
   void restart(std::size_t node);
   void kill(std::size_t node);
-  /// Gives the lease to a node under the next epoch.
+  /// Assigns the lease to a node under the next epoch.
   void giveLease(std::size_t node);
-  void loseLease() { truth.holder = {}; }
+  void loseLease() { lease_state.holder = {}; }
   void run(common::Duration time) { simulation.time().runFor(time); }
   void setConfiguration();
   void shareMembers();
@@ -181,15 +181,15 @@
   static std::string nameOf(int i);
   /// \return the index of the node that holds the lease, or -1.
   int holder() const;
-  /// \return what is wrong although all faults are over, empty if nothing.
+  /// \return a description of what has not recovered from faults; empty if everything has.
   std::string unsettled();
   std::uint64_t streamsCutByOrders() const;
   std::uint64_t roleChanges() const;
 
   simulation::Simulation simulation;
   simulation::SimulatedEngines engines{simulation};
-  LeaseTruth truth;
-  OrderAudit audit{truth};
+  ActualLease lease_state;
+  OrderAudit audit{lease_state};
   PlannerScript script;
   bool streams_enabled = true;
   configuration::FleetConfiguration fleet;
