--- a/src/cypresswall/duties/fleet_duties.h
+++ b/src/cypresswall/duties/fleet_duties.h
@@ -21,7 +21,7 @@
 
 struct DutySettings {
   UsageSettings usage;
-  /// The hand-over gap must exceed the platform's own limit on how fast holders may alternate.
+  /// The hand-over gap must exceed the platform's own limit for alternating calls of two holders.
   lease::StoreLeaseSettings lease;
 };
 
@@ -63,7 +63,8 @@
   FleetDuties& operator=(const FleetDuties&) = delete;
 
   void start();
-  /// Releases the lease for good; flushUsage() sends the counts that are still unsent.
+  /// Stops acquiring and renewing the lease, for a planned stop. Unsent counts are sent by
+  /// flushUsage().
   void resign();
   void flushUsage() { counter_.flushUsage(); }
 
--- a/src/cypresswall/duties/usage_reporter.h
+++ b/src/cypresswall/duties/usage_reporter.h
@@ -27,7 +27,7 @@
   std::size_t tenants = 0;
   /// Fencing token under which this node reported it; zero if the report is pending.
   std::uint32_t token = 0;
-  /// Nodes whose counts were not final when the report was.
+  /// Nodes whose counts were not final when the report was stored.
   std::size_t nodes_missing = 0;
   common::MonotonicTime at{};
 };
--- a/src/cypresswall/quarantine/quarantine_settings.h
+++ b/src/cypresswall/quarantine/quarantine_settings.h
@@ -36,7 +36,7 @@
   std::size_t maximum_tracked_requests = 4096;
   /// Answered requests that a node remembers, 16 bytes each: what a busy node answers in a minute.
   std::size_t maximum_answered_requests = 4096;
-  /// Maximum number of quarantined requests; the least recently seen are evicted first.
+  /// Maximum number of quarantined requests; those whose quarantine ends first are evicted first.
   std::size_t maximum_quarantined = 256;
 };
 
