--- a/src/cypresswall/execution/model_request.cpp
+++ b/src/cypresswall/execution/model_request.cpp
@@ -50,7 +50,7 @@
     giveUp(ErrorKind::kKeyRevoked, "the caller's key was taken away", common::Duration{0});
     return false;
   }
-  const auto quarantined_for = core_.quarantine.keptAway(call_.fingerprint);
+  const auto quarantined_for = core_.quarantine.quarantinedFor(call_.fingerprint);
   if (quarantined_for) {
     releaseRoute();
     giveUp(ErrorKind::kQuarantined, "engines end under this request", *quarantined_for);
--- a/src/cypresswall/execution/service_run.cpp
+++ b/src/cypresswall/execution/service_run.cpp
@@ -59,7 +59,7 @@
     fail(ErrorKind::kKeyRevoked, "the caller's key was taken away", common::Duration{0});
     return false;
   }
-  const auto quarantined_for = core_.interfaces.quarantine.keptAway(request_.fingerprint);
+  const auto quarantined_for = core_.interfaces.quarantine.quarantinedFor(request_.fingerprint);
   if (quarantined_for) {
     fail(ErrorKind::kQuarantined, "back ends end under this request", *quarantined_for);
   }
--- a/tests/execution/process_fixture.h
+++ b/tests/execution/process_fixture.h
@@ -71,7 +71,7 @@
 /// Quarantines the requests set by the test and records all reports.
 class FakeQuarantine final : public quarantine::RequestQuarantine {
  public:
-  std::optional<common::Duration> keptAway(common::RequestFingerprint request) override {
+  std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) override {
     return quarantined.contains(request) ? std::optional<common::Duration>(std::chrono::minutes(1))
                                          : std::nullopt;
   }
