--- a/src/cypresswall/duties/collectors.cpp
+++ b/src/cypresswall/duties/collectors.cpp
@@ -19,7 +19,7 @@
   for (const membership::Member& member : membership.members()) {
     if (member.state == membership::MemberState::kAlive &&
         membership.handles(member.node, api::MessageSet::kUsage)) {
-      ranked.emplace_back(membership::linkClass(membership, member.node),
+      ranked.emplace_back(membership::linkBandwidthClass(membership, member.node),
                           membership::rendezvousRank(kDutyName, member.node), member.node);
     }
   }
--- a/src/cypresswall/execution/engine_model_executor.cpp
+++ b/src/cypresswall/execution/engine_model_executor.cpp
@@ -26,7 +26,7 @@
 EngineModelExecutor::EngineModelExecutor(
     const api::ProcessContext& process, const configuration::ConfigurationView& configuration,
     admission::AdmissionController& admission, routing::Router& router,
-    engines::EngineClient& engines, fleet_limits::RetryAccounts& retries,
+    engines::EngineClient& engines, fleet_limits::RetryBudgets& retries,
     fleet_limits::RateLimiter& rate_limiter, quarantine::RequestQuarantine& quarantine,
     duties::UsageRecorder& usage, const ExecutionSettings& settings)
     : core_(process, configuration, admission, router, engines, retries, rate_limiter, quarantine,
--- a/src/cypresswall/execution/model_execution_core.cpp
+++ b/src/cypresswall/execution/model_execution_core.cpp
@@ -55,7 +55,7 @@
                                        admission::AdmissionController& admission_controller,
                                        routing::Router& request_router,
                                        engines::EngineClient& engine_client,
-                                       fleet_limits::RetryAccounts& retry_accounts,
+                                       fleet_limits::RetryBudgets& retry_accounts,
                                        fleet_limits::RateLimiter& request_rate_limiter,
                                        quarantine::RequestQuarantine& request_quarantine,
                                        duties::UsageRecorder& usage_recorder,
--- a/src/cypresswall/execution/model_execution_core.h
+++ b/src/cypresswall/execution/model_execution_core.h
@@ -15,7 +15,7 @@
 #include "cypresswall/execution/execution_settings.h"
 #include "cypresswall/execution/request_journal.h"
 #include "cypresswall/fleet_limits/rate_limiter.h"
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 #include "cypresswall/quarantine/request_quarantine.h"
 #include "cypresswall/routing/router.h"
 
@@ -45,7 +45,7 @@
                      const configuration::ConfigurationView& configuration_view,
                      admission::AdmissionController& admission_controller,
                      routing::Router& request_router, engines::EngineClient& engine_client,
-                     fleet_limits::RetryAccounts& retry_accounts,
+                     fleet_limits::RetryBudgets& retry_accounts,
                      fleet_limits::RateLimiter& request_rate_limiter,
                      quarantine::RequestQuarantine& request_quarantine,
                      duties::UsageRecorder& usage_recorder,
@@ -64,7 +64,7 @@
   admission::AdmissionController& admission;
   routing::Router& router;
   engines::EngineClient& engines;
-  fleet_limits::RetryAccounts& retries;
+  fleet_limits::RetryBudgets& retries;
   fleet_limits::RateLimiter& rate_limiter;
   quarantine::RequestQuarantine& quarantine;
   duties::UsageRecorder& usage;
--- a/src/cypresswall/execution/model_request.h
+++ b/src/cypresswall/execution/model_request.h
@@ -78,7 +78,7 @@
   void notArrived();
   /// \return true if an attempt that failed so counts as an arrival at its engine
   bool arrived(engines::StreamFailure failure) const;
-  fleet_limits::RetryAccount& account() const;
+  fleet_limits::RetryBudget& account() const;
   void scheduleAttempt(common::Duration delay);
   void scheduleStep(common::Duration delay, std::function<void()> step);
 
--- a/src/cypresswall/execution/service_execution_core.h
+++ b/src/cypresswall/execution/service_execution_core.h
@@ -14,7 +14,7 @@
 #include "cypresswall/execution/execution_settings.h"
 #include "cypresswall/execution/request_journal.h"
 #include "cypresswall/fleet_limits/rate_limiter.h"
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 #include "cypresswall/idempotency/key_claims.h"
 #include "cypresswall/membership/membership_view.h"
 #include "cypresswall/quarantine/request_quarantine.h"
@@ -31,7 +31,7 @@
   admission::AdmissionController& admission;
   services::ServiceClient& client;
   idempotency::KeyClaims& claims;
-  fleet_limits::RetryAccounts& retries;
+  fleet_limits::RetryBudgets& retries;
   fleet_limits::RateLimiter& rate_limiter;
   quarantine::RequestQuarantine& quarantine;
   duties::UsageRecorder& usage;
--- a/src/cypresswall/execution/service_run.cpp
+++ b/src/cypresswall/execution/service_run.cpp
@@ -46,7 +46,7 @@
   } else {
     service_ = declared->second;
     if (maySend()) {
-      account().requestStarted();
+      account().recordRequest();
       beginIfAdmitted();
     }
   }
@@ -85,7 +85,7 @@
   }
 }
 
-fleet_limits::RetryAccount& ServiceRun::account() const {
+fleet_limits::RetryBudget& ServiceRun::account() const {
   return core_.interfaces.retries.of(service_.backend_pool.empty() ? service_.name
                                                                    : service_.backend_pool);
 }
--- a/src/cypresswall/execution/service_run.h
+++ b/src/cypresswall/execution/service_run.h
@@ -58,7 +58,7 @@
   void countBegin();
   void onBroken(const services::ServiceResponse& response);
   /// \return the account that pays for repeats
-  fleet_limits::RetryAccount& account() const;
+  fleet_limits::RetryBudget& account() const;
   bool payForRetry();
   /// Counts a run. \return false if no further one may be made
   bool payForRun();
--- a/src/cypresswall/fleet_limits/account_keepers.cpp
+++ b/src/cypresswall/fleet_limits/account_keepers.cpp
@@ -57,7 +57,7 @@
 
 common::NodeId AccountKeepers::keeperOf(const std::string& server) {
   const auto& nodes = candidates();
-  common::NodeId deciding = deciding_node_ ? deciding_node_(server) : common::NodeId{};
+  common::NodeId deciding = owner_lookup_ ? owner_lookup_(server) : common::NodeId{};
   if (!deciding.empty() && std::binary_search(nodes.begin(), nodes.end(), deciding)) {
     return deciding;
   }
--- a/src/cypresswall/fleet_limits/account_keepers.h
+++ b/src/cypresswall/fleet_limits/account_keepers.h
@@ -16,7 +16,7 @@
 
 /// \return the node that decides about a server anyway, such as the owner of an engine; empty for
 ///   one that no single node decides about
-using DecidingNode = std::function<common::NodeId(const std::string& server)>;
+using OwnerLookup = std::function<common::NodeId(const std::string& server)>;
 
 struct AccountKeeperSettings {
   /// Until the last node knows that another one came, went, or was cut off.
@@ -34,7 +34,7 @@
   AccountKeepers(const AccountKeepers&) = delete;
   AccountKeepers& operator=(const AccountKeepers&) = delete;
 
-  void setDecidingNode(DecidingNode find) { deciding_node_ = std::move(find); }
+  void setOwnerLookup(OwnerLookup find) { owner_lookup_ = std::move(find); }
   /// \return the node that keeps the account; this node if it knows no other
   common::NodeId keeperOf(const std::string& server);
   /// \return the part of a limit that this node may give out as the keeper, up to 1
@@ -48,7 +48,7 @@
   const AccountKeeperSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
-  DecidingNode deciding_node_;
+  OwnerLookup owner_lookup_;
   std::vector<common::NodeId> candidates_;
   /// Set by each change of the members until the candidates are asked for.
   bool stale_ = true;
--- a/src/cypresswall/fleet_limits/engine_rate_limits.cpp
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.cpp
@@ -87,7 +87,7 @@
   named_.add(notice.kind == NoticeKind::kNamed ? 1 : 0);
   if (table_.answered(server, notice, sent_at, context_.clock.now())) {
     changed(server, kOwnAnswer);
-    context_.sendToAll(peers_.newsReceivers(),
+    context_.sendToAll(peers_.updateReceivers(),
                        RateLimitNews{{toMessage(server, table_.all().at(server))}});
   }
 }
@@ -96,7 +96,7 @@
   const std::size_t count = membership_.members().size();
   const std::size_t before = std::exchange(member_count_, count);
   if (count > before * kGrowthOfAReturn) {
-    context_.sendToAll(peers_.repetitionReceivers(), RateLimitQuestion{});
+    context_.sendToAll(peers_.antiEntropyReceivers(), RateLimitQuestion{});
   }
 }
 
@@ -115,7 +115,7 @@
     }
   }
   if (!passed_on.limits.empty()) {
-    context_.sendToAll(peers_.newsReceivers(), passed_on);
+    context_.sendToAll(peers_.updateReceivers(), passed_on);
   }
 }
 
@@ -158,12 +158,12 @@
 }
 
 bool EngineRateLimits::limited(const std::string& server) const {
-  return settings_.keeps && table_.standing(server) != nullptr;
+  return settings_.enforced && table_.standing(server) != nullptr;
 }
 
 void EngineRateLimits::acquire(const std::string& server, PermitCallback done) {
   const RateLimit* const limit = table_.standing(server);
-  if (limit == nullptr || !settings_.keeps) {
+  if (limit == nullptr || !settings_.enforced) {
     done(true);
     return;
   }
@@ -196,7 +196,7 @@
 
 void EngineRateLimits::onPermitRequest(const common::NodeId& sender, const PermitRequest& request) {
   if (merge(request.limit, kAskingNode)) {
-    context_.sendToAll(peers_.newsReceivers(), RateLimitNews{{request.limit}});
+    context_.sendToAll(peers_.updateReceivers(), RateLimitNews{{request.limit}});
   }
   const std::string& server = request.limit.server;
   Permit permit{false, kNotKeeperWait};
@@ -252,7 +252,7 @@
 
 std::vector<std::string> EngineRateLimits::exhausted() {
   std::vector<std::string> servers;
-  if (!settings_.keeps) {
+  if (!settings_.enforced) {
     return servers;
   }
   for (const auto& [server, limit] : table_.all()) {
@@ -288,7 +288,7 @@
   if (table_.all().empty()) {
     return;
   }
-  context_.sendToAll(peers_.repetitionReceivers(), nextNews());
+  context_.sendToAll(peers_.antiEntropyReceivers(), nextNews());
 }
 
 RateLimitNews EngineRateLimits::nextNews() {
--- a/src/cypresswall/fleet_limits/engine_rate_limits.h
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.h
@@ -15,13 +15,13 @@
 #include "cypresswall/fleet_limits/rate_limit_messages.h"
 #include "cypresswall/fleet_limits/rate_limit_table.h"
 #include "cypresswall/fleet_limits/rate_limiter.h"
-#include "cypresswall/membership/news_peers.h"
+#include "cypresswall/membership/dissemination_peers.h"
 
 namespace cypresswall::fleet_limits {
 
 struct RateLimitSettings {
   /// Off: limits are noticed and told of, but not kept.
-  bool keeps = true;
+  bool enforced = true;
   RateLimitTableSettings table;
   PermitAccountSettings accounts;
   AccountKeeperSettings keepers;
@@ -66,7 +66,7 @@
 
   /// Begins to repeat what is known.
   void start() { repeat(); }
-  void setDecidingNode(DecidingNode find) { keepers_.setDecidingNode(std::move(find)); }
+  void setOwnerLookup(OwnerLookup find) { keepers_.setOwnerLookup(std::move(find)); }
 
   void answered(const std::string& server, const common::RateLimitNotice& notice,
                 common::MonotonicTime sent_at) override;
@@ -117,7 +117,7 @@
   const RateLimitSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
-  const membership::NewsPeers peers_;
+  const membership::DisseminationPeers peers_;
   RateLimitTable table_;
   AccountKeepers keepers_;
   PermitAccounts accounts_;
--- a/src/cypresswall/fleet_limits/fleet_part.cpp
+++ b/src/cypresswall/fleet_limits/local_share.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/fleet_limits/fleet_part.h"
+#include "cypresswall/fleet_limits/local_share.h"
 
 #include <utility>
 
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-FleetPart::FleetPart(const FleetPartSettings& settings, const api::ProcessContext& context,
-                     membership::MembershipView& membership)
+LocalShare::LocalShare(const LocalShareSettings& settings, const api::ProcessContext& context,
+                       membership::MembershipView& membership)
     : settings_(settings),
       context_(context),
       membership_(membership),
@@ -22,7 +22,7 @@
       part_gauge_(context.counters.gauge(
           "cypresswall_fleet_limits_part",
           "Part of the fleet's limits that this node may use without asking")) {
-  if (settings_.waits_after_start) {
+  if (settings_.withhold_after_start) {
     waitAnew("the node started");
   }
   membership.onChange([this] { countMembers(); });
@@ -30,22 +30,22 @@
   watch();
 }
 
-void FleetPart::watch() {
+void LocalShare::watch() {
   if (stoodStill()) {
     waitAnew("the process stood still");
   }
   watched_at_ = context_.clock.now();
   countMembers();
-  part_gauge_.set(part());
+  part_gauge_.set(fraction());
   context_.scheduler.schedule(kWatchInterval, [this] { watch(); });
 }
 
-void FleetPart::countMembers() {
+void LocalShare::countMembers() {
   const auto now = context_.clock.now();
   const std::size_t members = membership_.members().size();
   lately_.add(members, now);
   remembered_.add(members, now);
-  if (!settings_.waits_after_start) {
+  if (!settings_.withhold_after_start) {
     return;
   }
   const bool cut_off = members > 0 && remembered_.seesMinority();
@@ -55,19 +55,19 @@
   }
 }
 
-void FleetPart::waitAnew(const char* reason) {
+void LocalShare::waitAnew(const char* reason) {
   holds_from_ = context_.clock.now() + settings_.window + settings_.settling_time;
   common::LogEvent(context_.log, common::LogLevel::kInfo, "fleet_part_withheld")
       .field("reason", reason)
       .field("members", membership_.members().size());
 }
 
-bool FleetPart::stoodStill() const {
-  return settings_.waits_after_start &&
+bool LocalShare::stoodStill() const {
+  return settings_.withhold_after_start &&
          context_.clock.now() - watched_at_ > kWatchInterval + kNoticedPause;
 }
 
-double FleetPart::part() const {
+double LocalShare::fraction() const {
   // Timers of a machine that was suspended go on where they were: a request may come before the
   // one that notices it.
   if (stoodStill() || cut_off_ || context_.clock.now() < holds_from_ || lately_.value() == 0) {
--- a/src/cypresswall/fleet_limits/fleet_part.h
+++ b/src/cypresswall/fleet_limits/local_share.h
@@ -10,7 +10,7 @@
 
 namespace cypresswall::fleet_limits {
 
-struct FleetPartSettings {
+struct LocalShareSettings {
   /// Parts of the fleet that don't hear of each other's members; each gets the same share.
   std::size_t regions = 1;
   /// The span over which the limit is summed: what a node or its earlier life has used counts so
@@ -20,7 +20,7 @@
   /// for dead after 2.5 s, and the news of it is passed on for a second.
   common::Duration settling_time = std::chrono::seconds(5);
   /// Off: a node has its part from its start on. On: the sum is kept also when nodes restart.
-  bool waits_after_start = false;
+  bool withhold_after_start = false;
 };
 
 /// One divided by the nodes of the fleet. The parts of all nodes add up to one at the most in each
@@ -34,15 +34,15 @@
 ///
 /// A node that sees no more than half of the most members of ten minutes takes itself for cut off
 /// and has nothing: the others may divide without it. Once it sees more, it waits as after a start.
-class FleetPart {
+class LocalShare {
  public:
-  FleetPart(const FleetPartSettings& settings, const api::ProcessContext& context,
-            membership::MembershipView& membership);
-  FleetPart(const FleetPart&) = delete;
-  FleetPart& operator=(const FleetPart&) = delete;
+  LocalShare(const LocalShareSettings& settings, const api::ProcessContext& context,
+             membership::MembershipView& membership);
+  LocalShare(const LocalShare&) = delete;
+  LocalShare& operator=(const LocalShare&) = delete;
 
   /// \return from 0 to 1; 0 if this node may use nothing
-  double part() const;
+  double fraction() const;
 
  private:
   void watch();
@@ -51,7 +51,7 @@
   /// Has nothing from now on until the wait is over.
   void waitAnew(const char* reason);
 
-  const FleetPartSettings settings_;
+  const LocalShareSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
   RecentMaximum lately_;
--- a/src/cypresswall/fleet_limits/retry_accounts.cpp
+++ b/src/cypresswall/fleet_limits/retry_budgets.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-RetryAccount::RetryAccount(const common::ServiceName& service, const RetryLimitSettings& settings,
-                           const api::ProcessContext& context, PartOfFleet part_of_fleet)
+RetryBudget::RetryBudget(const common::ServiceName& service, const RetryLimitSettings& settings,
+                         const api::ProcessContext& context, PartOfFleet part_of_fleet)
     : service_(service),
       settings_(settings),
       context_(context),
@@ -30,23 +30,23 @@
       left_gauge_(context.counters.gauge("cypresswall_fleet_limits_retries_left",
                                          "Repeats that the account holds", "service", service)) {}
 
-void RetryAccount::requestStarted() {
+void RetryBudget::recordRequest() {
   ledger_.earn(1, context_.clock.now());
   left_gauge_.set(left());
 }
 
-double RetryAccount::used() const { return ledger_.used(context_.clock.now()); }
+double RetryBudget::used() const { return ledger_.used(context_.clock.now()); }
 
-double RetryAccount::left() const {
+double RetryBudget::left() const {
   const auto now = context_.clock.now();
   const double share = settings_.fleet_share * kUsedShare;
   const double burst = settings_.fleet_burst * part_of_fleet_();
   return std::max(0.0, ledger_.earned(now) * share + burst - ledger_.used(now));
 }
 
-bool RetryAccount::available(std::uint32_t repeats) const { return left() >= repeats; }
+bool RetryBudget::available(std::uint32_t repeats) const { return left() >= repeats; }
 
-bool RetryAccount::withdraw(std::uint32_t repeats) {
+bool RetryBudget::withdraw(std::uint32_t repeats) {
   if (!available(repeats)) {
     refused();
     return false;
@@ -56,7 +56,7 @@
   return true;
 }
 
-void RetryAccount::refused() {
+void RetryBudget::refused() {
   refused_count_.add();
   ++refusals_;
   ++refused_in_all_;
@@ -70,7 +70,7 @@
       .field("part", part_of_fleet_());
 }
 
-void RetryAccount::paid(std::uint32_t repeats) {
+void RetryBudget::paid(std::uint32_t repeats) {
   paid_count_.add(repeats);
   left_gauge_.set(left());
   if (!empty_ || context_.clock.now() - refused_at_ < kRecovered) {
@@ -83,14 +83,14 @@
       .field("left", left());
 }
 
-RetryAccounts::RetryAccounts(const RetryLimitSettings& settings, const api::ProcessContext& context,
-                             PartOfFleet part_of_fleet)
+RetryBudgets::RetryBudgets(const RetryLimitSettings& settings, const api::ProcessContext& context,
+                           PartOfFleet part_of_fleet)
     : settings_(settings), context_(context), part_of_fleet_(std::move(part_of_fleet)) {}
 
-RetryAccount& RetryAccounts::of(const common::ServiceName& service) {
+RetryBudget& RetryBudgets::of(const common::ServiceName& service) {
   auto& account = accounts_[service];
   if (!account) {
-    account = std::make_unique<RetryAccount>(service, settings_, context_, part_of_fleet_);
+    account = std::make_unique<RetryBudget>(service, settings_, context_, part_of_fleet_);
   }
   return *account;
 }
--- a/src/cypresswall/fleet_limits/retry_accounts.h
+++ b/src/cypresswall/fleet_limits/retry_budgets.h
@@ -28,12 +28,12 @@
 
 /// The account of one service. Whatever arrives at a back end beyond the first arrival of its
 /// request is one repeat.
-class RetryAccount {
+class RetryBudget {
  public:
-  RetryAccount(const common::ServiceName& service, const RetryLimitSettings& settings,
-               const api::ProcessContext& context, PartOfFleet part_of_fleet);
+  RetryBudget(const common::ServiceName& service, const RetryLimitSettings& settings,
+              const api::ProcessContext& context, PartOfFleet part_of_fleet);
   /// Pays in for one request that a caller sent.
-  void requestStarted();
+  void recordRequest();
   /// \return true if so many repeats could be paid for now
   bool available(std::uint32_t repeats = 1) const;
   /// \return false, taking nothing, if the account doesn't hold so many repeats
@@ -45,7 +45,7 @@
   /// \return repeats that can be paid for now
   double left() const;
   /// \return repeats that were not paid for since the start
-  std::uint64_t refusedInAll() const { return refused_in_all_; }
+  std::uint64_t totalRefused() const { return refused_in_all_; }
 
  private:
   void refused();
@@ -68,12 +68,12 @@
 };
 
 /// The accounts of all services, one each, made when a service is first asked for.
-class RetryAccounts {
+class RetryBudgets {
  public:
-  RetryAccounts(const RetryLimitSettings& settings, const api::ProcessContext& context,
-                PartOfFleet part_of_fleet);
-  RetryAccount& of(const common::ServiceName& service);
-  const std::map<common::ServiceName, std::unique_ptr<RetryAccount>>& all() const {
+  RetryBudgets(const RetryLimitSettings& settings, const api::ProcessContext& context,
+               PartOfFleet part_of_fleet);
+  RetryBudget& of(const common::ServiceName& service);
+  const std::map<common::ServiceName, std::unique_ptr<RetryBudget>>& all() const {
     return accounts_;
   }
 
@@ -81,7 +81,7 @@
   const RetryLimitSettings settings_;
   const api::ProcessContext& context_;
   const PartOfFleet part_of_fleet_;
-  std::map<common::ServiceName, std::unique_ptr<RetryAccount>> accounts_;
+  std::map<common::ServiceName, std::unique_ptr<RetryBudget>> accounts_;
 };
 
 }  // namespace cypresswall::fleet_limits
--- a/src/cypresswall/lease/generation_keeper.cpp
+++ b/src/cypresswall/lease/generation_keeper.cpp
@@ -118,7 +118,7 @@
                                   std::uint32_t next_generation) const {
   const auto sealed = sealed_before_.find(voter);
   const bool stays_out = sealed != sealed_before_.end() && sealed->second >= next_generation;
-  return stays_out || membership_.surelyDead(voter);
+  return stays_out || membership_.confirmedDead(voter);
 }
 
 bool GenerationKeeper::quorumLost(const VoterSet& set) const {
--- a/src/cypresswall/membership/news_peers.cpp
+++ b/src/cypresswall/membership/dissemination_peers.cpp
@@ -1,16 +1,16 @@
-#include "cypresswall/membership/news_peers.h"
+#include "cypresswall/membership/dissemination_peers.h"
 
 #include <algorithm>
 
 namespace cypresswall::membership {
 
-std::vector<common::NodeId> NewsPeers::newsReceivers() const {
+std::vector<common::NodeId> DisseminationPeers::updateReceivers() const {
   return findNeighbours(neighbours_, context_.self, peers()).news_receivers;
 }
 
 /// The next one in the common order, so that each node is told by one; and any other, since nodes
 /// differ for a while in who comes next.
-std::vector<common::NodeId> NewsPeers::repetitionReceivers() const {
+std::vector<common::NodeId> DisseminationPeers::antiEntropyReceivers() const {
   const auto nodes = peers();
   if (nodes.empty()) {
     return {};
@@ -19,7 +19,7 @@
   return {next == nodes.end() ? nodes.front() : *next, nodes[context_.random.below(nodes.size())]};
 }
 
-std::vector<common::NodeId> NewsPeers::peers() const {
+std::vector<common::NodeId> DisseminationPeers::peers() const {
   std::vector<common::NodeId> nodes;
   for (const Member& member : membership_.members()) {
     if (member.node != context_.self && handles(member.node)) {
--- a/src/cypresswall/membership/membership.cpp
+++ b/src/cypresswall/membership/membership.cpp
@@ -498,7 +498,7 @@
   return machines_.addressLeaving(address);
 }
 
-bool Membership::surelyDead(const common::NodeId& node) const {
+bool Membership::confirmedDead(const common::NodeId& node) const {
   if (node == context_.self) {
     return false;
   }
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -35,7 +35,7 @@
   const std::vector<Member>& members() const override;
   bool machineLeaving(const common::MachineName& machine) const override;
   bool addressLeaving(const common::Address& address) const override;
-  bool surelyDead(const common::NodeId& node) const override;
+  bool confirmedDead(const common::NodeId& node) const override;
   void onChange(std::function<void()> listener) override;
 
   /// Announces a planned stop. The node keeps sending heartbeats and answering until it ends.
--- a/src/cypresswall/membership/membership_view.h
+++ b/src/cypresswall/membership/membership_view.h
@@ -50,7 +50,7 @@
   virtual bool addressLeaving(const common::Address& address) const = 0;
   /// \return true if the process has ended for good: a later life answers at its address, or the
   /// machine list shows its machine as gone. Silence alone is no proof.
-  virtual bool surelyDead(const common::NodeId& node) const = 0;
+  virtual bool confirmedDead(const common::NodeId& node) const = 0;
   /// Attaches a value to this node, for its zone peers to read.
   virtual void setDigest(DigestTopic topic, std::uint64_t value) = 0;
   /// \return the newest value known of a member's digest, nothing if there is none.
--- a/src/cypresswall/membership/rendezvous.cpp
+++ b/src/cypresswall/membership/rendezvous.cpp
@@ -64,7 +64,7 @@
   return highest.node();
 }
 
-std::uint64_t linkClass(const MembershipView& membership, const common::NodeId& node) {
+std::uint64_t linkBandwidthClass(const MembershipView& membership, const common::NodeId& node) {
   const auto megabits = membership.digest(node, DigestTopic::kLinkMegabits);
   return static_cast<std::uint64_t>(std::bit_width(megabits.value_or(0)));
 }
--- a/src/cypresswall/membership/rendezvous.h
+++ b/src/cypresswall/membership/rendezvous.h
@@ -26,6 +26,6 @@
 /// \return the doublings of the node's link, zero if its bandwidth isn't known: what takes much
 /// room
 ///   goes to the nodes with the widest links, and nodes of like links share it
-std::uint64_t linkClass(const MembershipView& membership, const common::NodeId& node);
+std::uint64_t linkBandwidthClass(const MembershipView& membership, const common::NodeId& node);
 
 }  // namespace cypresswall::membership
--- a/src/cypresswall/node/node.cpp
+++ b/src/cypresswall/node/node.cpp
@@ -47,7 +47,7 @@
                   idempotency::ClaimInterfaces{authority_, authority_, membership_, gossip_,
                                                configuration_view_}),
       fleet_part_(settings_.fleet_part, context_, membership_),
-      retries_(settings_.retries, context_, [this] { return fleet_part_.part(); }),
+      retries_(settings_.retries, context_, [this] { return fleet_part_.fraction(); }),
       quarantine_(settings_.quarantine, settings_.membership.neighbours, context_, membership_,
                   clients.engines, clients.object_store),
       duties_(settings_.duties, context_, membership_, settings_.membership.machine,
@@ -68,7 +68,7 @@
       commands_(context_, configuration_, state_, declared_) {
   engines_.setPlanningNode([this] { return orders_authority_.believedHolder(); });
   engines_.setRateLimiter(rate_limits_);
-  rate_limits_.setDecidingNode([this](const std::string& server) {
+  rate_limits_.setOwnerLookup([this](const std::string& server) {
     const routing::EngineSlot slot = engines_.table().slotOf(server);
     return slot == routing::kNoEngineSlot ? common::NodeId{} : engines_.groups().firstOwnerOf(slot);
   });
--- a/src/cypresswall/node/node.h
+++ b/src/cypresswall/node/node.h
@@ -16,8 +16,8 @@
 #include "cypresswall/execution/engine_model_executor.h"
 #include "cypresswall/execution/http_service_executor.h"
 #include "cypresswall/fleet_limits/engine_rate_limits.h"
-#include "cypresswall/fleet_limits/fleet_part.h"
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/local_share.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 #include "cypresswall/idempotency/quorum_key_claims.h"
 #include "cypresswall/lease/store_lease.h"
 #include "cypresswall/lease/zone_authority.h"
@@ -122,8 +122,8 @@
   admission::ObservedRouter observed_router_;
   admission::ZoneAdmissionController admission_;
   idempotency::QuorumKeyClaims key_claims_;
-  fleet_limits::FleetPart fleet_part_;
-  fleet_limits::RetryAccounts retries_;
+  fleet_limits::LocalShare fleet_part_;
+  fleet_limits::RetryBudgets retries_;
   quarantine::FleetQuarantine quarantine_;
   duties::FleetDuties duties_;
   autoscaling::Controller autoscaling_;
--- a/src/cypresswall/node/node_settings.h
+++ b/src/cypresswall/node/node_settings.h
@@ -10,8 +10,8 @@
 #include "cypresswall/duties/fleet_duties.h"
 #include "cypresswall/execution/execution_settings.h"
 #include "cypresswall/fleet_limits/engine_rate_limits.h"
-#include "cypresswall/fleet_limits/fleet_part.h"
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/local_share.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 #include "cypresswall/idempotency/claim_settings.h"
 #include "cypresswall/lease/lease_settings.h"
 #include "cypresswall/lease/store_lease.h"
@@ -51,7 +51,7 @@
   admission::AdmissionSettings admission;
   execution::ExecutionSettings execution;
   fleet_limits::RetryLimitSettings retries;
-  fleet_limits::FleetPartSettings fleet_part;
+  fleet_limits::LocalShareSettings fleet_part;
   fleet_limits::RateLimitSettings rate_limits;
   quarantine::QuarantineSettings quarantine;
   duties::DutySettings duties;
--- a/src/cypresswall/node/node_state.cpp
+++ b/src/cypresswall/node/node_state.cpp
@@ -177,8 +177,8 @@
     row.service = service;
     row.used = account->used();
     row.left = account->left();
-    row.refused = account->refusedInAll();
-    row.part = sources_.fleet_part.part();
+    row.refused = account->totalRefused();
+    row.part = sources_.fleet_part.fraction();
     rows.push_back(std::move(row));
   }
   return rows;
--- a/src/cypresswall/node/node_state.h
+++ b/src/cypresswall/node/node_state.h
@@ -10,8 +10,8 @@
 #include "cypresswall/duties/fleet_duties.h"
 #include "cypresswall/execution/request_journal.h"
 #include "cypresswall/fleet_limits/engine_rate_limits.h"
-#include "cypresswall/fleet_limits/fleet_part.h"
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/local_share.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 #include "cypresswall/lease/authority_view.h"
 #include "cypresswall/membership/membership.h"
 #include "cypresswall/operators/state_providers.h"
@@ -31,8 +31,8 @@
   const orders::ZoneController& controller;
   const execution::RequestJournal& model_requests;
   const execution::RequestJournal& service_requests;
-  const fleet_limits::RetryAccounts& retries;
-  const fleet_limits::FleetPart& fleet_part;
+  const fleet_limits::RetryBudgets& retries;
+  const fleet_limits::LocalShare& fleet_part;
   fleet_limits::EngineRateLimits& rate_limits;
   const quarantine::FleetQuarantine& quarantine;
   const duties::FleetDuties& duties;
--- a/src/cypresswall/quarantine/fleet_quarantine.cpp
+++ b/src/cypresswall/quarantine/fleet_quarantine.cpp
@@ -226,7 +226,7 @@
 }
 
 void FleetQuarantine::tellOthers(const std::vector<KeptAwayRequest>& requests) {
-  context_.sendToAll(peers_.newsReceivers(), KeptAwayNotice{requests});
+  context_.sendToAll(peers_.updateReceivers(), KeptAwayNotice{requests});
 }
 
 void FleetQuarantine::repeat() {
@@ -238,7 +238,7 @@
   if (list_.size() == 0) {
     return;
   }
-  const auto receivers = peers_.repetitionReceivers();
+  const auto receivers = peers_.antiEntropyReceivers();
   if (receivers.empty()) {
     return;
   }
--- a/src/cypresswall/quarantine/fleet_quarantine.h
+++ b/src/cypresswall/quarantine/fleet_quarantine.h
@@ -8,8 +8,8 @@
 
 #include "cypresswall/api/process_context.h"
 #include "cypresswall/engines/engine_client.h"
+#include "cypresswall/membership/dissemination_peers.h"
 #include "cypresswall/membership/membership_view.h"
-#include "cypresswall/membership/news_peers.h"
 #include "cypresswall/object_store/object_store.h"
 #include "cypresswall/quarantine/answered_requests.h"
 #include "cypresswall/quarantine/crash_detector.h"
@@ -76,7 +76,7 @@
   const QuarantineSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
-  const membership::NewsPeers peers_;
+  const membership::DisseminationPeers peers_;
   CrashDetector detector_;
   /// What this node saw itself.
   CrashEvidence seen_;
--- a/src/cypresswall/routing/engine_groups.cpp
+++ b/src/cypresswall/routing/engine_groups.cpp
@@ -76,7 +76,7 @@
   std::map<std::uint64_t, std::vector<Member>, std::greater<>> by_link;
   for (const Member& member : membership_.members()) {
     if (member.state == MemberState::kAlive) {
-      by_link[membership::linkClass(membership_, member.node)].push_back(member);
+      by_link[membership::linkBandwidthClass(membership_, member.node)].push_back(member);
     }
   }
   const std::size_t wanted = std::max(settings_.owners, groups_.size() / 2);
--- a/src/cypresswall/settings/policy_keys.cpp
+++ b/src/cypresswall/settings/policy_keys.cpp
@@ -253,7 +253,7 @@
           "they are sent on."),
       switchKey(
           "mechanisms.engine_rate_limits",
-          [](auto& s) -> auto& { return s.node.rate_limits.keeps; },
+          [](auto& s) -> auto& { return s.node.rate_limits.enforced; },
           "Engines and back ends that name a limit on requests get no more than that from all "
           "nodes "
           "together; off: limits are told of, and not kept."),
--- a/src/cypresswall/settings/settings_loader.cpp
+++ b/src/cypresswall/settings/settings_loader.cpp
@@ -105,7 +105,7 @@
     // That platform counts every request that arrives at a back end, refused or not, over all nodes
     // together, whatever happened to them meanwhile.
     settings.node.execution.charge_refused_attempts = true;
-    settings.node.fleet_part.waits_after_start = true;
+    settings.node.fleet_part.withhold_after_start = true;
     settings.node.router.copies_prefixes = settings.copied_prefixes;
     settings.node.execution.first_token_silence_share = kSilenceShareOfCountingPlatform;
     // Its engines have only the roles "prefill" and "decode", and its store outlives the nodes.
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -181,7 +181,7 @@
 }
 
 StoreRelay::Rank StoreRelay::rankOf(Topic topic, const common::NodeId& node) const {
-  return {membership::linkClass(membership_, node), rendezvousRank(nameOf(topic), node)};
+  return {membership::linkBandwidthClass(membership_, node), rendezvousRank(nameOf(topic), node)};
 }
 
 bool StoreRelay::reader(Topic topic) const {
--- a/tests/execution/fake_services.h
+++ b/tests/execution/fake_services.h
@@ -93,7 +93,7 @@
     return leaving.count(machine) != 0;
   }
   bool addressLeaving(const common::Address&) const override { return false; }
-  bool surelyDead(const common::NodeId&) const override { return false; }
+  bool confirmedDead(const common::NodeId&) const override { return false; }
   void setDigest(membership::DigestTopic, std::uint64_t) override {}
   std::optional<std::uint64_t> digest(const common::NodeId&,
                                       membership::DigestTopic) const override {
--- a/tests/execution/http_service_executor_test.cpp
+++ b/tests/execution/http_service_executor_test.cpp
@@ -86,7 +86,7 @@
   testing::FakeAdmission admission;
   testing::FakeServiceClient client{process.time};
   testing::FakeClaims claims{process.time};
-  fleet_limits::RetryAccounts retries;
+  fleet_limits::RetryBudgets retries;
   testing::FakeRateLimiter rate_limiter;
   testing::FakeQuarantine quarantine;
   testing::FakeUsage usage;
--- a/tests/execution/model_world.h
+++ b/tests/execution/model_world.h
@@ -98,7 +98,7 @@
   FakeAdmission admission;
   FakeRouter router;
   FakeEngines engines{process.time};
-  fleet_limits::RetryAccounts retries;
+  fleet_limits::RetryBudgets retries;
   FakeRateLimiter rate_limiter;
   FakeQuarantine quarantine;
   FakeUsage usage;
--- a/tests/fleet_limits/fleet_sum_test.cpp
+++ b/tests/fleet_limits/fleet_sum_test.cpp
@@ -52,7 +52,7 @@
       : random_(seed), rate_(kUsualRate * traffic) {
     limits_.fleet_share = kShare;
     limits_.fleet_burst = 40 + 2 * static_cast<double>(nodes);
-    part_.waits_after_start = true;
+    part_.withhold_after_start = true;
     for (std::size_t node = 0; node < nodes; ++node) {
       nodes_.push_back(start());
     }
@@ -176,7 +176,7 @@
     count += random_.unit() < expected - count ? 1 : 0;
     requests_.back() += count;
     for (; count > 0; --count) {
-      node.account().requestStarted();
+      node.account().recordRequest();
       if (fails && random_.below(10) < kFailingOfTen && node.account().withdraw()) {
         ++repeats_.back();
       }
@@ -196,7 +196,7 @@
   common::SeededRandom random_;
   const double rate_;
   RetryLimitSettings limits_;
-  FleetPartSettings part_;
+  LocalShareSettings part_;
   simulation::VirtualTime time_;
   std::vector<std::unique_ptr<AccountNode>> nodes_;
   std::deque<News> news_;
--- a/tests/fleet_limits/rate_limit_zone_test.cpp
+++ b/tests/fleet_limits/rate_limit_zone_test.cpp
@@ -274,7 +274,7 @@
 
   void switchedOffHoldsNothingBack() {
     RateLimitZone zone(1);
-    zone.settings.keeps = false;
+    zone.settings.enforced = false;
     zone.restart(0);
     zone.answer(0, kServer, 0);
     zone.sendFor(seconds(1), kInterval, kServer);
--- a/tests/fleet_limits/retry_account_test.cpp
+++ b/tests/fleet_limits/retry_account_test.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -42,13 +42,13 @@
   void setUp() override {
     limits_.fleet_share = 0.2;
     limits_.fleet_burst = 3;
-    node_ = std::make_unique<testing::AccountNode>(time_, limits_, FleetPartSettings{}, lines_);
+    node_ = std::make_unique<testing::AccountNode>(time_, limits_, LocalShareSettings{}, lines_);
   }
 
   /// Timers of a suspended machine go on where they were, while its clock has moved.
   void burstIsWithheldBeforeAPauseIsNoticed() {
-    FleetPartSettings part;
-    part.waits_after_start = true;
+    LocalShareSettings part;
+    part.withhold_after_start = true;
     testing::AccountNode node(time_, limits_, part, lines_);
     time_.runFor(seconds(20));
     CPPUNIT_ASSERT(node.account().available());
@@ -104,7 +104,7 @@
  private:
   void request(int count) {
     for (; count > 0; --count) {
-      node_->account().requestStarted();
+      node_->account().recordRequest();
     }
   }
   int withdrawAll() {
--- a/tests/fleet_limits/simulated_accounts.h
+++ b/tests/fleet_limits/simulated_accounts.h
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "cypresswall/fleet_limits/fleet_part.h"
-#include "cypresswall/fleet_limits/retry_accounts.h"
+#include "cypresswall/fleet_limits/local_share.h"
+#include "cypresswall/fleet_limits/retry_budgets.h"
 #include "cypresswall/simulation/virtual_time.h"
 #include "tests/execution/process_fixture.h"
 
@@ -58,7 +58,7 @@
   const std::vector<membership::Member>& members() const override { return *list_; }
   bool machineLeaving(const common::MachineName&) const override { return false; }
   bool addressLeaving(const common::Address&) const override { return false; }
-  bool surelyDead(const common::NodeId&) const override { return false; }
+  bool confirmedDead(const common::NodeId&) const override { return false; }
   void setDigest(membership::DigestTopic, std::uint64_t) override {}
   std::optional<std::uint64_t> digest(const common::NodeId&,
                                       membership::DigestTopic) const override {
@@ -85,7 +85,7 @@
 class AccountNode {
  public:
   AccountNode(simulation::VirtualTime& time, const fleet_limits::RetryLimitSettings& limits,
-              const fleet_limits::FleetPartSettings& part,
+              const fleet_limits::LocalShareSettings& part,
               common::LogSink& log = common::nullLogSink())
       : timers(time),
         context_{common::NodeId{"127.0.0.1:1", 7},
@@ -98,11 +98,11 @@
                  transport_,
                  dispatcher_},
         fleet_part(part, context_, membership),
-        accounts(limits, context_, [this] { return fleet_part.part(); }) {}
+        accounts(limits, context_, [this] { return fleet_part.fraction(); }) {}
   AccountNode(const AccountNode&) = delete;
   AccountNode& operator=(const AccountNode&) = delete;
 
-  fleet_limits::RetryAccount& account() { return accounts.of("advice"); }
+  fleet_limits::RetryBudget& account() { return accounts.of("advice"); }
 
   ProcessTimers timers;
   SharedMembership membership;
@@ -115,8 +115,8 @@
   api::ProcessContext context_;
 
  public:
-  fleet_limits::FleetPart fleet_part;
-  fleet_limits::RetryAccounts accounts;
+  fleet_limits::LocalShare fleet_part;
+  fleet_limits::RetryBudgets accounts;
 };
 
 }  // namespace cypresswall::testing
--- a/tests/lease/lease_zone.h
+++ b/tests/lease/lease_zone.h
@@ -242,7 +242,7 @@
            << set.version.term << "." << set.version.index << " of";
       for (const auto& member : set.members) {
         text << " " << member.toString();
-        text << (node.membership->surelyDead(member) ? "(dead)" : "");
+        text << (node.membership->confirmedDead(member) ? "(dead)" : "");
       }
       text << ", anchors";
       for (const auto& anchor : set.anchors) {
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT(ZoneOfNodes::stateOf(*zone.memberships.at(1), 3) == MemberState::kSuspect);
     zone.world.runFor(1500ms);
     CPPUNIT_ASSERT(zone.everyNodeSees(3));
-    CPPUNIT_ASSERT(!zone.memberships.at(1)->surelyDead({addressOf(3), 3}));
+    CPPUNIT_ASSERT(!zone.memberships.at(1)->confirmedDead({addressOf(3), 3}));
   }
 
   void laterLifeReplacesEarlier() {
@@ -117,8 +117,8 @@
     zone.start(2);
     zone.world.runFor(1s);
     CPPUNIT_ASSERT(zone.everyNodeSees(4));
-    CPPUNIT_ASSERT(zone.memberships.at(4)->surelyDead({addressOf(2), 2}));
-    CPPUNIT_ASSERT(!zone.memberships.at(4)->surelyDead({addressOf(2), 5}));
+    CPPUNIT_ASSERT(zone.memberships.at(4)->confirmedDead({addressOf(2), 2}));
+    CPPUNIT_ASSERT(!zone.memberships.at(4)->confirmedDead({addressOf(2), 5}));
   }
 
   void pausedNodeKeepsItsPeersAndComesBack() {
@@ -232,8 +232,8 @@
     zone.kill(3);
     zone.world.machines.erase(zone.world.machines.begin() + 2);
     zone.world.runFor(2s);
-    CPPUNIT_ASSERT(zone.memberships.at(1)->surelyDead({addressOf(3), 3}));
-    CPPUNIT_ASSERT(!zone.memberships.at(1)->surelyDead({addressOf(2), 2}));
+    CPPUNIT_ASSERT(zone.memberships.at(1)->confirmedDead({addressOf(3), 3}));
+    CPPUNIT_ASSERT(!zone.memberships.at(1)->confirmedDead({addressOf(2), 2}));
   }
 
   void controlBytesStayInBudget() {
--- a/tests/routing/engine_directory_test.cpp
+++ b/tests/routing/engine_directory_test.cpp
@@ -94,7 +94,7 @@
   const std::vector<membership::Member>& members() const override { return members_.members(); }
   bool machineLeaving(const common::MachineName&) const override { return false; }
   bool addressLeaving(const common::Address&) const override { return false; }
-  bool surelyDead(const common::NodeId&) const override { return false; }
+  bool confirmedDead(const common::NodeId&) const override { return false; }
   void setDigest(membership::DigestTopic, std::uint64_t) override {}
   std::optional<std::uint64_t> digest(const common::NodeId&,
                                       membership::DigestTopic) const override {
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -176,7 +176,7 @@
          [](const auto& s) { return s.node.router.output_speed.learns_remaining_time; }},
         {"engine_ejection", [](const auto& s) { return s.node.directory.ejection.ejects; }},
         {"request_quarantine", [](const auto& s) { return s.node.quarantine.quarantines; }},
-        {"engine_rate_limits", [](const auto& s) { return s.node.rate_limits.keeps; }},
+        {"engine_rate_limits", [](const auto& s) { return s.node.rate_limits.enforced; }},
         {"copied_prefixes", [](const auto& s) { return s.copied_prefixes; }}};
     for (const SettingKey& key : settingKeys()) {
       const bool is_mechanism = key.name.starts_with("mechanisms.");
--- a/tests/support/engine_world.h
+++ b/tests/support/engine_world.h
@@ -130,7 +130,7 @@
     return leaving_.count(machine) != 0;
   }
   bool addressLeaving(const common::Address&) const override { return false; }
-  bool surelyDead(const common::NodeId&) const override { return false; }
+  bool confirmedDead(const common::NodeId&) const override { return false; }
   void setDigest(membership::DigestTopic, std::uint64_t) override {}
   std::optional<std::uint64_t> digest(const common::NodeId& node,
                                       membership::DigestTopic topic) const override {
--- a/tests/support/routing_node.h
+++ b/tests/support/routing_node.h
@@ -55,8 +55,8 @@
   bool addressLeaving(const common::Address& address) const override {
     return membership_.addressLeaving(address);
   }
-  bool surelyDead(const common::NodeId& node) const override {
-    return membership_.surelyDead(node);
+  bool confirmedDead(const common::NodeId& node) const override {
+    return membership_.confirmedDead(node);
   }
   void setDigest(membership::DigestTopic topic, std::uint64_t value) override {
     membership_.setDigest(topic, value);
