--- a/src/cypresswall/fleet_limits/account_keepers.cpp
+++ b/src/cypresswall/fleet_limits/account_keepers.cpp
@@ -11,7 +11,7 @@
 /// What each of two keepers gives out.
 constexpr double kUnsettledShare = 0.5;
 /// Servers whose keeper is kept worked out.
-constexpr std::size_t kMaximumHashed = 4096;
+constexpr std::size_t kMaximumCachedServers = 4096;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   stale_ = true;
   const auto now = context_.clock.now();
   const std::size_t count = membership_.members().size();
-  remembered_.add(count, now);
+  size_history_.add(count, now);
   if (count != std::exchange(member_count_, count)) {
     changed_at_ = now;
   }
@@ -50,31 +50,31 @@
   if (nodes != candidates_) {
     changed_at_ = candidates_.empty() ? changed_at_ : context_.clock.now();
     candidates_ = std::move(nodes);
-    hashed_.clear();
+    rendezvous_cache_.clear();
   }
   return candidates_;
 }
 
 common::NodeId AccountKeepers::keeperOf(const std::string& server) {
   const auto& nodes = candidates();
-  common::NodeId deciding = owner_lookup_ ? owner_lookup_(server) : common::NodeId{};
-  if (!deciding.empty() && std::binary_search(nodes.begin(), nodes.end(), deciding)) {
-    return deciding;
+  common::NodeId owner = owner_lookup_ ? owner_lookup_(server) : common::NodeId{};
+  if (!owner.empty() && std::binary_search(nodes.begin(), nodes.end(), owner)) {
+    return owner;
   }
-  const auto known = hashed_.find(server);
-  if (known != hashed_.end()) {
+  const auto known = rendezvous_cache_.find(server);
+  if (known != rendezvous_cache_.end()) {
     return known->second;
   }
-  if (hashed_.size() >= kMaximumHashed) {
-    hashed_.clear();
+  if (rendezvous_cache_.size() >= kMaximumCachedServers) {
+    rendezvous_cache_.clear();
   }
   const common::NodeId keeper = membership::rendezvousNode(server, nodes);
-  return hashed_[server] = keeper.empty() ? context_.self : keeper;
+  return rendezvous_cache_[server] = keeper.empty() ? context_.self : keeper;
 }
 
 double AccountKeepers::share() const {
   const bool settled = context_.clock.now() - changed_at_ >= settings_.settling_time;
-  return settled && !remembered_.seesMinority() ? 1.0 : kUnsettledShare;
+  return settled && !size_history_.seesMinority() ? 1.0 : kUnsettledShare;
 }
 
 }  // namespace cypresswall::fleet_limits
--- a/src/cypresswall/fleet_limits/account_keepers.h
+++ b/src/cypresswall/fleet_limits/account_keepers.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cypresswall/api/process_context.h"
-#include "cypresswall/fleet_limits/remembered_fleet.h"
+#include "cypresswall/fleet_limits/fleet_size_history.h"
 #include "cypresswall/membership/membership_view.h"
 
 namespace cypresswall::fleet_limits {
@@ -53,9 +53,9 @@
   /// Set by each change of the members until the candidates are asked for.
   bool stale_ = true;
   /// By server, found by hashing; emptied when the candidates change.
-  std::unordered_map<std::string, common::NodeId> hashed_;
+  std::unordered_map<std::string, common::NodeId> rendezvous_cache_;
   std::size_t member_count_ = 0;
-  RememberedFleet remembered_;
+  FleetSizeHistory size_history_;
   common::MonotonicTime changed_at_;
 };
 
--- a/src/cypresswall/fleet_limits/engine_rate_limits.cpp
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.cpp
@@ -14,21 +14,21 @@
 constexpr const char* kPeer = "peer";
 constexpr const char* kAskingNode = "asking node";
 /// Servers in one repetition, some 5 KB; more go out in turns.
-constexpr std::size_t kRepeatedServers = 64;
+constexpr std::size_t kServersPerMessage = 64;
 /// A node that sees more than so many times the members of before has just started or come back.
-constexpr std::size_t kGrowthOfAReturn = 2;
+constexpr std::size_t kRejoinGrowthFactor = 2;
 /// Servers that have a metric of their own; the others share one.
 constexpr std::size_t kLabelledServers = 64;
 constexpr const char* kOtherServers = "other";
 /// Nodes that were refused ask again within up to so many times the time until the next permit, not
 /// all together.
-constexpr double kAskAgainSpread = 1.0;
+constexpr double kRetrySpread = 1.0;
 /// Retry-After is stretched by up to this share at random, so that callers don't return together.
 constexpr double kRetryJitter = 0.25;
 /// Told by a node that does not keep the account, while lists of members differ.
 constexpr common::Duration kNotKeeperWait = std::chrono::milliseconds(200);
 
-std::uint32_t wholeMilliseconds(common::Duration duration) {
+std::uint32_t ceilMilliseconds(common::Duration duration) {
   return static_cast<std::uint32_t>(
       std::chrono::ceil<std::chrono::milliseconds>(std::max(duration, common::Duration{0}))
           .count());
@@ -57,17 +57,17 @@
                                       "Answers whose server named a limit on requests")),
       unreadable_(context.counters.counter("cypresswall_rate_limits_unreadable_total",
                                            "Answers that named a limit which is no number")),
-      standing_gauge_(context.counters.gauge("cypresswall_rate_limits_standing",
-                                             "Servers that stand under a limit they named")),
+      active_gauge_(context.counters.gauge("cypresswall_rate_limits_standing",
+                                           "Servers that stand under a limit they named")),
       granted_(permits(context.counters, "granted")),
       refused_(permits(context.counters, "refused")),
       silent_(permits(context.counters, "silent")),
       not_keeper_(permits(context.counters, "not-keeper")) {
   membership.onChange([this] { membersChanged(); });
-  context_.dispatcher.handle<RateLimitQuestion>(
-      [this](const common::NodeId& sender, const RateLimitQuestion&) { onQuestion(sender); });
-  context_.dispatcher.handle<RateLimitNews>(
-      [this](const common::NodeId&, const RateLimitNews& news) { onNews(news); });
+  context_.dispatcher.handle<RateLimitSyncRequest>(
+      [this](const common::NodeId& sender, const RateLimitSyncRequest&) { onSyncRequest(sender); });
+  context_.dispatcher.handle<RateLimitUpdate>(
+      [this](const common::NodeId&, const RateLimitUpdate& update) { onUpdate(update); });
   context_.dispatcher.handle<PermitRequest>(
       [this](const common::NodeId& sender, const PermitRequest& request) {
         onPermitRequest(sender, request);
@@ -88,95 +88,95 @@
   if (table_.answered(server, notice, sent_at, context_.clock.now())) {
     changed(server, kOwnAnswer);
     context_.sendToAll(peers_.updateReceivers(),
-                       RateLimitNews{{toMessage(server, table_.all().at(server))}});
+                       RateLimitUpdate{{toMessage(server, table_.all().at(server))}});
   }
 }
 
 void EngineRateLimits::membersChanged() {
   const std::size_t count = membership_.members().size();
   const std::size_t before = std::exchange(member_count_, count);
-  if (count > before * kGrowthOfAReturn) {
-    context_.sendToAll(peers_.antiEntropyReceivers(), RateLimitQuestion{});
+  if (count > before * kRejoinGrowthFactor) {
+    context_.sendToAll(peers_.antiEntropyReceivers(), RateLimitSyncRequest{});
   }
 }
 
-void EngineRateLimits::onQuestion(const common::NodeId& sender) {
-  const std::size_t turns = (table_.all().size() + kRepeatedServers - 1) / kRepeatedServers;
-  for (std::size_t turn = 0; turn < turns; ++turn) {
-    context_.sendTo(sender, nextNews());
+void EngineRateLimits::onSyncRequest(const common::NodeId& sender) {
+  const std::size_t messages = (table_.all().size() + kServersPerMessage - 1) / kServersPerMessage;
+  for (std::size_t sent = 0; sent < messages; ++sent) {
+    context_.sendTo(sender, nextUpdate());
   }
 }
 
-void EngineRateLimits::onNews(const RateLimitNews& news) {
-  RateLimitNews passed_on;
-  for (const ToldRateLimit& told : news.limits) {
-    if (merge(told, kPeer)) {
-      passed_on.limits.push_back(told);
+void EngineRateLimits::onUpdate(const RateLimitUpdate& update) {
+  RateLimitUpdate forwarded;
+  for (const RateLimitRecord& record : update.limits) {
+    if (merge(record, kPeer)) {
+      forwarded.limits.push_back(record);
     }
   }
-  if (!passed_on.limits.empty()) {
-    context_.sendToAll(peers_.updateReceivers(), passed_on);
+  if (!forwarded.limits.empty()) {
+    context_.sendToAll(peers_.updateReceivers(), forwarded);
   }
 }
 
-bool EngineRateLimits::merge(const ToldRateLimit& told, const char* source) {
-  const bool readable =
-      !told.stands || (std::isfinite(told.requests_per_second) && told.requests_per_second >= 0);
+bool EngineRateLimits::merge(const RateLimitRecord& record, const char* source) {
+  const bool readable = !record.active || (std::isfinite(record.requests_per_second) &&
+                                           record.requests_per_second >= 0);
   if (!readable) {
     unreadable_.add();
     return false;
   }
   const auto now = context_.clock.now();
   RateLimit limit;
-  limit.version = told.version;
-  if (told.stands) {
-    limit.requests_per_second = told.requests_per_second;
+  limit.version = record.version;
+  if (record.active) {
+    limit.requests_per_second = record.requests_per_second;
   }
-  limit.named_at = now - std::chrono::milliseconds(told.age_milliseconds);
-  if (!table_.merge(told.server, limit, now)) {
+  limit.named_at = now - std::chrono::milliseconds(record.age_milliseconds);
+  if (!table_.merge(record.server, limit, now)) {
     return false;
   }
-  changed(told.server, source);
+  changed(record.server, source);
   return true;
 }
 
 void EngineRateLimits::changed(const std::string& server, const char* source) {
   const RateLimit& limit = table_.all().at(server);
-  standing_gauge_.set(static_cast<double>(table_.standingCount()));
+  active_gauge_.set(static_cast<double>(table_.activeCount()));
   limitGauge(server).set(limit.requests_per_second.value_or(0));
-  if (!limit.stands()) {
+  if (!limit.active()) {
     accounts_.forget(server);
     refused_until_.erase(server);
   }
   common::LogEvent event(context_.log, common::LogLevel::kInfo,
-                         limit.stands() ? "rate_limit_named" : "rate_limit_ended");
+                         limit.active() ? "rate_limit_named" : "rate_limit_ended");
   event.field("server", server).field("source", source).field("version", limit.version);
-  if (limit.stands()) {
+  if (limit.active()) {
     event.field("requests_per_second", *limit.requests_per_second)
         .field("keeper", keepers_.keeperOf(server).address);
   }
 }
 
 bool EngineRateLimits::limited(const std::string& server) const {
-  return settings_.enforced && table_.standing(server) != nullptr;
+  return settings_.enforced && table_.activeLimit(server) != nullptr;
 }
 
 void EngineRateLimits::acquire(const std::string& server, PermitCallback done) {
-  const RateLimit* const limit = table_.standing(server);
+  const RateLimit* const limit = table_.activeLimit(server);
   if (limit == nullptr || !settings_.enforced) {
     done(true);
     return;
   }
   const common::NodeId keeper = keepers_.keeperOf(server);
   if (keeper != context_.self) {
-    ask(keeper, server, *limit, std::move(done));
+    requestPermit(keeper, server, *limit, std::move(done));
     return;
   }
   done(take(server).granted);
 }
 
 Permit EngineRateLimits::take(const std::string& server) {
-  const RateLimit* const limit = table_.standing(server);
+  const RateLimit* const limit = table_.activeLimit(server);
   const Permit permit = limit == nullptr ? Permit{true, {}}
                                          : accounts_.take(server, *limit->requests_per_second,
                                                           keepers_.share(), context_.clock.now());
@@ -184,19 +184,19 @@
   return permit;
 }
 
-void EngineRateLimits::ask(const common::NodeId& keeper, const std::string& server,
-                           const RateLimit& limit, PermitCallback done) {
-  const std::uint64_t number = next_number_++;
-  Asked asked{server, std::move(done), 0};
-  asked.timer =
-      context_.scheduler.schedule(settings_.answer_limit, [this, number] { onSilence(number); });
-  asked_.emplace(number, std::move(asked));
-  context_.sendTo(keeper, PermitRequest{number, toMessage(server, limit)});
+void EngineRateLimits::requestPermit(const common::NodeId& keeper, const std::string& server,
+                                     const RateLimit& limit, PermitCallback done) {
+  const std::uint64_t request_id = next_request_id_++;
+  PendingPermit pending{server, std::move(done), 0};
+  pending.timer = context_.scheduler.schedule(settings_.permit_timeout,
+                                              [this, request_id] { onPermitTimeout(request_id); });
+  pending_permits_.emplace(request_id, std::move(pending));
+  context_.sendTo(keeper, PermitRequest{request_id, toMessage(server, limit)});
 }
 
 void EngineRateLimits::onPermitRequest(const common::NodeId& sender, const PermitRequest& request) {
   if (merge(request.limit, kAskingNode)) {
-    context_.sendToAll(peers_.updateReceivers(), RateLimitNews{{request.limit}});
+    context_.sendToAll(peers_.updateReceivers(), RateLimitUpdate{{request.limit}});
   }
   const std::string& server = request.limit.server;
   Permit permit{false, kNotKeeperWait};
@@ -206,37 +206,37 @@
     not_keeper_.add();
   }
   context_.sendTo(sender,
-                  PermitAnswer{request.number, permit.granted, wholeMilliseconds(permit.wait)});
+                  PermitAnswer{request.request_id, permit.granted, ceilMilliseconds(permit.wait)});
 }
 
 void EngineRateLimits::onPermitAnswer(const PermitAnswer& answer) {
-  auto asked = asked_.extract(answer.number);
-  if (asked.empty()) {
+  auto pending = pending_permits_.extract(answer.request_id);
+  if (pending.empty()) {
     return;
   }
-  context_.scheduler.cancel(asked.mapped().timer);
+  context_.scheduler.cancel(pending.mapped().timer);
   if (!answer.granted) {
     const double wait = static_cast<double>(answer.wait_milliseconds) *
-                        (1.0 + kAskAgainSpread * context_.random.unit());
-    refusedUntil(asked.mapped().server,
-                 context_.clock.now() + std::chrono::milliseconds(std::llround(wait)));
+                        (1.0 + kRetrySpread * context_.random.unit());
+    setRefusedUntil(pending.mapped().server,
+                    context_.clock.now() + std::chrono::milliseconds(std::llround(wait)));
   }
-  asked.mapped().done(answer.granted);
+  pending.mapped().done(answer.granted);
 }
 
-void EngineRateLimits::onSilence(std::uint64_t number) {
-  auto asked = asked_.extract(number);
+void EngineRateLimits::onPermitTimeout(std::uint64_t request_id) {
+  auto pending = pending_permits_.extract(request_id);
   silent_.add();
-  const std::string& server = asked.mapped().server;
+  const std::string& server = pending.mapped().server;
   common::LogEvent(context_.log, common::LogLevel::kWarning, "permit_not_answered")
       .field("server", server)
       .field("keeper", keepers_.keeperOf(server).address);
-  refusedUntil(server, context_.clock.now() + settings_.silence_pause);
-  asked.mapped().done(false);
+  setRefusedUntil(server, context_.clock.now() + settings_.unresponsive_keeper_pause);
+  pending.mapped().done(false);
 }
 
-void EngineRateLimits::refusedUntil(const std::string& server, common::MonotonicTime time) {
-  if (table_.standing(server) != nullptr) {
+void EngineRateLimits::setRefusedUntil(const std::string& server, common::MonotonicTime time) {
+  if (table_.activeLimit(server) != nullptr) {
     refused_until_[server] = time;
   }
 }
@@ -256,50 +256,50 @@
     return servers;
   }
   for (const auto& [server, limit] : table_.all()) {
-    if (limit.stands() && isExhausted(server, limit)) {
+    if (limit.active() && isExhausted(server, limit)) {
       servers.push_back(server);
     }
   }
   return servers;
 }
 
-common::Duration EngineRateLimits::retryAfter(const std::string& demand,
+common::Duration EngineRateLimits::retryAfter(const std::string& resource,
                                               const std::vector<std::string>& servers,
                                               std::size_t refusing_nodes) {
   double rate = 0;
   for (const std::string& server : servers) {
-    const RateLimit* const limit = table_.standing(server);
+    const RateLimit* const limit = table_.activeLimit(server);
     rate += limit == nullptr ? 0 : *limit->requests_per_second;
   }
-  rate = std::max(rate, settings_.accounts.least_rate);
+  rate = std::max(rate, settings_.accounts.minimum_rate);
   const auto now = context_.clock.now();
-  auto& promised = promised_until_[demand];
-  const auto turn = common::fromSeconds(static_cast<double>(refusing_nodes) / rate);
-  promised = std::min(std::max(promised, now) + turn, now + settings_.maximum_retry_after);
+  auto& last_retry = last_retry_at_[resource];
+  const auto interval = common::fromSeconds(static_cast<double>(refusing_nodes) / rate);
+  last_retry = std::min(std::max(last_retry, now) + interval, now + settings_.maximum_retry_after);
   const double stretched =
-      common::toSeconds(promised - now) * (1.0 + kRetryJitter * context_.random.unit());
+      common::toSeconds(last_retry - now) * (1.0 + kRetryJitter * context_.random.unit());
   return std::clamp(common::fromSeconds(stretched), settings_.minimum_retry_after,
                     settings_.maximum_retry_after);
 }
 
-void EngineRateLimits::repeat() {
-  context_.scheduler.schedule(settings_.repeat_interval, [this] { repeat(); });
+void EngineRateLimits::runAntiEntropy() {
+  context_.scheduler.schedule(settings_.anti_entropy_interval, [this] { runAntiEntropy(); });
   expire();
   if (table_.all().empty()) {
     return;
   }
-  context_.sendToAll(peers_.antiEntropyReceivers(), nextNews());
+  context_.sendToAll(peers_.antiEntropyReceivers(), nextUpdate());
 }
 
-RateLimitNews EngineRateLimits::nextNews() {
-  RateLimitNews news;
-  const std::size_t count = std::min(table_.all().size(), kRepeatedServers);
+RateLimitUpdate EngineRateLimits::nextUpdate() {
+  RateLimitUpdate update;
+  const std::size_t count = std::min(table_.all().size(), kServersPerMessage);
   for (std::size_t i = 0; i < count; ++i) {
     const auto next = std::next(table_.all().begin(),
-                                static_cast<std::ptrdiff_t>(repeated_++ % table_.all().size()));
-    news.limits.push_back(toMessage(next->first, next->second));
+                                static_cast<std::ptrdiff_t>(next_server_++ % table_.all().size()));
+    update.limits.push_back(toMessage(next->first, next->second));
   }
-  return news;
+  return update;
 }
 
 void EngineRateLimits::expire() {
@@ -308,17 +308,18 @@
     refused_until_.erase(server);
     limitGauge(server).set(0);
   }
-  standing_gauge_.set(static_cast<double>(table_.standingCount()));
+  active_gauge_.set(static_cast<double>(table_.activeCount()));
 }
 
-ToldRateLimit EngineRateLimits::toMessage(const std::string& server, const RateLimit& limit) const {
-  ToldRateLimit told;
-  told.server = server;
-  told.version = limit.version;
-  told.stands = limit.stands();
-  told.requests_per_second = limit.requests_per_second.value_or(0);
-  told.age_milliseconds = wholeMilliseconds(context_.clock.now() - limit.named_at);
-  return told;
+RateLimitRecord EngineRateLimits::toMessage(const std::string& server,
+                                            const RateLimit& limit) const {
+  RateLimitRecord record;
+  record.server = server;
+  record.version = limit.version;
+  record.active = limit.active();
+  record.requests_per_second = limit.requests_per_second.value_or(0);
+  record.age_milliseconds = ceilMilliseconds(context_.clock.now() - limit.named_at);
+  return record;
 }
 
 common::Counter& EngineRateLimits::limitGauge(const std::string& server) {
@@ -339,7 +340,7 @@
   std::vector<RateLimitRow> rows;
   const auto now = context_.clock.now();
   for (const auto& [server, limit] : table_.all()) {
-    if (limit.stands()) {
+    if (limit.active()) {
       rows.push_back({server, *limit.requests_per_second, now - limit.named_at,
                       keepers_.keeperOf(server), accounts_.counts(server)});
     }
--- a/src/cypresswall/fleet_limits/engine_rate_limits.h
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.h
@@ -26,11 +26,11 @@
   PermitAccountSettings accounts;
   AccountKeeperSettings keepers;
   /// A permit that takes longer is not waited for.
-  common::Duration answer_limit = std::chrono::milliseconds(100);
+  common::Duration permit_timeout = std::chrono::milliseconds(100);
   /// For so long a server whose keeper did not answer counts as exhausted.
-  common::Duration silence_pause = std::chrono::milliseconds(500);
+  common::Duration unresponsive_keeper_pause = std::chrono::milliseconds(500);
   /// How often what is known is repeated to two other nodes.
-  common::Duration repeat_interval = std::chrono::seconds(1);
+  common::Duration anti_entropy_interval = std::chrono::seconds(1);
   /// Bounds of what callers are told to wait.
   common::Duration minimum_retry_after = std::chrono::milliseconds(200);
   common::Duration maximum_retry_after = std::chrono::seconds(10);
@@ -65,7 +65,7 @@
   const RateLimitTable& table() const { return table_; }
 
   /// Begins to repeat what is known.
-  void start() { repeat(); }
+  void start() { runAntiEntropy(); }
   void setOwnerLookup(OwnerLookup find) { keepers_.setOwnerLookup(std::move(find)); }
 
   void answered(const std::string& server, const common::RateLimitNotice& notice,
@@ -73,7 +73,7 @@
   bool limited(const std::string& server) const override;
   void acquire(const std::string& server, PermitCallback done) override;
   std::vector<std::string> exhausted() override;
-  common::Duration retryAfter(const std::string& demand, const std::vector<std::string>& servers,
+  common::Duration retryAfter(const std::string& resource, const std::vector<std::string>& servers,
                               std::size_t refusing_nodes) override;
 
   /// \return all servers that stand under a limit
@@ -81,7 +81,7 @@
 
  private:
   /// A permit that another node was asked for.
-  struct Asked {
+  struct PendingPermit {
     std::string server;
     PermitCallback done;
     common::TimerId timer = 0;
@@ -90,26 +90,26 @@
   /// A node that starts, or comes back from a cut, asks others what they know before its requests
   /// would teach it.
   void membersChanged();
-  void onQuestion(const common::NodeId& sender);
-  void onNews(const RateLimitNews& news);
+  void onSyncRequest(const common::NodeId& sender);
+  void onUpdate(const RateLimitUpdate& update);
   void onPermitRequest(const common::NodeId& sender, const PermitRequest& request);
   void onPermitAnswer(const PermitAnswer& answer);
-  void onSilence(std::uint64_t number);
-  void ask(const common::NodeId& keeper, const std::string& server, const RateLimit& limit,
-           PermitCallback done);
+  void onPermitTimeout(std::uint64_t request_id);
+  void requestPermit(const common::NodeId& keeper, const std::string& server,
+                     const RateLimit& limit, PermitCallback done);
   /// \pre this node keeps the server's account
   Permit take(const std::string& server);
-  void refusedUntil(const std::string& server, common::MonotonicTime time);
+  void setRefusedUntil(const std::string& server, common::MonotonicTime time);
   bool isExhausted(const std::string& server, const RateLimit& limit);
 
-  ToldRateLimit toMessage(const std::string& server, const RateLimit& limit) const;
+  RateLimitRecord toMessage(const std::string& server, const RateLimit& limit) const;
   /// Takes in what another node knows. \return true if it was news
-  bool merge(const ToldRateLimit& told, const char* source);
+  bool merge(const RateLimitRecord& record, const char* source);
   /// The limit of a server is another than before.
   void changed(const std::string& server, const char* source);
-  void repeat();
+  void runAntiEntropy();
   /// \return what is known of the next servers in turn
-  RateLimitNews nextNews();
+  RateLimitUpdate nextUpdate();
   /// Forgets servers of which nothing was heard for long.
   void expire();
   common::Counter& limitGauge(const std::string& server);
@@ -121,19 +121,19 @@
   RateLimitTable table_;
   AccountKeepers keepers_;
   PermitAccounts accounts_;
-  std::unordered_map<std::uint64_t, Asked> asked_;
-  std::uint64_t next_number_ = 1;
+  std::unordered_map<std::uint64_t, PendingPermit> pending_permits_;
+  std::uint64_t next_request_id_ = 1;
   /// By server: no permit is to be had before.
   std::map<std::string, common::MonotonicTime> refused_until_;
   /// By demand: the time at which the last caller that was refused is to return.
-  std::map<std::string, common::MonotonicTime> promised_until_;
+  std::map<std::string, common::MonotonicTime> last_retry_at_;
   /// Where in the table the next repetition begins.
-  std::size_t repeated_ = 0;
+  std::size_t next_server_ = 0;
   std::size_t labelled_servers_ = 0;
   std::size_t member_count_ = 0;
   common::Counter& named_;
   common::Counter& unreadable_;
-  common::Counter& standing_gauge_;
+  common::Counter& active_gauge_;
   common::Counter& granted_;
   common::Counter& refused_;
   common::Counter& silent_;
--- a/src/cypresswall/fleet_limits/local_share.h
+++ b/src/cypresswall/fleet_limits/local_share.h
@@ -4,8 +4,8 @@
 #include <cstddef>
 
 #include "cypresswall/api/process_context.h"
+#include "cypresswall/fleet_limits/fleet_size_history.h"
 #include "cypresswall/fleet_limits/recent_maximum.h"
-#include "cypresswall/fleet_limits/remembered_fleet.h"
 #include "cypresswall/membership/membership_view.h"
 
 namespace cypresswall::fleet_limits {
@@ -45,19 +45,19 @@
   double fraction() const;
 
  private:
-  void watch();
-  bool stoodStill() const;
+  void check();
+  bool wasPaused() const;
   void countMembers();
   /// Has nothing from now on until the wait is over.
-  void waitAnew(const char* reason);
+  void withhold(const char* reason);
 
   const LocalShareSettings settings_;
   const api::ProcessContext& context_;
   const membership::MembershipView& membership_;
-  RecentMaximum lately_;
-  RememberedFleet remembered_;
-  common::MonotonicTime holds_from_;
-  common::MonotonicTime watched_at_;
+  RecentMaximum members_max_;
+  FleetSizeHistory size_history_;
+  common::MonotonicTime allowed_at_;
+  common::MonotonicTime checked_at_;
   bool cut_off_ = false;
   common::Counter& part_gauge_;
 };
--- a/src/cypresswall/fleet_limits/permit_accounts.cpp
+++ b/src/cypresswall/fleet_limits/permit_accounts.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::fleet_limits {
 
 double PermitAccounts::rate(double limit, double share) const {
-  return std::max(limit * share, settings_.least_rate);
+  return std::max(limit * share, settings_.minimum_rate);
 }
 
 PermitAccounts::Account& PermitAccounts::filled(const std::string& server, double limit,
--- a/src/cypresswall/fleet_limits/permit_accounts.h
+++ b/src/cypresswall/fleet_limits/permit_accounts.h
@@ -16,7 +16,7 @@
   common::Duration burst = std::chrono::seconds(1);
   /// A server that takes fewer requests a second gets these nonetheless: only an answer shows that
   /// its limit is over.
-  double least_rate = 0.1;
+  double minimum_rate = 0.1;
 };
 
 /// One answer to who asks for a permit.
--- a/src/cypresswall/fleet_limits/rate_limit_table.cpp
+++ b/src/cypresswall/fleet_limits/rate_limit_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// \return the limit as a number that can be compared: none is higher than any.
-double height(const RateLimit& limit) {
+double comparableLimit(const RateLimit& limit) {
   return limit.requests_per_second.value_or(std::numeric_limits<double>::infinity());
 }
 
@@ -21,7 +21,7 @@
     case common::RateLimitNotice::Kind::kNone:
       return namedNone(server, sent_at, now);
     case common::RateLimitNotice::Kind::kNamed:
-      return notice.requests_per_second > settings_.largest_limit
+      return notice.requests_per_second > settings_.unlimited_above
                  ? namedNone(server, sent_at, now)
                  : named(server, notice.requests_per_second, sent_at, now);
   }
@@ -39,7 +39,7 @@
     return true;
   }
   RateLimit& limit = known->second;
-  if (!limit.stands()) {
+  if (!limit.active()) {
     // An answer to a request from before the limit ended may have been made before, too.
     const bool anew = sent_at > limit.named_at;
     if (anew) {
@@ -62,7 +62,7 @@
 bool RateLimitTable::namedNone(const std::string& server, common::MonotonicTime sent_at,
                                common::MonotonicTime now) {
   const auto known = limits_.find(server);
-  if (known == limits_.end() || !known->second.stands()) {
+  if (known == limits_.end() || !known->second.active()) {
     return false;
   }
   RateLimit& limit = known->second;
@@ -81,9 +81,9 @@
   limit.named_at = now;
 }
 
-bool RateLimitTable::merge(const std::string& server, const RateLimit& told,
+bool RateLimitTable::merge(const std::string& server, const RateLimit& other,
                            common::MonotonicTime now) {
-  if (now - told.named_at > settings_.memory) {
+  if (now - other.named_at > settings_.retention) {
     return false;
   }
   const auto known = limits_.find(server);
@@ -91,28 +91,28 @@
     if (limits_.size() >= settings_.maximum_servers) {
       return false;
     }
-    limits_[server] = told;
+    limits_[server] = other;
     return true;
   }
   RateLimit& limit = known->second;
-  if (told.version < limit.version) {
+  if (other.version < limit.version) {
     return false;
   }
-  if (told.version == limit.version && told.requests_per_second == limit.requests_per_second) {
-    limit.named_at = std::max(limit.named_at, told.named_at);
+  if (other.version == limit.version && other.requests_per_second == limit.requests_per_second) {
+    limit.named_at = std::max(limit.named_at, other.named_at);
     return false;
   }
-  if (told.version == limit.version && height(told) > height(limit)) {
+  if (other.version == limit.version && comparableLimit(other) > comparableLimit(limit)) {
     return false;
   }
-  limit = told;
+  limit = other;
   return true;
 }
 
 std::vector<std::string> RateLimitTable::expire(common::MonotonicTime now) {
   std::vector<std::string> forgotten;
   std::erase_if(limits_, [&](const auto& entry) {
-    const bool old = now - entry.second.named_at > settings_.memory;
+    const bool old = now - entry.second.named_at > settings_.retention;
     if (old) {
       forgotten.push_back(entry.first);
     }
@@ -121,14 +121,14 @@
   return forgotten;
 }
 
-const RateLimit* RateLimitTable::standing(const std::string& server) const {
+const RateLimit* RateLimitTable::activeLimit(const std::string& server) const {
   const auto known = limits_.find(server);
-  return known != limits_.end() && known->second.stands() ? &known->second : nullptr;
+  return known != limits_.end() && known->second.active() ? &known->second : nullptr;
 }
 
-std::size_t RateLimitTable::standingCount() const {
+std::size_t RateLimitTable::activeCount() const {
   return static_cast<std::size_t>(std::count_if(
-      limits_.begin(), limits_.end(), [](const auto& entry) { return entry.second.stands(); }));
+      limits_.begin(), limits_.end(), [](const auto& entry) { return entry.second.active(); }));
 }
 
 }  // namespace cypresswall::fleet_limits
--- a/src/cypresswall/fleet_limits/rate_limit_table.h
+++ b/src/cypresswall/fleet_limits/rate_limit_table.h
@@ -22,17 +22,17 @@
   /// When an answer last said so.
   common::MonotonicTime named_at{};
 
-  bool stands() const { return requests_per_second.has_value(); }
+  bool active() const { return requests_per_second.has_value(); }
 };
 
 struct RateLimitTableSettings {
   /// A limit of which nothing was heard for so long is forgotten.
-  common::Duration memory = std::chrono::minutes(1);
+  common::Duration retention = std::chrono::minutes(1);
   /// For so long after a limit was named a higher one, or none, changes nothing: of several values
   /// that a server names in turns the lowest holds.
   common::Duration raise_delay = std::chrono::seconds(1);
   /// More than a server gets from any fleet: the same as no limit.
-  double largest_limit = 10000;
+  double unlimited_above = 10000;
   /// Servers beyond so many are not remembered, some 100 bytes each.
   std::size_t maximum_servers = 4096;
 };
@@ -47,16 +47,16 @@
                 common::MonotonicTime sent_at, common::MonotonicTime now);
   /// Takes in what another node knows. Of two changes that were made at the same time the lower
   /// limit holds. \return true if it was news to this node
-  bool merge(const std::string& server, const RateLimit& told, common::MonotonicTime now);
+  bool merge(const std::string& server, const RateLimit& other, common::MonotonicTime now);
   /// Forgets what is old. \return the servers that were forgotten
   std::vector<std::string> expire(common::MonotonicTime now);
 
   /// \return the limit of a server, a null pointer if it stands under none
-  const RateLimit* standing(const std::string& server) const;
+  const RateLimit* activeLimit(const std::string& server) const;
   /// Limits that stand, and those that ended lately.
   const std::map<std::string, RateLimit>& all() const { return limits_; }
   /// \return how many servers stand under a limit
-  std::size_t standingCount() const;
+  std::size_t activeCount() const;
 
  private:
   void change(RateLimit& limit, std::optional<double> value, common::MonotonicTime now);
--- a/src/cypresswall/fleet_limits/rate_limiter.h
+++ b/src/cypresswall/fleet_limits/rate_limiter.h
@@ -34,7 +34,7 @@
   /// \param servers those that would serve it but are exhausted
   /// \param refusing_nodes nodes that refuse such callers at the same time, at least 1
   /// \return when a caller should come back
-  virtual common::Duration retryAfter(const std::string& demand,
+  virtual common::Duration retryAfter(const std::string& resource,
                                       const std::vector<std::string>& servers,
                                       std::size_t refusing_nodes) = 0;
 };
--- a/src/cypresswall/fleet_limits/retry_budgets.cpp
+++ b/src/cypresswall/fleet_limits/retry_budgets.cpp
@@ -11,19 +11,19 @@
 constexpr double kUsedShare = 0.5;
 /// An account counts as recovered when it has refused nothing for so long: one line tells of many
 /// requests.
-constexpr common::Duration kRecovered = std::chrono::seconds(2);
+constexpr common::Duration kRecoveryTime = std::chrono::seconds(2);
 
 }  // namespace
 
 RetryBudget::RetryBudget(const common::ServiceName& service, const RetryLimitSettings& settings,
-                         const api::ProcessContext& context, PartOfFleet part_of_fleet)
+                         const api::ProcessContext& context, LocalShareFunction local_share)
     : service_(service),
       settings_(settings),
       context_(context),
-      part_of_fleet_(std::move(part_of_fleet)),
-      ledger_(settings.window),
-      paid_count_(context.counters.counter("cypresswall_fleet_limits_retries_total",
-                                           "Repeats paid for", "service", service)),
+      local_share_(std::move(local_share)),
+      window_counter_(settings.window),
+      granted_count_(context.counters.counter("cypresswall_fleet_limits_retries_total",
+                                              "Repeats paid for", "service", service)),
       refused_count_(context.counters.counter("cypresswall_fleet_limits_retries_refused_total",
                                               "Repeats that the account did not hold", "service",
                                               service)),
@@ -31,17 +31,17 @@
                                          "Repeats that the account holds", "service", service)) {}
 
 void RetryBudget::recordRequest() {
-  ledger_.earn(1, context_.clock.now());
+  window_counter_.earn(1, context_.clock.now());
   left_gauge_.set(left());
 }
 
-double RetryBudget::used() const { return ledger_.used(context_.clock.now()); }
+double RetryBudget::used() const { return window_counter_.used(context_.clock.now()); }
 
 double RetryBudget::left() const {
   const auto now = context_.clock.now();
   const double share = settings_.fleet_share * kUsedShare;
-  const double burst = settings_.fleet_burst * part_of_fleet_();
-  return std::max(0.0, ledger_.earned(now) * share + burst - ledger_.used(now));
+  const double burst = settings_.fleet_burst * local_share_();
+  return std::max(0.0, window_counter_.earned(now) * share + burst - window_counter_.used(now));
 }
 
 bool RetryBudget::available(std::uint32_t repeats) const { return left() >= repeats; }
@@ -51,7 +51,7 @@
     refused();
     return false;
   }
-  ledger_.use(repeats, context_.clock.now());
+  window_counter_.use(repeats, context_.clock.now());
   paid(repeats);
   return true;
 }
@@ -59,24 +59,24 @@
 void RetryBudget::refused() {
   refused_count_.add();
   ++refusals_;
-  ++refused_in_all_;
-  refused_at_ = context_.clock.now();
-  if (std::exchange(empty_, true)) {
+  ++total_refused_;
+  last_refused_at_ = context_.clock.now();
+  if (std::exchange(exhausted_, true)) {
     return;
   }
   common::LogEvent(context_.log, common::LogLevel::kWarning, "retry_account_empty")
       .field("service", service_)
       .field("used", used())
-      .field("part", part_of_fleet_());
+      .field("part", local_share_());
 }
 
 void RetryBudget::paid(std::uint32_t repeats) {
-  paid_count_.add(repeats);
+  granted_count_.add(repeats);
   left_gauge_.set(left());
-  if (!empty_ || context_.clock.now() - refused_at_ < kRecovered) {
+  if (!exhausted_ || context_.clock.now() - last_refused_at_ < kRecoveryTime) {
     return;
   }
-  empty_ = false;
+  exhausted_ = false;
   common::LogEvent(context_.log, common::LogLevel::kInfo, "retry_account_recovered")
       .field("service", service_)
       .field("refused", std::exchange(refusals_, 0))
@@ -84,13 +84,13 @@
 }
 
 RetryBudgets::RetryBudgets(const RetryLimitSettings& settings, const api::ProcessContext& context,
-                           PartOfFleet part_of_fleet)
-    : settings_(settings), context_(context), part_of_fleet_(std::move(part_of_fleet)) {}
+                           LocalShareFunction local_share)
+    : settings_(settings), context_(context), local_share_(std::move(local_share)) {}
 
 RetryBudget& RetryBudgets::of(const common::ServiceName& service) {
   auto& account = accounts_[service];
   if (!account) {
-    account = std::make_unique<RetryBudget>(service, settings_, context_, part_of_fleet_);
+    account = std::make_unique<RetryBudget>(service, settings_, context_, local_share_);
   }
   return *account;
 }
--- a/src/cypresswall/fleet_limits/retry_budgets.h
+++ b/src/cypresswall/fleet_limits/retry_budgets.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "cypresswall/api/process_context.h"
-#include "cypresswall/fleet_limits/sliding_ledger.h"
+#include "cypresswall/fleet_limits/sliding_window_counter.h"
 
 namespace cypresswall::fleet_limits {
 
@@ -24,14 +24,14 @@
 };
 
 /// \return the part of the fleet's burst that this node may use, from 0 to 1
-using PartOfFleet = std::function<double()>;
+using LocalShareFunction = std::function<double()>;
 
 /// The account of one service. Whatever arrives at a back end beyond the first arrival of its
 /// request is one repeat.
 class RetryBudget {
  public:
   RetryBudget(const common::ServiceName& service, const RetryLimitSettings& settings,
-              const api::ProcessContext& context, PartOfFleet part_of_fleet);
+              const api::ProcessContext& context, LocalShareFunction local_share);
   /// Pays in for one request that a caller sent.
   void recordRequest();
   /// \return true if so many repeats could be paid for now
@@ -45,7 +45,7 @@
   /// \return repeats that can be paid for now
   double left() const;
   /// \return repeats that were not paid for since the start
-  std::uint64_t totalRefused() const { return refused_in_all_; }
+  std::uint64_t totalRefused() const { return total_refused_; }
 
  private:
   void refused();
@@ -54,15 +54,15 @@
   const common::ServiceName service_;
   const RetryLimitSettings settings_;
   const api::ProcessContext& context_;
-  const PartOfFleet part_of_fleet_;
-  SlidingLedger ledger_;
+  const LocalShareFunction local_share_;
+  SlidingWindowCounter window_counter_;
   /// Set from the first refusal until repeats are paid for again.
-  bool empty_ = false;
-  common::MonotonicTime refused_at_{};
+  bool exhausted_ = false;
+  common::MonotonicTime last_refused_at_{};
   /// Since the account was found empty.
   std::uint64_t refusals_ = 0;
-  std::uint64_t refused_in_all_ = 0;
-  common::Counter& paid_count_;
+  std::uint64_t total_refused_ = 0;
+  common::Counter& granted_count_;
   common::Counter& refused_count_;
   common::Counter& left_gauge_;
 };
@@ -71,7 +71,7 @@
 class RetryBudgets {
  public:
   RetryBudgets(const RetryLimitSettings& settings, const api::ProcessContext& context,
-               PartOfFleet part_of_fleet);
+               LocalShareFunction local_share);
   RetryBudget& of(const common::ServiceName& service);
   const std::map<common::ServiceName, std::unique_ptr<RetryBudget>>& all() const {
     return accounts_;
@@ -80,7 +80,7 @@
  private:
   const RetryLimitSettings settings_;
   const api::ProcessContext& context_;
-  const PartOfFleet part_of_fleet_;
+  const LocalShareFunction local_share_;
   std::map<common::ServiceName, std::unique_ptr<RetryBudget>> accounts_;
 };
 
--- a/src/cypresswall/fleet_limits/sliding_ledger.cpp
+++ b/src/cypresswall/fleet_limits/sliding_window_counter.cpp
@@ -1,29 +1,31 @@
-#include "cypresswall/fleet_limits/sliding_ledger.h"
+#include "cypresswall/fleet_limits/sliding_window_counter.h"
 
 namespace cypresswall::fleet_limits {
 
-SlidingLedger::SlidingLedger(common::Duration window)
+SlidingWindowCounter::SlidingWindowCounter(common::Duration window)
     : slice_length_(window / static_cast<int>(kSlicesPerWindow)) {}
 
-void SlidingLedger::earn(double amount, common::MonotonicTime now) {
+void SlidingWindowCounter::earn(double amount, common::MonotonicTime now) {
   sliceAt(now).earned += amount;
 }
 
-void SlidingLedger::use(double amount, common::MonotonicTime now) { sliceAt(now).used += amount; }
+void SlidingWindowCounter::use(double amount, common::MonotonicTime now) {
+  sliceAt(now).used += amount;
+}
 
-double SlidingLedger::earned(common::MonotonicTime now) const {
+double SlidingWindowCounter::earned(common::MonotonicTime now) const {
   return sum(&Slice::earned, kSlicesPerWindow, now);
 }
 
-double SlidingLedger::used(common::MonotonicTime now) const {
+double SlidingWindowCounter::used(common::MonotonicTime now) const {
   return sum(&Slice::used, kUsedSlices, now);
 }
 
-std::int64_t SlidingLedger::numberAt(common::MonotonicTime now) const {
+std::int64_t SlidingWindowCounter::numberAt(common::MonotonicTime now) const {
   return now.time_since_epoch() / slice_length_;
 }
 
-SlidingLedger::Slice& SlidingLedger::sliceAt(common::MonotonicTime now) {
+SlidingWindowCounter::Slice& SlidingWindowCounter::sliceAt(common::MonotonicTime now) {
   const auto number = numberAt(now);
   Slice& slice = slices_[static_cast<std::size_t>(number) % kUsedSlices];
   if (slice.number != number) {
@@ -32,8 +34,8 @@
   return slice;
 }
 
-double SlidingLedger::sum(double Slice::*amount, std::size_t slices,
-                          common::MonotonicTime now) const {
+double SlidingWindowCounter::sum(double Slice::*amount, std::size_t slices,
+                                 common::MonotonicTime now) const {
   const auto newest = numberAt(now);
   const auto oldest = newest - static_cast<std::int64_t>(slices) + 1;
   double total = 0;
--- a/src/cypresswall/fleet_limits/sliding_ledger.h
+++ b/src/cypresswall/fleet_limits/sliding_window_counter.h
@@ -11,9 +11,9 @@
 
 /// Sums over the last window in slices of a twentieth of it. Both sums err to the safe side: what
 /// was used counts for up to two slices longer than the window, what came in for up to one less.
-class SlidingLedger {
+class SlidingWindowCounter {
  public:
-  explicit SlidingLedger(common::Duration window);
+  explicit SlidingWindowCounter(common::Duration window);
 
   void earn(double amount, common::MonotonicTime now);
   void use(double amount, common::MonotonicTime now);
--- a/src/cypresswall/membership/dissemination_peers.cpp
+++ b/src/cypresswall/membership/dissemination_peers.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::membership {
 
 std::vector<common::NodeId> DisseminationPeers::updateReceivers() const {
-  return findNeighbours(neighbours_, context_.self, peers()).news_receivers;
+  return findNeighbours(neighbours_, context_.self, peers()).update_receivers;
 }
 
 /// The next one in the common order, so that each node is told by one; and any other, since nodes
--- a/src/cypresswall/membership/machine_register.cpp
+++ b/src/cypresswall/membership/machine_registry.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/membership/machine_register.h"
+#include "cypresswall/membership/machine_registry.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-MachineRegister::MachineRegister(const MembershipSettings& settings,
+MachineRegistry::MachineRegistry(const MembershipSettings& settings,
                                  const api::ProcessContext& context,
                                  object_store::MachineList& list, ZonePeers zone_peers)
     : settings_(settings),
@@ -41,13 +41,13 @@
       });
 }
 
-void MachineRegister::start() { poll(); }
+void MachineRegistry::start() { poll(); }
 
-void MachineRegister::poll() {
+void MachineRegistry::poll() {
   context_.scheduler.schedule(settings_.machine_poll_interval, [this] { poll(); });
   const auto rank = list_.costsNothing() ? 0 : static_cast<std::int64_t>(zone_peers_.rank());
   const auto now = context_.clock.now();
-  const bool stale = now - last_fresh_read_ >= settings_.machine_read_patience * rank;
+  const bool stale = now - last_fresh_read_ >= settings_.machine_read_timeout * rank;
   const bool due = now - last_poll_ >= settings_.machine_poll_interval * rank;
   if (reading_ || !stale || !due) {
     return;
@@ -64,11 +64,11 @@
   });
 }
 
-void MachineRegister::readFinished(const std::vector<object_store::Machine>& machines) {
+void MachineRegistry::readFinished(const std::vector<object_store::Machine>& machines) {
   read_count_.add();
   ++reads_;
   last_fresh_read_ = context_.clock.now();
-  const auto changes = changesAgainst(machines);
+  const auto changes = changesFrom(machines);
   if (changes.empty()) {
     return;
   }
@@ -82,9 +82,9 @@
   }
 }
 
-std::uint64_t MachineRegister::version() const { return list_.costsNothing() ? 0 : version_; }
+std::uint64_t MachineRegistry::version() const { return list_.costsNothing() ? 0 : version_; }
 
-std::vector<MachineEntry> MachineRegister::changesAgainst(
+std::vector<MachineEntry> MachineRegistry::changesFrom(
     const std::vector<object_store::Machine>& machines) const {
   std::vector<MachineEntry> changes;
   std::set<common::MachineName> listed;
@@ -105,7 +105,7 @@
   return changes;
 }
 
-void MachineRegister::apply(std::uint64_t version, const std::vector<MachineEntry>& machines) {
+void MachineRegistry::apply(std::uint64_t version, const std::vector<MachineEntry>& machines) {
   version_ = version;
   for (const auto& machine : machines) {
     machines_[machine.name] = machine;
@@ -116,7 +116,7 @@
   }
 }
 
-void MachineRegister::receive(const common::NodeId& sender, const MachinesUpdate& update) {
+void MachineRegistry::receive(const common::NodeId& sender, const MachinesUpdate& update) {
   if (update.version <= version_) {
     return;
   }
@@ -130,7 +130,7 @@
   apply(update.version, update.machines);
 }
 
-void MachineRegister::answer(const common::NodeId& sender, const MachinesRequest& request) {
+void MachineRegistry::answer(const common::NodeId& sender, const MachinesRequest& request) {
   if (request.known_version >= version_) {
     return;
   }
@@ -141,7 +141,7 @@
   context_.sendTo(sender, update);
 }
 
-void MachineRegister::heartbeatReceived(const common::NodeId& sender, std::uint64_t version,
+void MachineRegistry::heartbeatReceived(const common::NodeId& sender, std::uint64_t version,
                                         std::uint32_t reads) {
   auto& known_reads = peer_reads_[sender];
   const auto now = context_.clock.now();
@@ -155,7 +155,7 @@
   }
 }
 
-void MachineRegister::rebuildIndex() {
+void MachineRegistry::rebuildIndex() {
   live_addresses_.clear();
   leaving_addresses_.clear();
   gone_addresses_.clear();
@@ -184,16 +184,16 @@
   }
 }
 
-bool MachineRegister::machineLeaving(const common::MachineName& machine) const {
+bool MachineRegistry::machineLeaving(const common::MachineName& machine) const {
   const auto entry = machines_.find(machine);
   return entry != machines_.end() && entry->second.state != object_store::MachineState::kLive;
 }
 
-bool MachineRegister::addressLeaving(const common::Address& address) const {
+bool MachineRegistry::addressLeaving(const common::Address& address) const {
   return leaving_addresses_.contains(hostOf(address));
 }
 
-bool MachineRegister::addressGone(const common::Address& address) const {
+bool MachineRegistry::addressGone(const common::Address& address) const {
   return gone_addresses_.contains(hostOf(address));
 }
 
--- a/src/cypresswall/membership/machine_register.h
+++ b/src/cypresswall/membership/machine_registry.h
@@ -17,7 +17,7 @@
 
 namespace cypresswall::membership {
 
-class MachineRegister {
+class MachineRegistry {
  public:
   /// Tells the register who else is in the zone.
   struct ZonePeers {
@@ -26,7 +26,7 @@
     std::function<std::size_t()> rank;
   };
 
-  MachineRegister(const MembershipSettings& settings, const api::ProcessContext& context,
+  MachineRegistry(const MembershipSettings& settings, const api::ProcessContext& context,
                   object_store::MachineList& list, ZonePeers zone_peers);
 
   void start();
@@ -47,8 +47,7 @@
  private:
   void poll();
   void readFinished(const std::vector<object_store::Machine>& machines);
-  std::vector<MachineEntry> changesAgainst(
-      const std::vector<object_store::Machine>& machines) const;
+  std::vector<MachineEntry> changesFrom(const std::vector<object_store::Machine>& machines) const;
   void apply(std::uint64_t version, const std::vector<MachineEntry>& machines);
   void receive(const common::NodeId& sender, const MachinesUpdate& update);
   void answer(const common::NodeId& sender, const MachinesRequest& request);
--- a/src/cypresswall/membership/membership.cpp
+++ b/src/cypresswall/membership/membership.cpp
@@ -55,15 +55,17 @@
   dispatcher.handle<DetailsRequest>([this](const common::NodeId& sender, const DetailsRequest&) {
     context_.sendTo(sender, Introduction{own_details_, false});
   });
-  dispatcher.handle<MemberNews>(
-      [this](const common::NodeId& sender, const MemberNews& news) { receiveNews(sender, news); });
+  dispatcher.handle<MembershipUpdate>(
+      [this](const common::NodeId& sender, const MembershipUpdate& update) {
+        receiveUpdate(sender, update);
+      });
   dispatcher.handle<MemberVersions>(
       [this](const common::NodeId& sender, const MemberVersions& versions) {
         receiveVersions(sender, versions);
       });
-  dispatcher.handle<Goodbye>([this](const common::NodeId& sender, const Goodbye&) {
+  dispatcher.handle<ShutdownNotice>([this](const common::NodeId& sender, const ShutdownNotice&) {
     const Peer* const peer = peers_.find(sender);
-    if (peer != nullptr && takeDeparture({sender, peer->details.version})) {
+    if (peer != nullptr && applyDeparture({sender, peer->details.version})) {
       notify();
     }
   });
@@ -81,11 +83,11 @@
 void Membership::tick() {
   context_.scheduler.schedule(settings_.heartbeat_interval, [this] { tick(); });
   const auto now = context_.clock.now();
-  const auto late = now - last_tick_ - settings_.heartbeat_interval;
+  const auto overrun = now - last_tick_ - settings_.heartbeat_interval;
   last_tick_ = now;
-  if (late > settings_.heartbeat_interval) {
+  if (overrun > settings_.heartbeat_interval) {
     pause_count_.add();
-    peers_.extend(late);
+    peers_.extend(overrun);
   }
   sendHeartbeats();
   expirePeers();
@@ -94,11 +96,11 @@
 bool Membership::mesh() const { return peers_.peers().size() < settings_.neighbours.mesh_limit; }
 
 const Neighbours& Membership::neighbours() {
-  if (neighbours_at_ != peers_.changes()) {
+  if (neighbours_version_ != peers_.changes()) {
     neighbours_ = findNeighbours(settings_.neighbours, context_.self, peerNodes());
-    neighbours_at_ = peers_.changes();
+    neighbours_version_ = peers_.changes();
     peers_.watch(neighbours_.predecessors, context_.clock.now());
-    std::erase_if(disagreeing_since_,
+    std::erase_if(diverging_since_,
                   [this](const auto& entry) { return peers_.find(entry.first) == nullptr; });
   }
   return neighbours_;
@@ -116,7 +118,7 @@
   bool changed = false;
   for (const Departure& departure : peers_.expire(context_.clock.now(), changed)) {
     death_count_.add();
-    passOn(departure);
+    enqueueUpdate(departure);
   }
   if (changed) {
     notify();
@@ -181,9 +183,9 @@
   const Peer* const peer = peers_.find(sender);
   if (peer == nullptr) {
     // A later life of a member, perhaps.
-    members_known_ = false;
-    if (const auto departure = peers_.departureOf(sender, heartbeat.details_version, now)) {
-      context_.sendTo(sender, MemberNews{{}, {*departure}, false});
+    members_valid_ = false;
+    if (const auto departure = peers_.blockingDeparture(sender, heartbeat.details_version, now)) {
+      context_.sendTo(sender, MembershipUpdate{{}, {*departure}, false});
     } else {
       context_.sendTo(sender, DetailsRequest{});
     }
@@ -196,14 +198,14 @@
   machines_.heartbeatReceived(sender, heartbeat.machines_version, heartbeat.machine_reads);
 }
 
-void Membership::compareWith(const common::NodeId& peer, std::uint32_t peers_hash) {
-  if (peers_hash == membersHash()) {
-    disagreeing_since_.erase(peer);
+void Membership::compareWith(const common::NodeId& peer, std::uint32_t members_hash) {
+  if (members_hash == membersHash()) {
+    diverging_since_.erase(peer);
     return;
   }
   const auto now = context_.clock.now();
-  const auto since = disagreeing_since_.try_emplace(peer, now).first->second;
-  const bool lasting = mesh() || now - since >= settings_.disagreement_limit;
+  const auto since = diverging_since_.try_emplace(peer, now).first->second;
+  const bool lasting = mesh() || now - since >= settings_.divergence_limit;
   const bool compared = compared_at_ && now - *compared_at_ < settings_.comparison_interval;
   if (!lasting || compared) {
     return;
@@ -224,15 +226,15 @@
 }
 
 void Membership::receiveVersions(const common::NodeId& sender, const MemberVersions& versions) {
-  const MemberNews news = newsFor(versions);
-  if (!news.packed_records.empty() || !news.departures.empty()) {
-    context_.sendTo(sender, news);
+  const MembershipUpdate update = updateFor(versions);
+  if (!update.packed_records.empty() || !update.departures.empty()) {
+    context_.sendTo(sender, update);
   }
   const auto lacks = [this](const MemberVersion& member) {
     const Peer* const peer = peers_.find(member.node);
     const bool older = peer == nullptr || peer->details.version < member.details_version;
     return older && member.node != context_.self && !peers_.replaced(member.node) &&
-           !peers_.departureOf(member.node, member.details_version, context_.clock.now());
+           !peers_.blockingDeparture(member.node, member.details_version, context_.clock.now());
   };
   if (versions.answer_wanted &&
       std::any_of(versions.members.begin(), versions.members.end(), lacks)) {
@@ -240,18 +242,18 @@
   }
 }
 
-MemberNews Membership::newsFor(const MemberVersions& versions) const {
+MembershipUpdate Membership::updateFor(const MemberVersions& versions) const {
   std::map<common::NodeId, std::uint32_t> known;
-  MemberNews news;
+  MembershipUpdate update;
   for (const MemberVersion& member : versions.members) {
     known[member.node] = member.details_version;
     const auto departure =
-        peers_.departureOf(member.node, member.details_version, context_.clock.now());
+        peers_.blockingDeparture(member.node, member.details_version, context_.clock.now());
     if (departure) {
-      news.departures.push_back(*departure);
+      update.departures.push_back(*departure);
     } else if (peers_.replaced(member.node)) {
       // A later life that the sender missed has ended as well by now, or follows among the records.
-      news.departures.push_back({member.node, member.details_version});
+      update.departures.push_back({member.node, member.details_version});
     }
   }
   std::vector<MemberRecord> records = allRecords();
@@ -259,8 +261,8 @@
     const auto version = known.find(record.node);
     return version != known.end() && version->second >= record.details.version;
   });
-  news.packed_records = packMembers(records);
-  return news;
+  update.packed_records = packMembers(records);
+  return update;
 }
 
 std::vector<MemberRecord> Membership::allRecords() const {
@@ -297,39 +299,39 @@
     outdated_count_.add();
     return;
   }
-  if (const auto departure = peers_.departureOf(sender, details.version, now)) {
-    context_.sendTo(sender, MemberNews{{}, {*departure}, false});
+  if (const auto departure = peers_.blockingDeparture(sender, details.version, now)) {
+    context_.sendTo(sender, MembershipUpdate{{}, {*departure}, false});
     return;
   }
   const bool known = peers_.find(sender) != nullptr;
-  takeOwnWord(sender, details);
+  applySelfReport(sender, details);
   if (introduction.wants_members) {
     joiners_.insert(sender);
-    scheduleNews(mesh() ? common::Duration{0} : settings_.join_reply_interval);
+    scheduleUpdate(mesh() ? common::Duration{0} : settings_.join_reply_interval);
   } else if (!known) {
     context_.sendTo(sender, Introduction{own_details_, false});
   }
 }
 
-void Membership::takeOwnWord(const common::NodeId& node, const NodeDetails& details) {
-  using Described = PeerTable::Described;
-  const Described described = peers_.describe(node, details, context_.clock.now());
+void Membership::applySelfReport(const common::NodeId& node, const NodeDetails& details) {
+  using DetailsResult = PeerTable::DetailsResult;
+  const DetailsResult result = peers_.applyDetails(node, details, context_.clock.now());
   // In a mesh a member tells all others of a change itself.
-  if (described == Described::kAdded || (described == Described::kDetails && !mesh())) {
-    passOn(node);
+  if (result == DetailsResult::kAdded || (result == DetailsResult::kDetailsChanged && !mesh())) {
+    enqueueUpdate(node);
   }
-  if (described != Described::kNothing) {
+  if (result != DetailsResult::kUnchanged) {
     notify();
   }
 }
 
 /// A departure is passed on also by nodes that didn't know the member: those behind them may.
-bool Membership::takeDeparture(const Departure& departure) {
+bool Membership::applyDeparture(const Departure& departure) {
   const bool known = peers_.find(departure.node) != nullptr;
   if (!peers_.remove(departure, context_.clock.now())) {
     return false;
   }
-  passOn(departure);
+  enqueueUpdate(departure);
   death_count_.add(known ? 1 : 0);
   return known;
 }
@@ -343,36 +345,36 @@
   detailsChanged(false);
 }
 
-void Membership::receiveNews(const common::NodeId& sender, const MemberNews& news) {
-  const auto records = unpackMembers(news.packed_records);
+void Membership::receiveUpdate(const common::NodeId& sender, const MembershipUpdate& update) {
+  const auto records = unpackMembers(update.packed_records);
   if (!records) {
     unreadable_count_.add();
     return;
   }
   // The first list is no news to anybody else.
-  const bool first_list = news.complete && std::exchange(joining_, false);
+  const bool first_list = update.complete && std::exchange(joining_, false);
   bool changed = false;
   for (const MemberRecord& record : *records) {
     if (record.node.address == context_.self.address || record.details.zone != context_.zone) {
       continue;
     }
-    const auto described = peers_.describe(record.node, record.details, context_.clock.now());
-    const bool is_news =
-        described == PeerTable::Described::kAdded || described == PeerTable::Described::kDetails;
-    if (is_news && !first_list && !mesh()) {
-      passOn(record.node);
+    const auto result = peers_.applyDetails(record.node, record.details, context_.clock.now());
+    const bool is_new = result == PeerTable::DetailsResult::kAdded ||
+                        result == PeerTable::DetailsResult::kDetailsChanged;
+    if (is_new && !first_list && !mesh()) {
+      enqueueUpdate(record.node);
     }
-    changed = changed || is_news || described == PeerTable::Described::kDigests;
+    changed = changed || is_new || result == PeerTable::DetailsResult::kDigestsChanged;
   }
-  for (const Departure& departure : news.departures) {
+  for (const Departure& departure : update.departures) {
     if (departure.node == context_.self) {
       refute(departure.details_version);
       context_.sendTo(sender, Introduction{own_details_, false});
-    } else if (heardLately(departure.node)) {
+    } else if (heardRecently(departure.node)) {
       // Who is alive has to say so itself: only newer details undo a departure.
-      context_.sendTo(departure.node, MemberNews{{}, {departure}, false});
+      context_.sendTo(departure.node, MembershipUpdate{{}, {departure}, false});
     } else {
-      changed = takeDeparture(departure) || changed;
+      changed = applyDeparture(departure) || changed;
     }
   }
   if (changed) {
@@ -380,30 +382,30 @@
   }
 }
 
-bool Membership::heardLately(const common::NodeId& node) const {
+bool Membership::heardRecently(const common::NodeId& node) const {
   const Peer* const peer = peers_.find(node);
   return peer != nullptr && peer->watched &&
          context_.clock.now() - peer->last_heard < settings_.heartbeat_interval * 2;
 }
 
-void Membership::passOn(const common::NodeId& node) {
-  changed_.insert(node);
-  scheduleNews(settings_.news_interval);
+void Membership::enqueueUpdate(const common::NodeId& node) {
+  pending_records_.insert(node);
+  scheduleUpdate(settings_.update_interval);
 }
 
-void Membership::passOn(const Departure& departure) {
+void Membership::enqueueUpdate(const Departure& departure) {
   if (!mesh()) {
-    departures_.push_back(departure);
-    scheduleNews(settings_.news_interval);
+    pending_departures_.push_back(departure);
+    scheduleUpdate(settings_.update_interval);
   }
 }
 
-void Membership::scheduleNews(common::Duration delay) {
-  if (news_timer_ == 0) {
-    news_timer_ = context_.scheduler.schedule(delay, [this] {
-      news_timer_ = 0;
+void Membership::scheduleUpdate(common::Duration delay) {
+  if (update_timer_ == 0) {
+    update_timer_ = context_.scheduler.schedule(delay, [this] {
+      update_timer_ = 0;
       answerJoiners();
-      sendNews();
+      sendUpdate();
     });
   }
 }
@@ -412,26 +414,27 @@
   if (joiners_.empty()) {
     return;
   }
-  const MemberNews list{packMembers(allRecords()), {}, true};
+  const MembershipUpdate list{packMembers(allRecords()), {}, true};
   for (const auto& joiner : std::exchange(joiners_, {})) {
     context_.sendTo(joiner, list);
   }
 }
 
-void Membership::sendNews() {
+void Membership::sendUpdate() {
   std::vector<MemberRecord> records;
-  for (const auto& node : std::exchange(changed_, {})) {
+  for (const auto& node : std::exchange(pending_records_, {})) {
     MemberRecord record;
     if (recordOf(node, record)) {
       records.push_back(std::move(record));
     }
   }
-  const MemberNews news{packMembers(records), std::exchange(departures_, {}), false};
-  if (records.empty() && news.departures.empty()) {
+  const MembershipUpdate update{packMembers(records), std::exchange(pending_departures_, {}),
+                                false};
+  if (records.empty() && update.departures.empty()) {
     return;
   }
-  for (const auto& receiver : neighbours().news_receivers) {
-    context_.sendTo(receiver, news);
+  for (const auto& receiver : neighbours().update_receivers) {
+    context_.sendTo(receiver, update);
   }
 }
 
@@ -458,7 +461,7 @@
   const bool has_seeds =
       std::any_of(settings_.seeds.begin(), settings_.seeds.end(),
                   [this](const common::Address& seed) { return seed != context_.self.address; });
-  return joining_ && has_seeds && context_.clock.now() - started_at_ < settings_.join_patience;
+  return joining_ && has_seeds && context_.clock.now() - started_at_ < settings_.join_timeout;
 }
 
 std::uint32_t Membership::membersHash() const {
@@ -467,7 +470,7 @@
 }
 
 const std::vector<Member>& Membership::members() const {
-  if (std::exchange(members_known_, true)) {
+  if (std::exchange(members_valid_, true)) {
     return members_;
   }
   members_.clear();
@@ -502,9 +505,9 @@
   if (node == context_.self) {
     return false;
   }
-  const bool own_earlier_life =
+  const bool own_earlier_incarnation =
       node.address == context_.self.address && node.incarnation != context_.self.incarnation;
-  return own_earlier_life || peers_.replaced(node) || machines_.addressGone(node.address);
+  return own_earlier_incarnation || peers_.replaced(node) || machines_.addressGone(node.address);
 }
 
 void Membership::onChange(std::function<void()> listener) {
@@ -521,7 +524,7 @@
 
 void Membership::announceStopped() {
   for (const auto& node : neighbours().successors) {
-    context_.sendTo(node, Goodbye{});
+    context_.sendTo(node, ShutdownNotice{});
   }
 }
 
@@ -556,13 +559,13 @@
       context_.sendTo(node, Introduction{own_details_, false});
     }
   } else {
-    changed_.insert(context_.self);
-    sendNews();
+    pending_records_.insert(context_.self);
+    sendUpdate();
   }
 }
 
 void Membership::notify() {
-  members_known_ = false;
+  members_valid_ = false;
   for (const auto& listener : listeners_) {
     listener();
   }
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cypresswall/api/process_context.h"
-#include "cypresswall/membership/machine_register.h"
+#include "cypresswall/membership/machine_registry.h"
 #include "cypresswall/membership/membership_settings.h"
 #include "cypresswall/membership/membership_view.h"
 #include "cypresswall/membership/neighbours.h"
@@ -66,27 +66,27 @@
 
   void receiveHeartbeat(const common::NodeId& sender, const Heartbeat& heartbeat);
   void receiveIntroduction(const common::NodeId& sender, const Introduction& introduction);
-  void receiveNews(const common::NodeId& sender, const MemberNews& news);
+  void receiveUpdate(const common::NodeId& sender, const MembershipUpdate& update);
   void receiveVersions(const common::NodeId& sender, const MemberVersions& versions);
   /// Takes what a member says of itself.
-  void takeOwnWord(const common::NodeId& node, const NodeDetails& details);
+  void applySelfReport(const common::NodeId& node, const NodeDetails& details);
   /// Takes the news that a node ended. \return true if it was a member
-  bool takeDeparture(const Departure& departure);
+  bool applyDeparture(const Departure& departure);
   /// Says that this node, taken for dead, is alive.
   void refute(std::uint32_t details_version);
 
   /// \return true if the node is watched here and not even late with a heartbeat
-  bool heardLately(const common::NodeId& node) const;
+  bool heardRecently(const common::NodeId& node) const;
 
   /// Passes news on, after a short time in which more may come.
-  void passOn(const common::NodeId& node);
-  void passOn(const Departure& departure);
-  void scheduleNews(common::Duration delay);
-  void sendNews();
+  void enqueueUpdate(const common::NodeId& node);
+  void enqueueUpdate(const Departure& departure);
+  void scheduleUpdate(common::Duration delay);
+  void sendUpdate();
   void answerJoiners();
-  void compareWith(const common::NodeId& peer, std::uint32_t peers_hash);
+  void compareWith(const common::NodeId& peer, std::uint32_t members_hash);
   MemberVersions ownVersions(bool answer_wanted) const;
-  MemberNews newsFor(const MemberVersions& versions) const;
+  MembershipUpdate updateFor(const MemberVersions& versions) const;
   std::vector<MemberRecord> allRecords() const;
   bool recordOf(const common::NodeId& node, MemberRecord& record) const;
 
@@ -99,22 +99,22 @@
   MembershipSettings settings_;
   api::ProcessContext context_;
   PeerTable peers_;
-  MachineRegister machines_;
+  MachineRegistry machines_;
   NodeDetails own_details_;
   Neighbours neighbours_;
   /// PeerTable::changes() at which the neighbours were found.
-  std::optional<std::uint64_t> neighbours_at_;
+  std::optional<std::uint64_t> neighbours_version_;
   /// members(), found again after each change.
   mutable std::vector<Member> members_;
-  mutable bool members_known_ = false;
+  mutable bool members_valid_ = false;
   /// News to be passed on, and the timer that does so.
-  std::set<common::NodeId> changed_;
-  std::vector<Departure> departures_;
-  common::TimerId news_timer_ = 0;
+  std::set<common::NodeId> pending_records_;
+  std::vector<Departure> pending_departures_;
+  common::TimerId update_timer_ = 0;
   /// Nodes that wait for the list of members.
   std::set<common::NodeId> joiners_;
   /// Since when each neighbour has seen other members.
-  std::map<common::NodeId, common::MonotonicTime> disagreeing_since_;
+  std::map<common::NodeId, common::MonotonicTime> diverging_since_;
   std::optional<common::MonotonicTime> compared_at_;
   /// No peer has given its list of members yet.
   bool joining_ = true;
--- a/src/cypresswall/membership/membership_settings.h
+++ b/src/cypresswall/membership/membership_settings.h
@@ -48,25 +48,25 @@
   /// How often a node that knows no other tries the next seed.
   common::Duration join_interval = std::chrono::milliseconds(300);
   /// A node that no seed answered for this long goes on alone.
-  common::Duration join_patience = std::chrono::seconds(2);
+  common::Duration join_timeout = std::chrono::seconds(2);
   /// Nodes that ask to be let into a large zone within this time get one list, packed once: when
   /// the whole zone starts, the list then holds nearly all of it.
   common::Duration join_reply_interval = std::chrono::milliseconds(200);
   /// News of members is collected for this long before it is passed on.
-  common::Duration news_interval = std::chrono::milliseconds(20);
+  common::Duration update_interval = std::chrono::milliseconds(20);
   /// A neighbour that has seen other members for this long lacks news that got lost: the two
   /// compare their lists. In a ring news is still on its way for some hundred milliseconds.
-  common::Duration disagreement_limit = std::chrono::milliseconds(900);
+  common::Duration divergence_limit = std::chrono::milliseconds(900);
   /// The least time between two comparisons.
   common::Duration comparison_interval = std::chrono::milliseconds(900);
   /// For this long a node that was taken for dead is let in again with newer details only, so that
   /// peers that have not heard of its death don't bring it back. Above the time that a peer needs
   /// to hear of it by a comparison.
-  common::Duration departure_memory = std::chrono::seconds(5);
+  common::Duration readmission_delay = std::chrono::seconds(5);
 
   common::Duration machine_poll_interval = std::chrono::milliseconds(500);
   /// A node polls itself when no fresh read was seen for this long, times its rank in the zone.
-  common::Duration machine_read_patience = std::chrono::milliseconds(1000);
+  common::Duration machine_read_timeout = std::chrono::milliseconds(1000);
 
   /// Changed gossip entries are sent in batches of this period.
   common::Duration gossip_flush_interval = std::chrono::milliseconds(100);
--- a/src/cypresswall/membership/membership_view.h
+++ b/src/cypresswall/membership/membership_view.h
@@ -58,8 +58,8 @@
                                               DigestTopic topic) const = 0;
   /// \return true if the member's build handles these messages
   bool handles(const common::NodeId& node, api::MessageSet messages) const {
-    constexpr auto kUntold = static_cast<std::uint64_t>(api::MessageSet::kFirst);
-    return digest(node, DigestTopic::kMessageSet).value_or(kUntold) >=
+    constexpr auto kFirstSet = static_cast<std::uint64_t>(api::MessageSet::kFirst);
+    return digest(node, DigestTopic::kMessageSet).value_or(kFirstSet) >=
            static_cast<std::uint64_t>(messages);
   }
   /// \return true for a short time after the start in which this node knows no other yet, though it
--- a/src/cypresswall/membership/messages.h
+++ b/src/cypresswall/membership/messages.h
@@ -72,7 +72,7 @@
 };
 
 /// What the sender learnt of members, or all that it knows of them.
-struct MemberNews {
+struct MembershipUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 3);
   /// A list of MemberRecord, as packMembers() writes it; empty for none.
   std::string packed_records;
@@ -83,7 +83,7 @@
 };
 
 /// The sender is about to end; it is dead from now on.
-struct Goodbye {
+struct ShutdownNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 4);
   std::uint8_t unused = 0;
   MSGPACK_DEFINE(unused)
--- a/src/cypresswall/membership/neighbours.cpp
+++ b/src/cypresswall/membership/neighbours.cpp
@@ -37,8 +37,8 @@
 
 /// \return the first node at or behind a place drawn by hashing. Such links make a random graph, in
 ///   which all are few hops apart; a node that comes or goes moves few of them.
-const common::NodeId& distantNode(const common::NodeId& self, std::size_t number,
-                                  const std::vector<RingNode>& ring) {
+const common::NodeId& shortcutNode(const common::NodeId& self, std::size_t number,
+                                   const std::vector<RingNode>& ring) {
   const std::uint64_t place = common::hash64(self.address, number + 1);
   const auto found = std::lower_bound(
       ring.begin(), ring.end(), place,
@@ -55,21 +55,21 @@
   if (neighbours.mesh) {
     neighbours.successors = peers;
     neighbours.predecessors = peers;
-    neighbours.news_receivers = peers;
+    neighbours.update_receivers = peers;
     return neighbours;
   }
   const std::vector<RingNode> ring = ringFrom(self, peers);
-  const std::size_t heard_by = std::min(settings.heard_by, ring.size());
-  for (std::size_t i = 0; i < heard_by; ++i) {
+  const std::size_t heartbeat_receivers = std::min(settings.heartbeat_receivers, ring.size());
+  for (std::size_t i = 0; i < heartbeat_receivers; ++i) {
     neighbours.successors.push_back(*ring[i].node);
     neighbours.predecessors.push_back(*ring[ring.size() - 1 - i].node);
   }
-  auto& receivers = neighbours.news_receivers;
+  auto& receivers = neighbours.update_receivers;
   receivers.push_back(*ring.front().node);
-  for (std::size_t i = 0; i < settings.distant_receivers; ++i) {
-    const common::NodeId& distant = distantNode(self, i, ring);
-    if (std::find(receivers.begin(), receivers.end(), distant) == receivers.end()) {
-      receivers.push_back(distant);
+  for (std::size_t i = 0; i < settings.shortcut_receivers; ++i) {
+    const common::NodeId& shortcut = shortcutNode(self, i, ring);
+    if (std::find(receivers.begin(), receivers.end(), shortcut) == receivers.end()) {
+      receivers.push_back(shortcut);
     }
   }
   return neighbours;
--- a/src/cypresswall/membership/neighbours.h
+++ b/src/cypresswall/membership/neighbours.h
@@ -18,10 +18,10 @@
   std::size_t mesh_limit = 24;
   /// Nodes that hear one node's heartbeats in a ring. The death of a node goes unnoticed for longer
   /// if all of them die with it: at a loss of 40% of the nodes for one in forty.
-  std::size_t heard_by = 4;
+  std::size_t heartbeat_receivers = 4;
   /// Nodes, beside the successor, that a node passes news on to in a ring. With three, news reaches
   /// 1,000 nodes in ten hops or less.
-  std::size_t distant_receivers = 3;
+  std::size_t shortcut_receivers = 3;
 };
 
 struct Neighbours {
@@ -32,7 +32,7 @@
   /// Heartbeats are expected from these.
   std::vector<common::NodeId> predecessors;
   /// News is passed on to these.
-  std::vector<common::NodeId> news_receivers;
+  std::vector<common::NodeId> update_receivers;
 };
 
 /// \param peers the zone's other nodes, in any order
--- a/src/cypresswall/membership/peer_table.cpp
+++ b/src/cypresswall/membership/peer_table.cpp
@@ -26,28 +26,29 @@
                         common::hash64(node.address, node.incarnation) + details_version);
 }
 
-PeerTable::Described PeerTable::describe(const common::NodeId& node, const NodeDetails& details,
-                                         common::MonotonicTime now) {
+PeerTable::DetailsResult PeerTable::applyDetails(const common::NodeId& node,
+                                                 const NodeDetails& details,
+                                                 common::MonotonicTime now) {
   auto& newest = newest_incarnation_[node.address];
   if (node.incarnation < newest) {
-    return Described::kOutdated;
+    return DetailsResult::kOutdated;
   }
-  if (departureOf(node, details.version, now)) {
-    return Described::kDeparted;
+  if (blockingDeparture(node, details.version, now)) {
+    return DetailsResult::kDeparted;
   }
   newest = node.incarnation;
   Peer* const peer = find(node);
   if (peer == nullptr) {
     add(node, details, now);
-    return Described::kAdded;
+    return DetailsResult::kAdded;
   }
   const auto known = std::tie(peer->details.version, peer->details.digests_version);
   if (std::tie(details.version, details.digests_version) <= known) {
-    return Described::kNothing;
+    return DetailsResult::kUnchanged;
   }
   const bool only_digests = details.version == peer->details.version;
   setDetails(*peer, details);
-  return only_digests ? Described::kDigests : Described::kDetails;
+  return only_digests ? DetailsResult::kDigestsChanged : DetailsResult::kDetailsChanged;
 }
 
 void PeerTable::add(const common::NodeId& node, const NodeDetails& details,
@@ -72,7 +73,7 @@
     std::map<common::Address, Peer>::iterator peer, common::MonotonicTime now) {
   const std::uint32_t version = peer->second.details.version;
   hash_ -= memberHash(peer->second.node, version);
-  departed_[peer->first] = Gone{{peer->second.node, version}, now};
+  departed_[peer->first] = DepartedPeer{{peer->second.node, version}, now};
   ++changes_;
   return peers_.erase(peer);
 }
@@ -130,13 +131,13 @@
   const auto newest = newest_incarnation_.find(node.address);
   const bool outdated = newest != newest_incarnation_.end() && newest->second > node.incarnation;
   const bool undone = peer != nullptr && peer->details.version > departure.details_version;
-  if (outdated || undone || departureOf(node, departure.details_version, now)) {
+  if (outdated || undone || blockingDeparture(node, departure.details_version, now)) {
     return false;
   }
   if (peer != nullptr) {
     erase(peers_.find(node.address), now);
   }
-  departed_[node.address] = Gone{departure, now};
+  departed_[node.address] = DepartedPeer{departure, now};
   return true;
 }
 
@@ -155,14 +156,14 @@
   return newest != newest_incarnation_.end() && newest->second > node.incarnation;
 }
 
-std::optional<Departure> PeerTable::departureOf(const common::NodeId& node,
-                                                std::uint32_t details_version,
-                                                common::MonotonicTime now) const {
+std::optional<Departure> PeerTable::blockingDeparture(const common::NodeId& node,
+                                                      std::uint32_t details_version,
+                                                      common::MonotonicTime now) const {
   const auto gone = departed_.find(node.address);
-  const bool kept_out = gone != departed_.end() && gone->second.departure.node == node &&
-                        gone->second.departure.details_version >= details_version &&
-                        now - gone->second.at < settings_.departure_memory;
-  return kept_out ? std::optional(gone->second.departure) : std::nullopt;
+  const bool blocked = gone != departed_.end() && gone->second.departure.node == node &&
+                       gone->second.departure.details_version >= details_version &&
+                       now - gone->second.at < settings_.readmission_delay;
+  return blocked ? std::optional(gone->second.departure) : std::nullopt;
 }
 
 std::vector<common::Address> PeerTable::departed() const {
--- a/src/cypresswall/membership/peer_table.h
+++ b/src/cypresswall/membership/peer_table.h
@@ -36,17 +36,17 @@
   Contact heard(const common::NodeId& node, common::MonotonicTime now);
 
   /// What a node's details brought.
-  enum class Described {
-    kNothing,   ///< they were known
-    kOutdated,  ///< they are of an earlier life
-    kDeparted,  ///< the node was lately taken for dead with these details
-    kDigests,   ///< its digests changed
-    kDetails,   ///< something else changed
-    kAdded,     ///< it became a peer
+  enum class DetailsResult {
+    kUnchanged,       ///< they were known
+    kOutdated,        ///< they are of an earlier life
+    kDeparted,        ///< the node was lately taken for dead with these details
+    kDigestsChanged,  ///< its digests changed
+    kDetailsChanged,  ///< something else changed
+    kAdded,           ///< it became a peer
   };
   /// Takes a node's details, which make it a peer.
-  Described describe(const common::NodeId& node, const NodeDetails& details,
-                     common::MonotonicTime now);
+  DetailsResult applyDetails(const common::NodeId& node, const NodeDetails& details,
+                             common::MonotonicTime now);
   /// Sets whose silence counts.
   void watch(const std::vector<common::NodeId>& nodes, common::MonotonicTime now);
   /// Moves silent peers to suspect and then out of the table.
@@ -70,14 +70,15 @@
   /// \return true if a later life was seen at the node's address.
   bool replaced(const common::NodeId& node) const;
   /// \return the departure that keeps a node out for now, or nothing.
-  std::optional<Departure> departureOf(const common::NodeId& node, std::uint32_t details_version,
-                                       common::MonotonicTime now) const;
+  std::optional<Departure> blockingDeparture(const common::NodeId& node,
+                                             std::uint32_t details_version,
+                                             common::MonotonicTime now) const;
   /// Addresses that fell silent, to be tried again.
   std::vector<common::Address> departed() const;
 
  private:
   /// The last life seen at an address that fell silent.
-  struct Gone {
+  struct DepartedPeer {
     Departure departure;
     common::MonotonicTime at;
   };
@@ -91,7 +92,7 @@
   std::map<common::Address, Peer> peers_;
   std::uint64_t changes_ = 0;
   std::uint64_t hash_ = 0;
-  std::map<common::Address, Gone> departed_;
+  std::map<common::Address, DepartedPeer> departed_;
   /// Highest incarnation seen per address; bounded by forgetting departed addresses.
   std::map<common::Address, std::uint64_t> newest_incarnation_;
 };
--- a/tests/fleet_limits/fleet_sum_test.cpp
+++ b/tests/fleet_limits/fleet_sum_test.cpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <optional>
 
-#include "tests/fleet_limits/simulated_accounts.h"
+#include "tests/fleet_limits/simulated_budgets.h"
 #include "tests/support/property.h"
 
 namespace cypresswall::fleet_limits {
--- a/tests/fleet_limits/rate_limit_table_test.cpp
+++ b/tests/fleet_limits/rate_limit_table_test.cpp
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT(hears(5.5, seconds(1)));
     CPPUNIT_ASSERT(!hears(5.5, seconds(2)));
     CPPUNIT_ASSERT_EQUAL(5.5, limit());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table_.standingCount());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table_.activeCount());
   }
   void lowerLimitHoldsAtOnceAndHigherAfterAWhile() {
     hears(5, seconds(1));
@@ -50,13 +50,13 @@
     hears(5, seconds(1));
     CPPUNIT_ASSERT(!hearsNone(milliseconds(900), seconds(3)));
     CPPUNIT_ASSERT(hearsNone(milliseconds(2900), seconds(3)));
-    CPPUNIT_ASSERT(table_.standing(kServer) == nullptr);
+    CPPUNIT_ASSERT(table_.activeLimit(kServer) == nullptr);
   }
   void serverThatNamesALimitInTurnsStaysUnderIt() {
     for (common::Duration now = seconds(1); now < seconds(10); now += milliseconds(400)) {
       hears(5, now);
       hearsNone(now + milliseconds(100), now + milliseconds(200));
-      CPPUNIT_ASSERT(table_.standing(kServer) != nullptr);
+      CPPUNIT_ASSERT(table_.activeLimit(kServer) != nullptr);
     }
   }
   void answerFromBeforeTheEndDoesNotBringTheLimitBack() {
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(!hears(1e300, seconds(1)));
     hears(5, seconds(2));
     CPPUNIT_ASSERT(hears(1e300, seconds(4)));
-    CPPUNIT_ASSERT(table_.standing(kServer) == nullptr);
+    CPPUNIT_ASSERT(table_.activeLimit(kServer) == nullptr);
   }
   void unreadableNoticeChangesNothing() {
     const RateLimitNotice unreadable{RateLimitNotice::Kind::kUnreadable, 0};
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT(merges(1, 3));
     CPPUNIT_ASSERT(merges(2, std::nullopt));
     CPPUNIT_ASSERT(!merges(1, 1));
-    CPPUNIT_ASSERT(table_.standing(kServer) == nullptr);
+    CPPUNIT_ASSERT(table_.activeLimit(kServer) == nullptr);
   }
   void oldKnowledgeIsForgottenAndNotTaken() {
     hears(5, seconds(1));
@@ -115,7 +115,7 @@
   bool merges(std::uint64_t version, std::optional<double> value) {
     return table_.merge(kServer, {version, value, at(seconds(1))}, at(seconds(1)));
   }
-  double limit() const { return *table_.standing(kServer)->requests_per_second; }
+  double limit() const { return *table_.activeLimit(kServer)->requests_per_second; }
 
   RateLimitTable table_{RateLimitTableSettings{}};
 };
--- a/tests/fleet_limits/rate_limit_zone.h
+++ b/tests/fleet_limits/rate_limit_zone.h
@@ -186,7 +186,7 @@
   std::size_t count(Holds holds, const std::string& server) {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [&](const Node& node) {
-          return node.limits != nullptr && holds(node.limits->table().standing(server));
+          return node.limits != nullptr && holds(node.limits->table().activeLimit(server));
         }));
   }
   void startNode(std::size_t index) {
--- a/tests/fleet_limits/rate_limit_zone_test.cpp
+++ b/tests/fleet_limits/rate_limit_zone_test.cpp
@@ -58,7 +58,7 @@
       RateLimitZone zone(nodes);
       zone.run(seconds(1));
       zone.answer(0, kServer, kLimit);
-      CPPUNIT_ASSERT(zone.at(0).table().standing(kServer) != nullptr);
+      CPPUNIT_ASSERT(zone.at(0).table().activeLimit(kServer) != nullptr);
       zone.run(kTold);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(nodes) + " nodes", nodes,
                                    zone.nodesThatKnow(kServer, kLimit));
@@ -229,10 +229,10 @@
     zone.end(keeper);
     const std::size_t other = keeper == 0 ? 1 : 0;
     zone.send(other, kServer);
-    zone.run(zone.settings.answer_limit + milliseconds(10));
+    zone.run(zone.settings.permit_timeout + milliseconds(10));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.refused());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.at(other).exhausted().size());
-    zone.run(zone.settings.silence_pause);
+    zone.run(zone.settings.unresponsive_keeper_pause);
     CPPUNIT_ASSERT(zone.at(other).exhausted().empty());
   }
 
--- a/tests/fleet_limits/retry_account_test.cpp
+++ b/tests/fleet_limits/retry_budget_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/fleet_limits/simulated_accounts.h"
+#include "tests/fleet_limits/simulated_budgets.h"
 
 namespace cypresswall::fleet_limits {
 namespace {
--- a/tests/membership/large_zone_test.cpp
+++ b/tests/membership/large_zone_test.cpp
@@ -263,7 +263,7 @@
     Membership membership(settings, process.context(), machines);
     CPPUNIT_ASSERT(membership.joining());
     membership.start();
-    world.runFor(settings.join_patience - 100ms);
+    world.runFor(settings.join_timeout - 100ms);
     CPPUNIT_ASSERT(membership.joining());
     world.runFor(200ms);
     CPPUNIT_ASSERT(!membership.joining());
@@ -278,7 +278,7 @@
     CPPUNIT_ASSERT(zone.agree(3s));
     auto& process = zone.world.process(LargeZone::addressOf(3));
     for (const char* bytes : {"x", "\x92\x04\xa4zzzz", "\x92\xce\xff\xff\xff\xff\xa4zzzz"}) {
-      process.context().sendToAddress(LargeZone::addressOf(4), MemberNews{bytes, {}, false});
+      process.context().sendToAddress(LargeZone::addressOf(4), MembershipUpdate{bytes, {}, false});
     }
     zone.world.runFor(100ms);
     const auto& counters = zone.world.process(LargeZone::addressOf(4)).counters();
--- a/tests/membership/neighbours_test.cpp
+++ b/tests/membership/neighbours_test.cpp
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT(found.mesh);
     CPPUNIT_ASSERT_EQUAL(nodes.size() - 1, found.successors.size());
     CPPUNIT_ASSERT_EQUAL(nodes.size() - 1, found.predecessors.size());
-    CPPUNIT_ASSERT_EQUAL(nodes.size() - 1, found.news_receivers.size());
+    CPPUNIT_ASSERT_EQUAL(nodes.size() - 1, found.update_receivers.size());
   }
 
   void successorsAndPredecessorsMatch() {
@@ -54,8 +54,8 @@
       for (std::size_t i = 0; i < count; ++i) {
         const Neighbours found = findNeighbours(settings, nodes[i], others(nodes, i));
         CPPUNIT_ASSERT(!found.mesh);
-        CPPUNIT_ASSERT_EQUAL(settings.heard_by, found.successors.size());
-        CPPUNIT_ASSERT(found.news_receivers.size() <= 1 + settings.distant_receivers);
+        CPPUNIT_ASSERT_EQUAL(settings.heartbeat_receivers, found.successors.size());
+        CPPUNIT_ASSERT(found.update_receivers.size() <= 1 + settings.shortcut_receivers);
         expects[nodes[i]].insert(found.predecessors.begin(), found.predecessors.end());
         for (const auto& receiver : found.successors) {
           gets[receiver].insert(nodes[i]);
@@ -72,7 +72,7 @@
       const auto nodes = nodesOf(count);
       std::map<common::NodeId, std::vector<common::NodeId>> receivers;
       for (std::size_t i = 0; i < count; ++i) {
-        receivers[nodes[i]] = findNeighbours(settings, nodes[i], others(nodes, i)).news_receivers;
+        receivers[nodes[i]] = findNeighbours(settings, nodes[i], others(nodes, i)).update_receivers;
       }
       std::set<common::NodeId> told = {nodes.front()};
       for (int hop = 0; hop < kHops; ++hop) {
@@ -108,8 +108,8 @@
     const common::NodeId stranger{"10.9.9.9:7000", 1};
     CPPUNIT_ASSERT(treeChildren(stranger, members[0].node, members, 4).empty());
     CPPUNIT_ASSERT(treeChildren(members[0].node, stranger, members, 4).empty());
-    const common::NodeId later_life{members[0].node.address, 2};
-    CPPUNIT_ASSERT(treeChildren(later_life, members[0].node, members, 4).empty());
+    const common::NodeId later_incarnation{members[0].node.address, 2};
+    CPPUNIT_ASSERT(treeChildren(later_incarnation, members[0].node, members, 4).empty());
   }
 
  private:
--- a/tests/membership/peer_table_test.cpp
+++ b/tests/membership/peer_table_test.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::membership {
 namespace {
 
-using Described = PeerTable::Described;
+using DetailsResult = PeerTable::DetailsResult;
 using std::chrono::milliseconds;
 
 NodeDetails detailsOf(std::uint32_t version, std::uint32_t digests_version = 1) {
@@ -30,19 +30,21 @@
 
  public:
   void tellsWhatDetailsBrought() {
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(1), at(0)) == Described::kAdded);
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(1), at(0)) == Described::kNothing);
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(1, 2), at(0)) == Described::kDigests);
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(2, 2), at(0)) == Described::kDetails);
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(1, 9), at(0)) == Described::kNothing);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1), at(0)) == DetailsResult::kAdded);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1), at(0)) == DetailsResult::kUnchanged);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1, 2), at(0)) ==
+                   DetailsResult::kDigestsChanged);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(2, 2), at(0)) ==
+                   DetailsResult::kDetailsChanged);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1, 9), at(0)) == DetailsResult::kUnchanged);
     const common::NodeId earlier{node_.address, node_.incarnation - 1};
-    CPPUNIT_ASSERT(table_.describe(earlier, detailsOf(9), at(0)) == Described::kOutdated);
+    CPPUNIT_ASSERT(table_.applyDetails(earlier, detailsOf(9), at(0)) == DetailsResult::kOutdated);
   }
 
   void onlyTheSilenceOfWatchedPeersCounts() {
     const common::NodeId other{"10.0.0.2:1", 1};
-    table_.describe(node_, detailsOf(1), at(0));
-    table_.describe(other, detailsOf(1), at(0));
+    table_.applyDetails(node_, detailsOf(1), at(0));
+    table_.applyDetails(other, detailsOf(1), at(0));
     table_.watch({node_}, at(1000));
     bool changed = false;
     CPPUNIT_ASSERT(table_.expire(at(2000), changed).empty());
@@ -58,17 +60,17 @@
   }
 
   void aDepartedNodeIsKeptOutUntilItSaysMore() {
-    table_.describe(node_, detailsOf(3), at(0));
+    table_.applyDetails(node_, detailsOf(3), at(0));
     CPPUNIT_ASSERT(table_.remove({node_, 3}, at(100)));
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(3), at(200)) == Described::kDeparted);
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(4), at(200)) == Described::kAdded);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(3), at(200)) == DetailsResult::kDeparted);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(4), at(200)) == DetailsResult::kAdded);
     CPPUNIT_ASSERT(table_.remove({node_, 4}, at(300)));
     // Who missed the news for so long may be right.
-    CPPUNIT_ASSERT(table_.describe(node_, detailsOf(4), at(5400)) == Described::kAdded);
+    CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(4), at(5400)) == DetailsResult::kAdded);
   }
 
   void newerDetailsOutliveADeparture() {
-    table_.describe(node_, detailsOf(3), at(0));
+    table_.applyDetails(node_, detailsOf(3), at(0));
     CPPUNIT_ASSERT(!table_.remove({node_, 2}, at(100)));
     CPPUNIT_ASSERT(table_.find(node_) != nullptr);
   }
@@ -78,7 +80,7 @@
     CPPUNIT_ASSERT(!table_.remove({node_, 1}, at(100)));
     CPPUNIT_ASSERT(table_.remove({node_, 2}, at(100)));
     const common::NodeId later{node_.address, node_.incarnation + 1};
-    CPPUNIT_ASSERT(table_.describe(later, detailsOf(1), at(200)) == Described::kAdded);
+    CPPUNIT_ASSERT(table_.applyDetails(later, detailsOf(1), at(200)) == DetailsResult::kAdded);
     CPPUNIT_ASSERT(!table_.remove({node_, 7}, at(300)));
     CPPUNIT_ASSERT(table_.find(later) != nullptr);
   }
@@ -104,7 +106,7 @@
             table.watch({node}, at(now));
             break;
           default:
-            table.describe(node, detailsOf(version), at(now));
+            table.applyDetails(node, detailsOf(version), at(now));
         }
         std::uint64_t hash = 0;
         for (const auto& [address, peer] : table.peers()) {
--- a/tests/membership/zone_gossip_test.cpp
+++ b/tests/membership/zone_gossip_test.cpp
@@ -87,7 +87,7 @@
   CPPUNIT_TEST(changeReachesEveryNodeFast);
   CPPUNIT_TEST(changeSurvivesLossAndCut);
   CPPUNIT_TEST(restartedZonePublishesAnew);
-  CPPUNIT_TEST(signsOfLifeCarryNoPayload);
+  CPPUNIT_TEST(refreshesCarryNoPayload);
   CPPUNIT_TEST(oversizedPayloadIsRefused);
   CPPUNIT_TEST(linksAreMutualConnectedAndFew);
   CPPUNIT_TEST_SUITE_END();
@@ -149,7 +149,7 @@
   }
 
   /// While nothing changes, zones are heard of by versions alone, and still by every node in time.
-  void signsOfLifeCarryNoPayload() {
+  void refreshesCarryNoPayload() {
     Fleet fleet(6);
     fleet.world.runFor(40s);
     std::map<std::pair<common::Address, common::ZoneName>, common::Duration> heard;
