--- a/src/cypresswall/membership/broadcast_tree.cpp
+++ b/src/cypresswall/membership/broadcast_tree.cpp
@@ -27,9 +27,9 @@
     return children;
   }
   const std::size_t count = members.size();
-  // Places are counted from the root; the children of place p have the places p * fan_out + 1 on.
-  const std::size_t place = (*own_index + count - *root_index) % count;
-  const std::size_t first = place * fan_out + 1;
+  // Positions are relative to the root; the children of position p start at p * fan_out + 1.
+  const std::size_t position = (*own_index + count - *root_index) % count;
+  const std::size_t first = position * fan_out + 1;
   const std::size_t end = std::min(first + fan_out, count);
   for (std::size_t child = first; child < end; ++child) {
     children.push_back(members[(*root_index + child) % count].node);
--- a/src/cypresswall/membership/broadcast_tree.h
+++ b/src/cypresswall/membership/broadcast_tree.h
@@ -1,4 +1,5 @@
-/// A tree over a zone's nodes by which one node tells all others, each passing on to a few.
+/// Broadcast tree over a zone's nodes: the root's message reaches every node, and each node
+/// forwards it to a few children.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +9,12 @@
 
 namespace cypresswall::membership {
 
-/// Nodes that see the same members work out the same tree, without a word exchanged. Where they see
-/// others, a node may be told twice or not at all.
+/// Nodes with the same member list compute the same tree without communicating. If member lists
+/// differ, a node may receive a message twice or not at all.
 /// \param members ordered by node
-/// \param fan_out children of one node; with as many as members the root tells all others itself
-/// \return the nodes that `self` passes on to what `root` tells; none if either is no member
+/// \param fan_out maximum number of children of a node; with at least as many as members, the root
+///   sends to all others directly
+/// \return the nodes that `self` forwards a broadcast of `root` to; empty if either is not a member
 std::vector<common::NodeId> treeChildren(const common::NodeId& root, const common::NodeId& self,
                                          const std::vector<Member>& members, std::size_t fan_out);
 
--- a/src/cypresswall/membership/dissemination_peers.cpp
+++ b/src/cypresswall/membership/dissemination_peers.cpp
@@ -8,8 +8,8 @@
   return findNeighbours(neighbours_, context_.self, peers()).update_receivers;
 }
 
-/// The next one in the common order, so that each node is told by one; and any other, since nodes
-/// differ for a while in who comes next.
+/// The successor in node order, so that each node is covered by one sender, and a random node,
+/// since nodes may temporarily disagree on the order.
 std::vector<common::NodeId> DisseminationPeers::antiEntropyReceivers() const {
   const auto nodes = peers();
   if (nodes.empty()) {
--- a/src/cypresswall/membership/dissemination_peers.h
+++ b/src/cypresswall/membership/dissemination_peers.h
@@ -1,4 +1,4 @@
-/// To whom a node tells what all nodes of its zone should know, beside their membership.
+/// Chooses the receivers of updates that are to reach all nodes of a zone.
 #pragma once
 
 #include <vector>
@@ -9,9 +9,9 @@
 
 namespace cypresswall::membership {
 
-/// News goes to all nodes of a small zone at once, and in a large one to a few, each of which
-/// passes it on once. What is lost on the way is made up by repeating all that is known to two
-/// nodes now and then. Nodes whose build doesn't handle the messages are left out.
+/// In a small zone an update goes to all nodes directly; in a large zone it goes to a few nodes,
+/// each of which forwards it once. Anti-entropy repairs losses: each node periodically sends what
+/// it knows to two others. Nodes whose build does not support the messages are left out.
 class DisseminationPeers {
  public:
   /// \pre all references outlive this object
@@ -19,14 +19,15 @@
                      const MembershipView& membership, api::MessageSet messages)
       : neighbours_(neighbours), context_(context), membership_(membership), messages_(messages) {}
 
-  /// \return the nodes that are told at once
+  /// \return the nodes that a new update is sent to
   std::vector<common::NodeId> updateReceivers() const;
-  /// \return the nodes to which what is known is repeated; empty if there is no other
+  /// \return the nodes to send known state to for anti-entropy; empty if there is no other node
   std::vector<common::NodeId> antiEntropyReceivers() const;
   bool handles(const common::NodeId& node) const { return membership_.handles(node, messages_); }
 
  private:
-  /// \return the other nodes, ordered. Those that are late or leaving take requests still.
+  /// \return the other nodes, ordered. Includes suspect and leaving nodes, as they still take
+  ///   requests.
   std::vector<common::NodeId> peers() const;
 
   const NeighbourSettings neighbours_;
--- a/src/cypresswall/membership/machine_registry.cpp
+++ b/src/cypresswall/membership/machine_registry.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::membership {
 namespace {
 
-/// Pause between two requests for the machines that a peer has and this node lacks.
+/// Minimum time between two requests for a newer machine list from a peer.
 constexpr common::Duration kRequestInterval = std::chrono::milliseconds(300);
 
 std::string hostOf(const common::Address& address) { return address.substr(0, address.rfind(':')); }
--- a/src/cypresswall/membership/machine_registry.h
+++ b/src/cypresswall/membership/machine_registry.h
@@ -1,6 +1,6 @@
-/// The zone's copy of the platform's machine list. In the usual case one node of the zone reads the
-/// list and sends changes to its peers; the others read only when no fresh read is seen. A list
-/// that each node has at hand anyway is read by each.
+/// The zone's replicated copy of the platform's machine list. Normally one node of the zone polls
+/// the list and sends changes to its peers; the others poll only if they see no recent read. If
+/// reading the list costs nothing, every node reads it for itself.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,10 @@
 
 class MachineRegistry {
  public:
-  /// Tells the register who else is in the zone.
+  /// Access to the other nodes of the zone.
   struct ZonePeers {
     std::function<std::vector<common::NodeId>()> peers;
-    /// Position of this node among the live nodes of the zone, from 0.
+    /// Position of this node among the zone's alive nodes in node order, from 0.
     std::function<std::size_t()> rank;
   };
 
@@ -31,17 +31,18 @@
 
   void start();
   bool machineLeaving(const common::MachineName& machine) const;
-  /// \param address an IP number, or "IP:port"
+  /// \param address an IP address, or "IP:port"
   bool addressLeaving(const common::Address& address) const;
-  /// \return true if the list shows every machine with this IP number as gone.
+  /// \return true if the list shows every machine with this IP address as gone
   bool addressGone(const common::Address& address) const;
-  /// \return the IP numbers of live machines, in order.
+  /// \return the IP addresses of live machines, sorted
   const std::set<std::string>& liveAddresses() const { return live_addresses_; }
-  /// \return the version to compare with peers; zero if each node reads the list for itself.
+  /// \return the version to compare with peers; zero if each node reads the list for itself
   std::uint64_t version() const;
   std::uint32_t reads() const { return reads_; }
   void onChange(std::function<void()> listener) { listener_ = std::move(listener); }
-  /// Notes a peer's heartbeat: whether it read the list, and which version it holds.
+  /// Processes the machine list fields of a peer's heartbeat: its version of the list and its
+  /// number of reads.
   void heartbeatReceived(const common::NodeId& sender, std::uint64_t version, std::uint32_t reads);
 
  private:
--- a/src/cypresswall/membership/member_packing.cpp
+++ b/src/cypresswall/membership/member_packing.cpp
@@ -7,10 +7,11 @@
 namespace cypresswall::membership {
 namespace {
 
-/// Bounds what a list of a few bytes may grow to: some 50,000 members.
+/// Limit on the uncompressed size, about 50,000 members, so that a small message cannot expand
+/// without bound.
 constexpr std::size_t kMaximumBytes = std::size_t{4} << 20;
 
-/// The list, and its length before compression.
+/// Compressed list with its uncompressed length.
 struct PackedMembers {
   std::uint32_t bytes = 0;
   std::string compressed;
--- a/src/cypresswall/membership/member_packing.h
+++ b/src/cypresswall/membership/member_packing.h
@@ -1,5 +1,5 @@
-/// Lists of members as bytes. They name addresses and machines that are much alike, so they are
-/// compressed: some 20 bytes a member instead of 80.
+/// Serialisation of member lists. Addresses and machine names are similar to each other, so the
+/// lists are compressed: about 20 bytes per member instead of 80.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 namespace cypresswall::membership {
 
 std::string packMembers(const std::vector<MemberRecord>& records);
-/// \return nothing if the bytes are no such list, or one of more than 4 MB
+/// \return nothing if the bytes are not a valid list, or if it is larger than 4 MB uncompressed
 std::optional<std::vector<MemberRecord>> unpackMembers(const std::string& packed);
 
 }  // namespace cypresswall::membership
--- a/src/cypresswall/membership/membership.cpp
+++ b/src/cypresswall/membership/membership.cpp
@@ -125,7 +125,7 @@
   }
 }
 
-/// Seeds may be down or old: one after the other is tried until one gives its list of members.
+/// Seeds may be down or outdated, so they are tried in turn until one replies with its member list.
 void Membership::join() {
   if (!joining_ || settings_.seeds.empty()) {
     return;
@@ -145,7 +145,7 @@
       introduceTo(address);
     }
   } else if (!addresses.empty()) {
-    // The nodes of a large zone share the work.
+    // In a large zone the nodes share the probing: each picks one address at random.
     introduceTo(addresses[context_.random.below(addresses.size())]);
   }
   probeMachines();
@@ -182,7 +182,7 @@
   }
   const Peer* const peer = peers_.find(sender);
   if (peer == nullptr) {
-    // A later life of a member, perhaps.
+    // The sender may be a newer incarnation of a member; members() then omits the older one.
     members_valid_ = false;
     if (const auto departure = peers_.blockingDeparture(sender, heartbeat.details_version, now)) {
       context_.sendTo(sender, MembershipUpdate{{}, {*departure}, false});
@@ -252,7 +252,7 @@
     if (departure) {
       update.departures.push_back(*departure);
     } else if (peers_.replaced(member.node)) {
-      // A later life that the sender missed has ended as well by now, or follows among the records.
+      // The newer incarnation is either among the records below or has departed as well.
       update.departures.push_back({member.node, member.details_version});
     }
   }
@@ -316,7 +316,7 @@
 void Membership::applySelfReport(const common::NodeId& node, const NodeDetails& details) {
   using DetailsResult = PeerTable::DetailsResult;
   const DetailsResult result = peers_.applyDetails(node, details, context_.clock.now());
-  // In a mesh a member tells all others of a change itself.
+  // In a mesh a member announces changes to all others itself.
   if (result == DetailsResult::kAdded || (result == DetailsResult::kDetailsChanged && !mesh())) {
     enqueueUpdate(node);
   }
@@ -325,7 +325,7 @@
   }
 }
 
-/// A departure is passed on also by nodes that didn't know the member: those behind them may.
+/// A node forwards a departure even if it did not know the member, since its receivers may know it.
 bool Membership::applyDeparture(const Departure& departure) {
   const bool known = peers_.find(departure.node) != nullptr;
   if (!peers_.remove(departure, context_.clock.now())) {
@@ -351,7 +351,7 @@
     unreadable_count_.add();
     return;
   }
-  // The first list is no news to anybody else.
+  // The list received on joining is already known to the other nodes and is not forwarded.
   const bool first_list = update.complete && std::exchange(joining_, false);
   bool changed = false;
   for (const MemberRecord& record : *records) {
@@ -371,7 +371,7 @@
       refute(departure.details_version);
       context_.sendTo(sender, Introduction{own_details_, false});
     } else if (heardRecently(departure.node)) {
-      // Who is alive has to say so itself: only newer details undo a departure.
+      // A departure is undone only by newer details, which the node itself has to send.
       context_.sendTo(departure.node, MembershipUpdate{{}, {departure}, false});
     } else {
       changed = applyDeparture(departure) || changed;
@@ -551,7 +551,7 @@
   return entry == digests.end() ? std::nullopt : std::optional(entry->second);
 }
 
-/// Digests are told to those who hear this node's heartbeats, other changes to the zone.
+/// Digests are sent to the receivers of this node's heartbeats only, other changes to the zone.
 void Membership::detailsChanged(bool digests_only) {
   ++(digests_only ? own_details_.digests_version : own_details_.version);
   if (mesh() || digests_only) {
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -1,6 +1,6 @@
-/// The nodes of one zone, seen from one of them: heartbeats, joining, leaving, and the zone's copy
-/// of the machine list. In a large zone each node hears a few neighbours only; what these learn is
-/// passed on from node to node, and neighbours that see different members compare their lists.
+/// Membership of one zone as seen by one of its nodes: heartbeats, joining, leaving, and the zone's
+/// copy of the machine list. In a large zone each node exchanges heartbeats with a few neighbours
+/// only; changes spread by gossip, and neighbours whose member lists differ compare them.
 #pragma once
 
 #include <functional>
@@ -27,7 +27,7 @@
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  /// Starts heartbeats, joining and reading of the machine list.
+  /// Starts heartbeats, the join procedure and polling of the machine list.
   void start();
 
   const common::NodeId& self() const override { return context_.self; }
@@ -38,11 +38,11 @@
   bool confirmedDead(const common::NodeId& node) const override;
   void onChange(std::function<void()> listener) override;
 
-  /// Announces a planned stop. The node keeps sending heartbeats and answering until it ends.
+  /// Announces a planned stop. The node keeps sending heartbeats and answering until it stops.
   void announceLeaving();
-  /// Tells peers that this process ends now, so that they need not wait for its silence.
+  /// Tells peers that this process stops now, so that they need not wait for the failure detector.
   void announceStopped();
-  /// \return true once announceLeaving() was called or the own machine is listed as leaving.
+  /// \return true once announceLeaving() was called or the own machine is listed as leaving or gone
   bool leaving() const;
 
   void setDigest(DigestTopic topic, std::uint64_t value) override;
@@ -59,26 +59,27 @@
   void detailsChanged(bool digests_only);
   void sendHeartbeats();
   void expirePeers();
-  /// \return true if the zone is so small that all hear all
+  /// \return true if the zone is small enough for a full mesh of heartbeats
   bool mesh() const;
-  /// \return whom this node hears and tells, brought up to date with the peers
+  /// \return this node's neighbours, recomputed if the set of peers has changed
   const Neighbours& neighbours();
 
   void receiveHeartbeat(const common::NodeId& sender, const Heartbeat& heartbeat);
   void receiveIntroduction(const common::NodeId& sender, const Introduction& introduction);
   void receiveUpdate(const common::NodeId& sender, const MembershipUpdate& update);
   void receiveVersions(const common::NodeId& sender, const MemberVersions& versions);
-  /// Takes what a member says of itself.
+  /// Applies the details that a node sent about itself.
   void applySelfReport(const common::NodeId& node, const NodeDetails& details);
-  /// Takes the news that a node ended. \return true if it was a member
+  /// Applies the departure of a node. \return true if it was a member
   bool applyDeparture(const Departure& departure);
-  /// Says that this node, taken for dead, is alive.
+  /// Raises the version of the own details above that of a wrong departure and announces it, which
+  /// undoes the departure.
   void refute(std::uint32_t details_version);
 
-  /// \return true if the node is watched here and not even late with a heartbeat
+  /// \return true if this node monitors the other and heard from it within two heartbeat intervals
   bool heardRecently(const common::NodeId& node) const;
 
-  /// Passes news on, after a short time in which more may come.
+  /// Queues a change to be forwarded after a short delay, in which further changes are batched.
   void enqueueUpdate(const common::NodeId& node);
   void enqueueUpdate(const Departure& departure);
   void scheduleUpdate(common::Duration delay);
@@ -92,7 +93,7 @@
 
   std::vector<common::NodeId> peerNodes() const;
   std::size_t rank() const;
-  /// \return the hash over this node and its peers
+  /// \return hash over this node and its peers with the versions of their details
   std::uint32_t membersHash() const;
   void notify();
 
@@ -102,26 +103,26 @@
   MachineRegistry machines_;
   NodeDetails own_details_;
   Neighbours neighbours_;
-  /// PeerTable::changes() at which the neighbours were found.
+  /// Value of PeerTable::changes() for which `neighbours_` was computed.
   std::optional<std::uint64_t> neighbours_version_;
-  /// members(), found again after each change.
+  /// Cache of members(), rebuilt after each change.
   mutable std::vector<Member> members_;
   mutable bool members_valid_ = false;
-  /// News to be passed on, and the timer that does so.
+  /// Changes to be forwarded, and the timer that sends them.
   std::set<common::NodeId> pending_records_;
   std::vector<Departure> pending_departures_;
   common::TimerId update_timer_ = 0;
-  /// Nodes that wait for the list of members.
+  /// Nodes that asked for the member list and have not got it yet.
   std::set<common::NodeId> joiners_;
-  /// Since when each neighbour has seen other members.
+  /// Since when each neighbour's member hash has differed from ours.
   std::map<common::NodeId, common::MonotonicTime> diverging_since_;
   std::optional<common::MonotonicTime> compared_at_;
-  /// No peer has given its list of members yet.
+  /// True until a peer has sent its complete member list.
   bool joining_ = true;
   std::size_t next_seed_ = 0;
   common::MonotonicTime started_at_;
   common::MonotonicTime last_tick_;
-  /// The IP number that was probed last.
+  /// IP address that was probed last.
   std::string probe_position_;
   std::vector<std::function<void()>> listeners_;
   common::Counter& foreign_count_;
--- a/src/cypresswall/membership/membership_view.h
+++ b/src/cypresswall/membership/membership_view.h
@@ -1,4 +1,4 @@
-/// Read access to the nodes of this node's own zone and to machines that are leaving.
+/// Read access to the members of the own zone and to the machines that are leaving.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,15 @@
 
 namespace cypresswall::membership {
 
-/// Small values that other subsystems attach to a node; they spread to the zone on change.
+/// Small values that other subsystems attach to a node; changes are sent to its neighbours.
 enum class DigestTopic : std::uint16_t {
   kConfigurationVersion = 1,
   /// Epoch of the lease that the node holds: generation in the high half, term in the low half;
   /// zero if it holds none.
   kHeldEpoch = 2,
-  /// Bandwidth of the node's link in Mbit/s, rounded down; absent if its settings don't tell.
+  /// Bandwidth of the node's link in Mbit/s, rounded down; absent if not configured.
   kLinkMegabits = 3,
-  /// The api::MessageSet that the node's build handles; absent if it is the first one.
+  /// The api::MessageSet that the node's build supports; absent for the first one.
   kMessageSet = 4,
 };
 
@@ -30,7 +30,7 @@
   common::NodeId node;
   common::MachineName machine;
   MemberState state = MemberState::kAlive;
-  /// "IP:port" of the member's HTTP front; empty if not yet known.
+  /// "IP:port" of the member's HTTP endpoint; empty if not yet known.
   common::Address gateway_address;
 
   bool operator==(const Member&) const = default;
@@ -41,32 +41,32 @@
   virtual ~MembershipView() = default;
   virtual const common::NodeId& self() const = 0;
   virtual const common::ZoneName& zone() const = 0;
-  /// \return members of the own zone that are not dead, this node included, ordered by node. Valid
-  ///   until the next change.
+  /// \return members of the own zone that are not dead, including this node, ordered by node. The
+  ///   reference is valid until the next change.
   virtual const std::vector<Member>& members() const = 0;
-  /// \return true if the platform's machine list shows the machine as leaving or gone.
+  /// \return true if the platform's machine list shows the machine as leaving or gone
   virtual bool machineLeaving(const common::MachineName& machine) const = 0;
-  /// \return true if the IP number belongs to a machine that is leaving or gone.
+  /// \return true if the IP address belongs to a machine that is leaving or gone
   virtual bool addressLeaving(const common::Address& address) const = 0;
-  /// \return true if the process has ended for good: a later life answers at its address, or the
-  /// machine list shows its machine as gone. Silence alone is no proof.
+  /// \return true if the process has certainly ended: a newer incarnation was seen at its address
+  ///   or the machine list shows its machine as gone. Missing heartbeats alone are not enough.
   virtual bool confirmedDead(const common::NodeId& node) const = 0;
-  /// Attaches a value to this node, for its zone peers to read.
+  /// Attaches a value to this node for its peers to read.
   virtual void setDigest(DigestTopic topic, std::uint64_t value) = 0;
-  /// \return the newest value known of a member's digest, nothing if there is none.
+  /// \return the newest known value of a member's digest, nothing if there is none
   virtual std::optional<std::uint64_t> digest(const common::NodeId& node,
                                               DigestTopic topic) const = 0;
-  /// \return true if the member's build handles these messages
+  /// \return true if the member's build supports these messages
   bool handles(const common::NodeId& node, api::MessageSet messages) const {
     constexpr auto kFirstSet = static_cast<std::uint64_t>(api::MessageSet::kFirst);
     return digest(node, DigestTopic::kMessageSet).value_or(kFirstSet) >=
            static_cast<std::uint64_t>(messages);
   }
-  /// \return true for a short time after the start in which this node knows no other yet, though it
-  ///   was told of some.
+  /// \return true for a limited time after the start, while this node has configured seeds but has
+  ///   not received the member list from any peer
   virtual bool joining() const { return false; }
-  /// Calls `listener` after each change of members, their digests or machines; listeners live as
-  /// long as the view.
+  /// Calls `listener` after each change of the members, their digests or the machines. Listeners
+  /// cannot be removed.
   virtual void onChange(std::function<void()> listener) = 0;
 };
 
--- a/src/cypresswall/membership/messages.h
+++ b/src/cypresswall/membership/messages.h
@@ -1,4 +1,4 @@
-/// Messages between the nodes of one zone about each other and about machines.
+/// Membership messages between the nodes of a zone, and gossip messages between zones.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +14,39 @@
 
 namespace cypresswall::membership {
 
-/// Sent to the neighbours each heartbeat interval; everything larger is sent on change only.
+/// Sent to the neighbours each heartbeat interval. Larger data is sent only when it changes.
 struct Heartbeat {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 0);
-  /// Version of the sender's NodeDetails; a receiver that lacks it asks for them.
+  /// Version of the sender's NodeDetails; a receiver with an older version requests them.
   std::uint32_t details_version = 0;
-  /// Hash over the members that the sender sees and the versions of their details; a receiver that
-  /// sees others compares its list with the sender's.
+  /// Hash over the sender's members and the versions of their details; a receiver with a different
+  /// hash compares its list with the sender's.
   std::uint32_t members_hash = 0;
   std::uint64_t machines_version = 0;
-  /// Number of successful reads of the machine list by the sender itself.
+  /// Number of successful reads of the machine list by the sender.
   std::uint32_t machine_reads = 0;
   MSGPACK_DEFINE(details_version, members_hash, machines_version, machine_reads)
 };
 
-/// What a node says of itself.
+/// Properties that a node announces about itself.
 struct NodeDetails {
   common::ZoneName zone;
   common::MachineName machine;
   common::Address gateway_address;
   bool leaving = false;
-  /// Rises with each change of the fields above, and when the node was wrongly taken for dead.
+  /// Incremented with each change of the fields above, and to refute a wrong departure.
   std::uint32_t version = 0;
   std::map<std::uint16_t, std::uint64_t> digests;
-  /// Rises with each change of the digests.
+  /// Incremented with each change of the digests.
   std::uint32_t digests_version = 0;
   MSGPACK_DEFINE(zone, machine, gateway_address, leaving, version, digests, digests_version)
 };
 
-/// A node tells a peer of itself: on change, on request, and to be let in.
+/// Carries the sender's own details: sent on change, on request, and to join.
 struct Introduction {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 1);
   NodeDetails details;
-  /// The sender doesn't know the receiver, and wants its list of members.
+  /// The sender does not know the receiver yet and requests its member list.
   bool wants_members = false;
   MSGPACK_DEFINE(details, wants_members)
 };
@@ -57,50 +57,50 @@
   MSGPACK_DEFINE(unused)
 };
 
-/// One member as a peer tells of it.
+/// A member and its details, as known to the sender.
 struct MemberRecord {
   common::NodeId node;
   NodeDetails details;
   MSGPACK_DEFINE(node, details)
 };
 
-/// A member ended or fell silent. Details of a higher version undo it.
+/// A member stopped or was declared dead. Details with a higher version override it.
 struct Departure {
   common::NodeId node;
   std::uint32_t details_version = 0;
   MSGPACK_DEFINE(node, details_version)
 };
 
-/// What the sender learnt of members, or all that it knows of them.
+/// Membership changes that the sender learnt of, or its complete member list.
 struct MembershipUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 3);
-  /// A list of MemberRecord, as packMembers() writes it; empty for none.
+  /// List of MemberRecord encoded by packMembers(); empty if there are none.
   std::string packed_records;
   std::vector<Departure> departures;
-  /// The answer to an Introduction: all members that the sender sees.
+  /// True for the reply to an Introduction, which holds all members known to the sender.
   bool complete = false;
   MSGPACK_DEFINE(packed_records, departures, complete)
 };
 
-/// The sender is about to end; it is dead from now on.
+/// The sender is stopping and is to be treated as dead from now on.
 struct ShutdownNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 4);
   std::uint8_t unused = 0;
   MSGPACK_DEFINE(unused)
 };
 
-/// One member and the version that the sender has of its details.
+/// A member and the sender's version of its details.
 struct MemberVersion {
   common::NodeId node;
   std::uint32_t details_version = 0;
   MSGPACK_DEFINE(node, details_version)
 };
 
-/// All members that the sender sees. The receiver answers with news of those that the sender lacks.
+/// All members known to the sender. The receiver replies with the updates that the sender lacks.
 struct MemberVersions {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 5);
   std::vector<MemberVersion> members;
-  /// The receiver is to send its own versions if it lacks something itself.
+  /// Asks the receiver to send its own versions if it lacks something.
   bool answer_wanted = false;
   MSGPACK_DEFINE(members, answer_wanted)
 };
@@ -114,7 +114,7 @@
   MSGPACK_DEFINE(name, state, addresses)
 };
 
-/// Machines that changed between two versions, or all of them if `base` is zero.
+/// Machines that changed between two versions of the list, or all machines if `base` is zero.
 struct MachinesUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 10);
   std::uint64_t base = 0;
@@ -129,7 +129,7 @@
   MSGPACK_DEFINE(known_version)
 };
 
-/// One zone's value of one topic. A higher version replaces a lower one.
+/// A zone's value for a topic. A higher version replaces a lower one.
 struct GossipEntry {
   common::ZoneName zone;
   std::uint16_t topic = 0;
@@ -145,7 +145,7 @@
   MSGPACK_DEFINE(sender_zone, entries)
 };
 
-/// A higher version of a value whose payload did not change: a sign of life.
+/// A higher version of a value with an unchanged payload; shows that the zone is still alive.
 struct GossipRefresh {
   common::ZoneName zone;
   std::uint16_t topic = 0;
@@ -154,7 +154,7 @@
   MSGPACK_DEFINE(zone, topic, version, payload_hash)
 };
 
-/// A receiver that holds another payload asks for what it lacks.
+/// A receiver that holds a different payload requests what it lacks.
 struct GossipRefreshes {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 23);
   common::ZoneName sender_zone;
@@ -162,8 +162,8 @@
   MSGPACK_DEFINE(sender_zone, entries)
 };
 
-/// Hash of the payloads of the sender's whole table; a receiver with another hash answers with its
-/// versions.
+/// Hash over the payloads of the sender's whole table; a receiver with a different hash replies
+/// with its versions.
 struct GossipDigest {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 21);
   common::ZoneName sender_zone;
@@ -178,7 +178,7 @@
   MSGPACK_DEFINE(zone, topic, version)
 };
 
-/// The sender's versions; the receiver sends what is newer and, if asked, its own versions.
+/// The sender's versions; the receiver sends its newer entries and, if requested, its own versions.
 struct GossipVersions {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 22);
   common::ZoneName sender_zone;
--- a/src/cypresswall/membership/neighbours.cpp
+++ b/src/cypresswall/membership/neighbours.cpp
@@ -13,20 +13,20 @@
   return common::hash64(node.address, node.incarnation);
 }
 
-/// A node and its distance on the ring behind the own node.
+/// A node and its distance from the own node along the ring.
 struct RingNode {
   std::uint64_t distance = 0;
   const common::NodeId* node = nullptr;
 };
 
-/// \return the nodes in ring order, beginning with the one that follows `self`
+/// \return the nodes in ring order, starting with the successor of `self`
 std::vector<RingNode> ringFrom(const common::NodeId& self,
                                const std::vector<common::NodeId>& peers) {
   std::vector<RingNode> ring;
   ring.reserve(peers.size());
   const std::uint64_t own = ringPosition(self);
   for (const common::NodeId& peer : peers) {
-    // Unsigned, so that it wraps around the ring's end.
+    // Unsigned arithmetic wraps around the end of the ring.
     ring.push_back({ringPosition(peer) - own, &peer});
   }
   std::sort(ring.begin(), ring.end(), [](const RingNode& left, const RingNode& right) {
@@ -35,13 +35,13 @@
   return ring;
 }
 
-/// \return the first node at or behind a place drawn by hashing. Such links make a random graph, in
-///   which all are few hops apart; a node that comes or goes moves few of them.
+/// \return the first node at or after a ring position chosen by hashing. Such links form a random
+///   graph with few hops between any two nodes, and a node that joins or leaves moves few links.
 const common::NodeId& shortcutNode(const common::NodeId& self, std::size_t number,
                                    const std::vector<RingNode>& ring) {
-  const std::uint64_t place = common::hash64(self.address, number + 1);
+  const std::uint64_t position = common::hash64(self.address, number + 1);
   const auto found = std::lower_bound(
-      ring.begin(), ring.end(), place,
+      ring.begin(), ring.end(), position,
       [](const RingNode& node, std::uint64_t distance) { return node.distance < distance; });
   return found == ring.end() ? *ring.front().node : *found->node;
 }
--- a/src/cypresswall/membership/neighbours.h
+++ b/src/cypresswall/membership/neighbours.h
@@ -1,8 +1,7 @@
-/// Which of a zone's other nodes a node exchanges heartbeats and news with. In a small zone that is
-/// everybody. In a large one the nodes form a ring, in the order of their hashes: each node sends
-/// heartbeats to the few that follow it, hears those before it, and passes news on to its successor
-/// and to a few nodes drawn by hashing. What a node sends and receives then does not grow with
-/// the zone.
+/// Heartbeat and gossip topology of a zone. A small zone is a full mesh. In a large zone the nodes
+/// form a ring ordered by their hashes: each node sends heartbeats to a few successors, monitors
+/// its predecessors, and forwards updates to its successor and to a few shortcut nodes chosen by
+/// hashing. The messages per node then do not grow with the zone.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +12,25 @@
 namespace cypresswall::membership {
 
 struct NeighbourSettings {
-  /// Up to so many nodes, this one included, all hear all. At 24 nodes and two heartbeats a second
-  /// a node sends and receives 92 messages a second for it; in a ring 16.
+  /// Maximum number of nodes, including this one, for a full mesh. With 24 nodes and two heartbeats
+  /// a second, a node sends and receives 92 messages a second in a mesh, and 16 in a ring.
   std::size_t mesh_limit = 24;
-  /// Nodes that hear one node's heartbeats in a ring. The death of a node goes unnoticed for longer
-  /// if all of them die with it: at a loss of 40% of the nodes for one in forty.
+  /// Number of successors that receive a node's heartbeats in a ring. If all of them die with the
+  /// node, its death is detected later: if 40% of the nodes die at once, this affects one in forty.
   std::size_t heartbeat_receivers = 4;
-  /// Nodes, beside the successor, that a node passes news on to in a ring. With three, news reaches
-  /// 1,000 nodes in ten hops or less.
+  /// Number of nodes besides the successor that a node forwards updates to in a ring. With three,
+  /// an update reaches 1,000 nodes in at most ten hops.
   std::size_t shortcut_receivers = 3;
 };
 
 struct Neighbours {
-  /// All hear all.
+  /// True for a full mesh.
   bool mesh = true;
-  /// Heartbeats go to these.
+  /// Nodes that this node sends heartbeats to.
   std::vector<common::NodeId> successors;
-  /// Heartbeats are expected from these.
+  /// Nodes whose heartbeats this node monitors.
   std::vector<common::NodeId> predecessors;
-  /// News is passed on to these.
+  /// Nodes that this node forwards updates to.
   std::vector<common::NodeId> update_receivers;
 };
 
--- a/src/cypresswall/membership/peer_table.h
+++ b/src/cypresswall/membership/peer_table.h
@@ -1,4 +1,5 @@
-/// What one node knows of its zone's other nodes, and when it last heard of those that it watches.
+/// The other nodes of the zone as known to one node, with the failure detector for those that it
+/// monitors.
 #pragma once
 
 #include <cstdint>
@@ -20,64 +21,64 @@
   common::NodeId node;
   NodeDetails details;
   MemberState state = MemberState::kAlive;
-  /// Heartbeats of the node are expected here: if they stay away, it is taken for dead.
+  /// This node monitors the peer's heartbeats and declares it dead if they stop.
   bool watched = false;
   common::MonotonicTime last_heard;
 };
 
-/// Holds at most one peer per address: the life with the highest incarnation.
+/// Holds at most one peer per address: the one with the highest incarnation.
 class PeerTable {
  public:
   explicit PeerTable(const MembershipSettings& settings) : settings_(settings) {}
 
-  /// What a message from a node means for the table.
+  /// What the table knows of the sender of a message.
   enum class Contact { kKnown, kUnknown, kOutdated };
-  /// Notes that `node` was heard at `now`. kUnknown: its details are needed before it is a peer.
+  /// Records a message from `node`. kUnknown: its details are needed before it becomes a peer.
   Contact heard(const common::NodeId& node, common::MonotonicTime now);
 
-  /// What a node's details brought.
+  /// Result of applying a node's details.
   enum class DetailsResult {
-    kUnchanged,       ///< they were known
-    kOutdated,        ///< they are of an earlier life
-    kDeparted,        ///< the node was lately taken for dead with these details
-    kDigestsChanged,  ///< its digests changed
-    kDetailsChanged,  ///< something else changed
-    kAdded,           ///< it became a peer
+    kUnchanged,       ///< already known
+    kOutdated,        ///< they belong to an older incarnation
+    kDeparted,        ///< the node was recently declared dead with this version of its details
+    kDigestsChanged,  ///< only its digests changed
+    kDetailsChanged,  ///< other details changed
+    kAdded,           ///< the node became a peer
   };
-  /// Takes a node's details, which make it a peer.
+  /// Applies a node's details and adds it as a peer if it is new.
   DetailsResult applyDetails(const common::NodeId& node, const NodeDetails& details,
                              common::MonotonicTime now);
-  /// Sets whose silence counts.
+  /// Sets the nodes whose heartbeats are monitored.
   void watch(const std::vector<common::NodeId>& nodes, common::MonotonicTime now);
-  /// Moves silent peers to suspect and then out of the table.
-  /// \return those that were taken for dead; `changed` is set if anything changed
+  /// Marks monitored peers without heartbeats as suspect, then removes them as dead.
+  /// \return the peers that were removed; sets `changed` if anything changed
   std::vector<Departure> expire(common::MonotonicTime now, bool& changed);
-  /// Grants every peer `pause` more, after this process itself stood still.
+  /// Extends the deadline of every peer by `pause`, after this process itself was paused.
   void extend(common::Duration pause);
-  /// Takes out a peer, unless its details are newer, and remembers the departure of any node.
-  /// \return true if the departure was news
+  /// Removes a peer unless its details are newer, and records the departure, also of unknown nodes.
+  /// \return true if the departure was not known yet
   bool remove(const Departure& departure, common::MonotonicTime now);
 
   const std::map<common::Address, Peer>& peers() const { return peers_; }
-  /// \return a number that rises whenever a node becomes a peer or no longer is one.
+  /// \return a counter that is incremented whenever a peer is added or removed
   std::uint64_t changes() const { return changes_; }
-  /// \return a hash over the peers and the versions of their details, whatever their order.
+  /// \return an order-independent hash over the peers and the versions of their details
   std::uint64_t hash() const { return hash_; }
-  /// \return what one member adds to such a hash
+  /// \return the contribution of one member to such a hash
   static std::uint64_t memberHash(const common::NodeId& node, std::uint32_t details_version);
   Peer* find(const common::NodeId& node);
   const Peer* find(const common::NodeId& node) const;
-  /// \return true if a later life was seen at the node's address.
+  /// \return true if a newer incarnation was seen at the node's address
   bool replaced(const common::NodeId& node) const;
-  /// \return the departure that keeps a node out for now, or nothing.
+  /// \return the departure that currently blocks readmission of a node, or nothing
   std::optional<Departure> blockingDeparture(const common::NodeId& node,
                                              std::uint32_t details_version,
                                              common::MonotonicTime now) const;
-  /// Addresses that fell silent, to be tried again.
+  /// Addresses of departed nodes, to be probed again.
   std::vector<common::Address> departed() const;
 
  private:
-  /// The last life seen at an address that fell silent.
+  /// The last node seen at an address, and when it departed.
   struct DepartedPeer {
     Departure departure;
     common::MonotonicTime at;
@@ -93,7 +94,7 @@
   std::uint64_t changes_ = 0;
   std::uint64_t hash_ = 0;
   std::map<common::Address, DepartedPeer> departed_;
-  /// Highest incarnation seen per address; bounded by forgetting departed addresses.
+  /// Highest incarnation seen per address; bounded since expired departures are removed.
   std::map<common::Address, std::uint64_t> newest_incarnation_;
 };
 
--- a/src/cypresswall/membership/rendezvous.cpp
+++ b/src/cypresswall/membership/rendezvous.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::membership {
 namespace {
 
-/// The node of the highest rank among those offered.
+/// Selects the node with the highest rank among those offered.
 class HighestRank {
  public:
   explicit HighestRank(std::string_view name) : name_(name) {}
--- a/src/cypresswall/membership/rendezvous.h
+++ b/src/cypresswall/membership/rendezvous.h
@@ -1,5 +1,5 @@
-/// Rendezvous hashing over the nodes of a zone: which nodes do something for the others, the same
-/// on every node without a word exchanged. A node that comes or goes moves only its own share.
+/// Rendezvous hashing over the nodes of a zone: assigns a named task to nodes, with the same result
+/// on every node without communication. A node that joins or leaves moves only its own tasks.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,19 @@
 
 namespace cypresswall::membership {
 
-/// \param name of what is to be done
-/// \return the rank of `node` for it; the nodes with the highest ranks do it
+/// \param name name of the task
+/// \return the rank of `node` for the task; the nodes with the highest ranks are assigned to it
 std::uint64_t rendezvousRank(std::string_view name, const common::NodeId& node);
-/// \return the one member of `members` that does it: the alive one of the highest rank; empty if no
-///   member is alive. Members that are suspected or leaving do nothing.
+/// \return the alive member with the highest rank; empty if no member is alive. Suspect and leaving
+///   members are never assigned.
 common::NodeId rendezvousNode(std::string_view name, const std::vector<Member>& members);
-/// \return the `count` nodes of the highest ranks, the highest first; fewer if there aren't so many
+/// \return the `count` nodes with the highest ranks, highest first; fewer if there are not enough
 std::vector<common::NodeId> rendezvousNodes(std::string_view name,
                                             std::vector<common::NodeId> nodes, std::size_t count);
-/// \return the one of `nodes` with the highest rank; empty if there is none.
+/// \return the node with the highest rank; empty if `nodes` is empty
 common::NodeId rendezvousNode(std::string_view name, const std::vector<common::NodeId>& nodes);
-/// \return the doublings of the node's link, zero if its bandwidth isn't known: what takes much
-/// room
-///   goes to the nodes with the widest links, and nodes of like links share it
+/// \return the bit width of the node's link bandwidth in Mbit/s, zero if unknown. Tasks with much
+///   traffic go to the highest class and are shared by the nodes of that class.
 std::uint64_t linkBandwidthClass(const MembershipView& membership, const common::NodeId& node);
 
 }  // namespace cypresswall::membership
--- a/src/cypresswall/membership/zone_gossip.cpp
+++ b/src/cypresswall/membership/zone_gossip.cpp
@@ -68,7 +68,7 @@
 }
 
 bool ZoneGossip::representative() const {
-  // Alone for now, perhaps, and without what its zone knows.
+  // While joining, this node may know no other and lacks the zone's gossip state.
   if (membership_.joining()) {
     return false;
   }
@@ -261,7 +261,7 @@
     sender_behind = sender_behind || versionOf({entry.zone, entry.topic}) > entry.version;
     store(entry, message.sender_zone, message.sender_zone != context_.zone);
   }
-  // A zone that began anew counts from one again: it has to learn how far it had got.
+  // A zone that restarted counts versions from one again and must learn its last version.
   if (sender_behind) {
     context_.sendTo(sender, ownVersions(true));
   }
--- a/src/cypresswall/membership/zone_gossip.h
+++ b/src/cypresswall/membership/zone_gossip.h
@@ -1,6 +1,6 @@
-/// Small values that zones tell each other: each zone publishes one payload per topic, every node
-/// of the fleet holds the newest of each. Changes travel along the links of zone_links.h and are
-/// relayed; tables are compared by hash now and then to repair losses.
+/// Gossip between zones: each zone publishes one small payload per topic, and every node of the
+/// fleet holds the newest payload of each zone. Changes are relayed along the links of
+/// zone_links.h; periodic comparison of table hashes (anti-entropy) repairs losses.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,14 @@
 
 namespace cypresswall::membership {
 
-/// What a payload is about. Each topic has one publishing node in a zone at a time.
+/// Kind of a payload. At any time one node of a zone publishes a topic.
 enum class GossipTopic : std::uint16_t {
-  kContacts = 1,  ///< ZoneContacts; published by the gossip itself
+  kContacts = 1,  ///< ZoneContacts; published by ZoneGossip itself
   kConfiguration = 2,
   kRoutingSummary = 3,
 };
 
-/// Payload of kContacts: where a zone's nodes can be reached.
+/// Payload of kContacts: the addresses at which a zone's nodes can be reached.
 struct ZoneContacts {
   RegionName region;
   std::vector<common::Address> addresses;
@@ -44,22 +44,22 @@
   ZoneGossip& operator=(const ZoneGossip&) = delete;
 
   void start();
-  /// Makes `payload` the own zone's value of `topic` and keeps it so until withdraw(). An equal
-  /// payload is not sent again.
-  /// \return false, with a counter, if the payload is larger than the settings allow
+  /// Publishes `payload` as the own zone's value of `topic` until withdraw(). An unchanged payload
+  /// is not sent again.
+  /// \return false, and counts it, if the payload exceeds the size limit
   bool publish(GossipTopic topic, std::string payload);
-  /// This node no longer publishes the topic; the last value stays.
+  /// Stops publishing the topic from this node; the last value remains.
   void withdraw(GossipTopic topic);
-  /// Calls `listener` for each newer value of any zone, the own one included.
+  /// Calls `listener` when the payload of any zone changes, including the own one.
   void onUpdate(GossipTopic topic, UpdateListener listener);
-  /// \return the newest value of each zone.
+  /// \return the newest value of each zone
   std::map<common::ZoneName, std::string> values(GossipTopic topic) const;
-  /// \return up to two addresses of live nodes for every other known zone; seeds until the zone
-  ///   itself was heard.
+  /// \return contact addresses (at most `contacts_per_zone`) of every other known zone; its seeds
+  ///   until the zone has announced contacts
   std::map<common::ZoneName, std::vector<common::Address>> zoneContacts() const;
-  /// \return the addresses of zoneContacts() for one other zone; empty if it is not known.
+  /// \return the addresses of zoneContacts() for one other zone; empty if it is not known
   std::vector<common::Address> contactsOf(const common::ZoneName& zone) const;
-  /// \return true if this node speaks for its zone: the lowest node that is alive.
+  /// \return true if this node represents its zone: it is the first alive member in node order
   bool representative() const;
 
  private:
@@ -67,14 +67,14 @@
   struct Value {
     std::uint64_t version = 0;
     std::string payload;
-    /// Zone that sent it to this node; not told again.
+    /// Zone that this value was received from; it is not sent back there.
     common::ZoneName source;
   };
 
   void registerHandlers();
   void refresh();
   void publishContacts();
-  /// Keys of changed values that are still to be passed on.
+  /// Keys of values that are waiting to be forwarded.
   struct Outbox {
     std::set<Key> to_peers;
     std::set<Key> to_links;
@@ -83,15 +83,15 @@
 
   void store(const GossipEntry& entry, const common::ZoneName& source, bool to_peers);
   bool acceptable(const GossipEntry& entry) const;
-  /// Passes on what `outbox` holds after `delay`, together with what comes until then.
+  /// Schedules flush() after `delay`; entries added until then are sent in the same batch.
   void scheduleFlush(Outbox& outbox, common::Duration delay);
   void flush(Outbox& outbox);
-  /// Sends the values of `keys`, without their payload if they come from the refresh outbox.
+  /// Sends the values of `keys`, without payloads if `outbox` is the one for refreshes.
   void sendKeys(const common::Address& address, const Outbox& outbox,
                 const std::vector<Key>& keys) const;
   void sendEntries(const common::Address& address, const std::vector<GossipEntry>& entries) const;
   GossipEntry entryOf(const Key& key) const;
-  /// \return zero for a key that was never heard of.
+  /// \return zero for an unknown key
   std::uint64_t versionOf(const Key& key) const;
   void receiveEntries(const common::NodeId& sender, const GossipEntries& message);
   void receiveRefreshes(const common::NodeId& sender, const GossipRefreshes& message);
@@ -110,7 +110,7 @@
   std::map<std::uint16_t, std::vector<UpdateListener>> listeners_;
   std::map<common::ZoneName, common::MonotonicTime> last_heard_;
   Outbox changes_;
-  /// Values of which only the version rose.
+  /// Values with a new version but an unchanged payload.
   Outbox refreshes_;
   std::uint64_t refresh_round_ = 0;
   common::MonotonicTime start_time_;
--- a/src/cypresswall/membership/zone_links.cpp
+++ b/src/cypresswall/membership/zone_links.cpp
@@ -10,7 +10,7 @@
 
 using Zones = std::map<common::ZoneName, LinkCandidate>;
 
-/// Zones of `region` in the order in which they carry the links to `other_region`.
+/// \return the zones of `region` in the order in which they are assigned links to `other_region`
 std::vector<common::ZoneName> rankedZones(const Zones& zones, const RegionName& region,
                                           const RegionName& other_region) {
   std::vector<common::ZoneName> heard;
--- a/src/cypresswall/membership/zone_links.h
+++ b/src/cypresswall/membership/zone_links.h
@@ -1,5 +1,5 @@
-/// Which zones exchange gossip directly: all zones of one region with each other, and a fixed small
-/// number of links between each pair of regions. Every zone works out the same links.
+/// Gossip topology between zones: a full mesh within a region, and a small fixed number of links
+/// between each pair of regions. Every zone computes the same links.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,16 @@
 
 namespace cypresswall::membership {
 
-/// A zone as a possible end of a link.
+/// A zone as a possible endpoint of a link.
 struct LinkCandidate {
   RegionName region;
-  /// False if nothing was heard of the zone for long; it then carries no link between regions
-  /// unless its whole region is silent.
+  /// False if the zone was not heard of recently; it then gets no link between regions unless no
+  /// zone of its region was heard of.
   bool heard = true;
 };
 
-/// \param zones every known zone, the own one included
-/// \return the zones that `own` has a link with, in order
+/// \param zones every known zone, including the own one
+/// \return the zones that `own` has a link to, sorted
 std::vector<common::ZoneName> linkedZones(const common::ZoneName& own,
                                           const std::map<common::ZoneName, LinkCandidate>& zones,
                                           std::size_t links_per_region_pair);
--- a/tests/membership/large_zone_test.cpp
+++ b/tests/membership/large_zone_test.cpp
@@ -1,5 +1,6 @@
-/// Membership of zones of hundreds of nodes, in which each hears a few: what a node sends does not
-/// grow with the zone, and its view is right soon after any fault.
+/// Membership in zones of hundreds of nodes, where each node has a few neighbours only: the
+/// messages per node do not grow with the zone, and the member lists are correct soon after any
+/// fault.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -20,8 +21,8 @@
 
 constexpr const char* kZone = "hall-a";
 
-/// A platform whose machine list each node has at hand, as on the users' platform.
-class NoMachines final : public object_store::MachineList {
+/// Machine list that every node can read at no cost, as on the production platform.
+class EmptyMachineList final : public object_store::MachineList {
  public:
   void fetch(const common::ZoneName&, object_store::MachineListCallback) override {}
   bool costsNothing() const override { return true; }
@@ -46,7 +47,7 @@
     membership->start();
     memberships[index] = std::move(membership);
   }
-  /// All start within 0.3 s, in no order.
+  /// Starts the nodes in random order within 0.3 s.
   void startAll(int from, int to) {
     std::vector<int> indexes;
     for (int index = from; index < to; ++index) {
@@ -62,8 +63,8 @@
     memberships.erase(index);
     world.kill(addressOf(index));
   }
-  /// \return nodes whose view isn't exactly the nodes that run
-  int nodesWrong() const {
+  /// \return the number of nodes whose member list differs from the running nodes
+  int nodesWithWrongView() const {
     std::set<common::Address> running;
     for (const auto& [index, membership] : memberships) {
       running.insert(addressOf(index));
@@ -78,12 +79,12 @@
                              });
         }));
   }
-  /// Runs until every view is right. \return false after `limit`
-  bool agree(common::Duration limit) {
+  /// Runs until every member list is correct. \return false if that takes longer than `limit`
+  bool runUntilViewsAgree(common::Duration limit) {
     const auto end = world.now() + limit;
     while (world.now() < end) {
       world.runFor(100ms);
-      if (nodesWrong() == 0) {
+      if (nodesWithWrongView() == 0) {
         return true;
       }
     }
@@ -100,51 +101,51 @@
   std::map<int, std::unique_ptr<Membership>> memberships;
 
  private:
-  NoMachines machines_;
+  EmptyMachineList machines_;
   std::uint64_t next_incarnation_ = 0;
 };
 
 class LargeZoneTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LargeZoneTest);
-  CPPUNIT_TEST(allStartTogether);
-  CPPUNIT_TEST(theFirstSeedIsDown);
-  CPPUNIT_TEST(messagesDoNotGrowWithTheZone);
-  CPPUNIT_TEST(aDeathIsKnownEverywhere);
-  CPPUNIT_TEST(aLeavingNodeIsKnownEverywhere);
+  CPPUNIT_TEST(allNodesStartAtOnce);
+  CPPUNIT_TEST(firstSeedIsDown);
+  CPPUNIT_TEST(messagesPerNodeDoNotGrowWithZone);
+  CPPUNIT_TEST(deathReachesAllNodes);
+  CPPUNIT_TEST(leavingStateReachesAllNodes);
   CPPUNIT_TEST(fortyPercentDieAtOnce);
-  CPPUNIT_TEST(aZoneCutIntoHalvesMeetsAgain);
-  CPPUNIT_TEST(frozenNodesComeBack);
-  CPPUNIT_TEST(twoThirdsMoreAreAddedAtOnce);
-  CPPUNIT_TEST(digestsStayWithTheNeighbours);
-  CPPUNIT_TEST(aNodeJoinsFromItsBeginning);
-  CPPUNIT_TEST(unreadableNewsIsCounted);
+  CPPUNIT_TEST(partitionedHalvesMerge);
+  CPPUNIT_TEST(pausedNodesReturn);
+  CPPUNIT_TEST(zoneGrowsByTwoThirdsAtOnce);
+  CPPUNIT_TEST(digestsAreSentToNeighboursOnly);
+  CPPUNIT_TEST(nodeIsJoiningBeforeStart);
+  CPPUNIT_TEST(unreadableUpdateIsCounted);
   CPPUNIT_TEST(viewsAgreeAfterAnyFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void allStartTogether() {
+  void allNodesStartAtOnce() {
     LargeZone zone(1);
     zone.startAll(0, 295);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     zone.world.runFor(3s);
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWrong());
-    // 295 nodes together; told each of each, they took 1.3 GB.
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithWrongView());
+    // Total of all 295 nodes; announcing every node to every other one individually took 1.3 GB.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(zone.world.message_bytes),
                            zone.world.message_bytes < 20'000'000);
   }
 
-  void theFirstSeedIsDown() {
+  void firstSeedIsDown() {
     LargeZone zone(2);
     zone.startAll(1, 60);
-    CPPUNIT_ASSERT(zone.agree(4s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(4s));
   }
 
-  void messagesDoNotGrowWithTheZone() {
+  void messagesPerNodeDoNotGrowWithZone() {
     std::vector<double> rates;
     for (const int count : {30, 295, 1000}) {
       LargeZone zone(3);
       zone.startAll(0, count);
-      CPPUNIT_ASSERT(zone.agree(6s));
+      CPPUNIT_ASSERT(zone.runUntilViewsAgree(6s));
       zone.world.runFor(5s);
       rates.push_back(zone.messagesPerNodeSecond(10s));
     }
@@ -153,20 +154,20 @@
                            *most <= 1.2 * *least && *most < 20);
   }
 
-  void aDeathIsKnownEverywhere() {
+  void deathReachesAllNodes() {
     LargeZone zone(4);
     zone.startAll(0, 295);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     for (const int victim : {7, 123, 0}) {
       zone.kill(victim);
-      CPPUNIT_ASSERT(zone.agree(4s));
+      CPPUNIT_ASSERT(zone.runUntilViewsAgree(4s));
     }
   }
 
-  void aLeavingNodeIsKnownEverywhere() {
+  void leavingStateReachesAllNodes() {
     LargeZone zone(5);
     zone.startAll(0, 295);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     zone.memberships.at(40)->announceLeaving();
     zone.world.runFor(500ms);
     for (const auto& [index, membership] : zone.memberships) {
@@ -178,65 +179,66 @@
     }
     zone.memberships.at(40)->announceStopped();
     zone.kill(40);
-    CPPUNIT_ASSERT(zone.agree(500ms));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(500ms));
   }
 
   void fortyPercentDieAtOnce() {
     LargeZone zone(6);
     zone.startAll(0, 295);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     for (int index = 0; index < 295; ++index) {
       if (zone.world.random.unit() < 0.4) {
         zone.kill(index);
       }
     }
-    // A few die with all that hear them, and are missed once others have taken these's places.
-    CPPUNIT_ASSERT(zone.agree(9s));
+    // A few nodes die together with all nodes that monitor them. They are detected once other nodes
+    // have become their neighbours.
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(9s));
   }
 
-  void aZoneCutIntoHalvesMeetsAgain() {
+  void partitionedHalvesMerge() {
     LargeZone zone(7);
     zone.startAll(0, 200);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     for (int index = 0; index < 200; index += 2) {
       zone.world.setGroup(LargeZone::addressOf(index), 1);
     }
     zone.world.runFor(12s);
     CPPUNIT_ASSERT(zone.memberships.at(10)->members().size() < 120);
     zone.world.healNetwork();
-    CPPUNIT_ASSERT(zone.agree(10s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(10s));
   }
 
-  void frozenNodesComeBack() {
+  void pausedNodesReturn() {
     LargeZone zone(8);
     zone.startAll(0, 150);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     for (int index = 3; index < 150; index += 10) {
       zone.world.pause(LargeZone::addressOf(index), 4s);
     }
     zone.world.runFor(3500ms);
     CPPUNIT_ASSERT(zone.memberships.at(1)->members().size() < 150);
     zone.world.runFor(500ms);
-    CPPUNIT_ASSERT(zone.agree(4s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(4s));
     zone.world.runFor(3s);
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWrong());
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithWrongView());
   }
 
-  void twoThirdsMoreAreAddedAtOnce() {
+  void zoneGrowsByTwoThirdsAtOnce() {
     LargeZone zone(9);
     zone.startAll(0, 180);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     const auto before = zone.world.message_bytes;
     zone.startAll(180, 300);
-    CPPUNIT_ASSERT(zone.agree(4s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(4s));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(zone.world.message_bytes - before),
                            zone.world.message_bytes - before < 20'000'000);
   }
 
-  void digestsStayWithTheNeighbours() {
+  void digestsAreSentToNeighboursOnly() {
     LargeZone zone(10);
     zone.startAll(0, 100);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     zone.world.runFor(3s);
     const double idle = zone.messagesPerNodeSecond(3s);
     for (const auto& [index, membership] : zone.memberships) {
@@ -244,7 +246,7 @@
     }
     const double busy = zone.messagesPerNodeSecond(3s);
     CPPUNIT_ASSERT_MESSAGE(std::to_string(idle) + " to " + std::to_string(busy), busy < idle + 3);
-    // What never changes came with the list of members.
+    // Constant digests arrived with the member list.
     const auto& members = zone.memberships.at(50)->members();
     CPPUNIT_ASSERT(std::all_of(members.begin(), members.end(), [&](const Member& member) {
       return zone.memberships.at(50)->digest(member.node, DigestTopic::kLinkMegabits) ==
@@ -252,14 +254,14 @@
     }));
   }
 
-  /// Whoever asks before the node began must not take it for alone in its zone.
-  void aNodeJoinsFromItsBeginning() {
+  /// A caller that asks before start() must not conclude that the node is alone in its zone.
+  void nodeIsJoiningBeforeStart() {
     testing::VirtualWorld world(12);
     world.runFor(10s);
     auto& process = world.spawn({LargeZone::addressOf(1), 1}, kZone);
     MembershipSettings settings;
     settings.seeds = {LargeZone::addressOf(0), LargeZone::addressOf(1)};
-    NoMachines machines;
+    EmptyMachineList machines;
     Membership membership(settings, process.context(), machines);
     CPPUNIT_ASSERT(membership.joining());
     membership.start();
@@ -272,10 +274,10 @@
     CPPUNIT_ASSERT(!alone.joining());
   }
 
-  void unreadableNewsIsCounted() {
+  void unreadableUpdateIsCounted() {
     LargeZone zone(11);
     zone.startAll(0, 5);
-    CPPUNIT_ASSERT(zone.agree(3s));
+    CPPUNIT_ASSERT(zone.runUntilViewsAgree(3s));
     auto& process = zone.world.process(LargeZone::addressOf(3));
     for (const char* bytes : {"x", "\x92\x04\xa4zzzz", "\x92\xce\xff\xff\xff\xff\xa4zzzz"}) {
       process.context().sendToAddress(LargeZone::addressOf(4), MembershipUpdate{bytes, {}, false});
@@ -283,7 +285,7 @@
     zone.world.runFor(100ms);
     const auto& counters = zone.world.process(LargeZone::addressOf(4)).counters();
     CPPUNIT_ASSERT_EQUAL(3.0, counters.total("cypresswall_membership_unreadable_total"));
-    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWrong());
+    CPPUNIT_ASSERT_EQUAL(0, zone.nodesWithWrongView());
   }
 
   void viewsAgreeAfterAnyFaults() {
@@ -313,9 +315,9 @@
       }
       zone.world.healNetwork();
       zone.world.message_loss = 0;
-      RC_ASSERT(zone.agree(15s));
+      RC_ASSERT(zone.runUntilViewsAgree(15s));
       zone.world.runFor(6s);
-      RC_ASSERT(zone.nodesWrong() == 0);
+      RC_ASSERT(zone.nodesWithWrongView() == 0);
     });
   }
 };
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -19,10 +19,10 @@
 common::Address addressOf(int index) { return "10.0.0." + std::to_string(index) + ":7000"; }
 std::string machineOf(int index) { return "machine-" + std::to_string(index); }
 
-/// Nodes of one zone; every node starts from the addresses of the first two.
-class ZoneOfNodes {
+/// Nodes of one zone; the seeds are the addresses of the first two nodes.
+class MembershipZone {
  public:
-  explicit ZoneOfNodes(std::uint64_t seed) : world(seed) {}
+  explicit MembershipZone(std::uint64_t seed) : world(seed) {}
 
   Membership& start(int index) {
     const common::NodeId node{addressOf(index), ++next_incarnation_};
@@ -73,23 +73,23 @@
   CPPUNIT_TEST_SUITE(MembershipTest);
   CPPUNIT_TEST(nodesFindEachOtherThroughSeeds);
   CPPUNIT_TEST(silentNodeIsSuspectedThenDead);
-  CPPUNIT_TEST(laterLifeReplacesEarlier);
-  CPPUNIT_TEST(pausedNodeKeepsItsPeersAndComesBack);
-  CPPUNIT_TEST(partsFindEachOtherAfterACut);
+  CPPUNIT_TEST(newerIncarnationReplacesOlder);
+  CPPUNIT_TEST(pausedNodeKeepsItsPeersAndReturns);
+  CPPUNIT_TEST(partitionsMergeAfterHealing);
   CPPUNIT_TEST(findsPeersThroughMachineListWithoutSeeds);
-  CPPUNIT_TEST(leavingIsKnownAtOnce);
+  CPPUNIT_TEST(leavingStateSpreadsAtOnce);
   CPPUNIT_TEST(digestsSpread);
   CPPUNIT_TEST(oneNodeReadsTheMachineList);
-  CPPUNIT_TEST(leavingMachineIsKnownEverywhereInTime);
-  CPPUNIT_TEST(readerCutOffFromTheListIsReplaced);
-  CPPUNIT_TEST(goneMachineIsSurelyDead);
+  CPPUNIT_TEST(leavingMachineReachesAllNodesInTime);
+  CPPUNIT_TEST(readerWithoutListAccessIsReplaced);
+  CPPUNIT_TEST(nodeOnGoneMachineIsConfirmedDead);
   CPPUNIT_TEST(controlBytesStayInBudget);
   CPPUNIT_TEST(viewsAgreeAfterAnyFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void nodesFindEachOtherThroughSeeds() {
-    ZoneOfNodes zone(1);
+    MembershipZone zone(1);
     zone.startAll(13);
     zone.world.runFor(2s);
     CPPUNIT_ASSERT(zone.everyNodeSees(13));
@@ -99,19 +99,19 @@
   }
 
   void silentNodeIsSuspectedThenDead() {
-    ZoneOfNodes zone(2);
+    MembershipZone zone(2);
     zone.startAll(4);
     zone.world.runFor(2s);
     zone.kill(3);
     zone.world.runFor(1900ms);
-    CPPUNIT_ASSERT(ZoneOfNodes::stateOf(*zone.memberships.at(1), 3) == MemberState::kSuspect);
+    CPPUNIT_ASSERT(MembershipZone::stateOf(*zone.memberships.at(1), 3) == MemberState::kSuspect);
     zone.world.runFor(1500ms);
     CPPUNIT_ASSERT(zone.everyNodeSees(3));
     CPPUNIT_ASSERT(!zone.memberships.at(1)->confirmedDead({addressOf(3), 3}));
   }
 
-  void laterLifeReplacesEarlier() {
-    ZoneOfNodes zone(3);
+  void newerIncarnationReplacesOlder() {
+    MembershipZone zone(3);
     zone.startAll(4);
     zone.world.runFor(2s);
     zone.start(2);
@@ -121,8 +121,8 @@
     CPPUNIT_ASSERT(!zone.memberships.at(4)->confirmedDead({addressOf(2), 5}));
   }
 
-  void pausedNodeKeepsItsPeersAndComesBack() {
-    ZoneOfNodes zone(4);
+  void pausedNodeKeepsItsPeersAndReturns() {
+    MembershipZone zone(4);
     zone.startAll(4);
     zone.world.runFor(2s);
     zone.world.pause(addressOf(2), 10s);
@@ -134,8 +134,8 @@
     CPPUNIT_ASSERT(zone.everyNodeSees(4));
   }
 
-  void partsFindEachOtherAfterACut() {
-    ZoneOfNodes zone(5);
+  void partitionsMergeAfterHealing() {
+    MembershipZone zone(5);
     zone.startAll(6);
     zone.world.runFor(2s);
     for (const int index : {4, 5, 6}) {
@@ -149,7 +149,7 @@
   }
 
   void findsPeersThroughMachineListWithoutSeeds() {
-    ZoneOfNodes zone(12);
+    MembershipZone zone(12);
     zone.startAll(5);
     zone.kill(1);
     zone.kill(2);
@@ -160,14 +160,14 @@
     CPPUNIT_ASSERT(zone.everyNodeSees(3));
   }
 
-  void leavingIsKnownAtOnce() {
-    ZoneOfNodes zone(6);
+  void leavingStateSpreadsAtOnce() {
+    MembershipZone zone(6);
     zone.startAll(5);
     zone.world.runFor(2s);
     zone.memberships.at(3)->announceLeaving();
     zone.world.runFor(20ms);
     for (const auto& [index, membership] : zone.memberships) {
-      CPPUNIT_ASSERT(ZoneOfNodes::stateOf(*membership, 3) == MemberState::kLeaving);
+      CPPUNIT_ASSERT(MembershipZone::stateOf(*membership, 3) == MemberState::kLeaving);
     }
     zone.memberships.at(3)->announceStopped();
     zone.world.runFor(20ms);
@@ -175,7 +175,7 @@
   }
 
   void digestsSpread() {
-    ZoneOfNodes zone(7);
+    MembershipZone zone(7);
     zone.startAll(3);
     zone.world.runFor(2s);
     zone.memberships.at(2)->setDigest(DigestTopic::kConfigurationVersion, 42);
@@ -187,7 +187,7 @@
   }
 
   void oneNodeReadsTheMachineList() {
-    ZoneOfNodes zone(8);
+    MembershipZone zone(8);
     zone.startAll(13);
     zone.world.runFor(5s);
     zone.world.machine_list_reads = 0;
@@ -196,8 +196,8 @@
     CPPUNIT_ASSERT(zone.world.machine_list_reads <= 21);
   }
 
-  void leavingMachineIsKnownEverywhereInTime() {
-    ZoneOfNodes zone(9);
+  void leavingMachineReachesAllNodesInTime() {
+    MembershipZone zone(9);
     zone.startAll(13);
     zone.world.runFor(5s);
     zone.kill(1);  // the reader
@@ -207,13 +207,13 @@
       CPPUNIT_ASSERT(membership->machineLeaving(machineOf(8)));
       CPPUNIT_ASSERT(membership->addressLeaving("10.0.0.8:9999"));
       CPPUNIT_ASSERT(!membership->addressLeaving("10.0.0.9"));
-      CPPUNIT_ASSERT(ZoneOfNodes::stateOf(*membership, 8) == MemberState::kLeaving);
+      CPPUNIT_ASSERT(MembershipZone::stateOf(*membership, 8) == MemberState::kLeaving);
     }
     CPPUNIT_ASSERT(zone.memberships.at(8)->leaving());
   }
 
-  void readerCutOffFromTheListIsReplaced() {
-    ZoneOfNodes zone(13);
+  void readerWithoutListAccessIsReplaced() {
+    MembershipZone zone(13);
     zone.startAll(5);
     zone.world.runFor(5s);
     zone.world.setStoreReachable(addressOf(1), false);
@@ -225,8 +225,8 @@
     }
   }
 
-  void goneMachineIsSurelyDead() {
-    ZoneOfNodes zone(10);
+  void nodeOnGoneMachineIsConfirmedDead() {
+    MembershipZone zone(10);
     zone.startAll(4);
     zone.world.runFor(2s);
     zone.kill(3);
@@ -237,7 +237,7 @@
   }
 
   void controlBytesStayInBudget() {
-    ZoneOfNodes zone(11);
+    MembershipZone zone(11);
     zone.startAll(13);
     zone.world.runFor(5s);
     zone.world.message_bytes = 0;
@@ -248,7 +248,7 @@
 
   void viewsAgreeAfterAnyFaults() {
     testing::requireProperty("views agree after any faults", 60, [](std::uint32_t seed) {
-      ZoneOfNodes zone(seed);
+      MembershipZone zone(seed);
       zone.world.message_loss = 0.05;
       zone.startAll(6);
       for (int step = 0; step < 25; ++step) {
--- a/tests/membership/peer_table_test.cpp
+++ b/tests/membership/peer_table_test.cpp
@@ -20,16 +20,16 @@
 
 class PeerTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerTableTest);
-  CPPUNIT_TEST(tellsWhatDetailsBrought);
-  CPPUNIT_TEST(onlyTheSilenceOfWatchedPeersCounts);
-  CPPUNIT_TEST(aDepartedNodeIsKeptOutUntilItSaysMore);
-  CPPUNIT_TEST(newerDetailsOutliveADeparture);
-  CPPUNIT_TEST(theDepartureOfAnUnknownNodeIsNewsOnce);
-  CPPUNIT_TEST(theHashIsThatOfTheMembers);
+  CPPUNIT_TEST(reportsResultOfDetails);
+  CPPUNIT_TEST(onlyWatchedPeersExpire);
+  CPPUNIT_TEST(departedNodeIsBlockedUntilNewerDetails);
+  CPPUNIT_TEST(newerDetailsOverrideDeparture);
+  CPPUNIT_TEST(departureOfUnknownNodeIsNewOnce);
+  CPPUNIT_TEST(hashMatchesMembers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void tellsWhatDetailsBrought() {
+  void reportsResultOfDetails() {
     CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1), at(0)) == DetailsResult::kAdded);
     CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1), at(0)) == DetailsResult::kUnchanged);
     CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(1, 2), at(0)) ==
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT(table_.applyDetails(earlier, detailsOf(9), at(0)) == DetailsResult::kOutdated);
   }
 
-  void onlyTheSilenceOfWatchedPeersCounts() {
+  void onlyWatchedPeersExpire() {
     const common::NodeId other{"10.0.0.2:1", 1};
     table_.applyDetails(node_, detailsOf(1), at(0));
     table_.applyDetails(other, detailsOf(1), at(0));
@@ -59,23 +59,24 @@
     CPPUNIT_ASSERT(table_.find(other) != nullptr);
   }
 
-  void aDepartedNodeIsKeptOutUntilItSaysMore() {
+  void departedNodeIsBlockedUntilNewerDetails() {
     table_.applyDetails(node_, detailsOf(3), at(0));
     CPPUNIT_ASSERT(table_.remove({node_, 3}, at(100)));
     CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(3), at(200)) == DetailsResult::kDeparted);
     CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(4), at(200)) == DetailsResult::kAdded);
     CPPUNIT_ASSERT(table_.remove({node_, 4}, at(300)));
-    // Who missed the news for so long may be right.
+    // Once the readmission delay is over, the same details are accepted again, since the departure
+    // may have been wrong.
     CPPUNIT_ASSERT(table_.applyDetails(node_, detailsOf(4), at(5400)) == DetailsResult::kAdded);
   }
 
-  void newerDetailsOutliveADeparture() {
+  void newerDetailsOverrideDeparture() {
     table_.applyDetails(node_, detailsOf(3), at(0));
     CPPUNIT_ASSERT(!table_.remove({node_, 2}, at(100)));
     CPPUNIT_ASSERT(table_.find(node_) != nullptr);
   }
 
-  void theDepartureOfAnUnknownNodeIsNewsOnce() {
+  void departureOfUnknownNodeIsNewOnce() {
     CPPUNIT_ASSERT(table_.remove({node_, 1}, at(0)));
     CPPUNIT_ASSERT(!table_.remove({node_, 1}, at(100)));
     CPPUNIT_ASSERT(table_.remove({node_, 2}, at(100)));
@@ -85,8 +86,8 @@
     CPPUNIT_ASSERT(table_.find(later) != nullptr);
   }
 
-  void theHashIsThatOfTheMembers() {
-    testing::requireProperty("the hash is that of the members", 100, [this] {
+  void hashMatchesMembers() {
+    testing::requireProperty("the hash matches the members", 100, [this] {
       PeerTable table(settings_);
       std::int64_t now = 0;
       for (int step = 0; step < 60; ++step) {
--- a/tests/membership/zone_gossip_test.cpp
+++ b/tests/membership/zone_gossip_test.cpp
@@ -31,7 +31,7 @@
   return "zone-" + address.substr(first, address.find('.', first) - first);
 }
 
-/// Seven zones in three regions; each knows one seed of the next zone only.
+/// Seven zones in three regions; each has one seed address, in the next zone.
 class Fleet {
  public:
   struct Node {
@@ -83,17 +83,17 @@
 
 class ZoneGossipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ZoneGossipTest);
-  CPPUNIT_TEST(zonesFindEachOther);
+  CPPUNIT_TEST(zonesDiscoverEachOther);
   CPPUNIT_TEST(changeReachesEveryNodeFast);
-  CPPUNIT_TEST(changeSurvivesLossAndCut);
-  CPPUNIT_TEST(restartedZonePublishesAnew);
+  CPPUNIT_TEST(changeSurvivesLossAndPartition);
+  CPPUNIT_TEST(restartedZoneCanPublish);
   CPPUNIT_TEST(refreshesCarryNoPayload);
   CPPUNIT_TEST(oversizedPayloadIsRefused);
   CPPUNIT_TEST(linksAreMutualConnectedAndFew);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void zonesFindEachOther() {
+  void zonesDiscoverEachOther() {
     Fleet fleet(1);
     fleet.world.runFor(20s);
     for (const auto& [address, node] : fleet.nodes) {
@@ -117,7 +117,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("first"), heard);
   }
 
-  void changeSurvivesLossAndCut() {
+  void changeSurvivesLossAndPartition() {
     Fleet fleet(3);
     fleet.world.runFor(20s);
     fleet.world.message_loss = 0.1;
@@ -133,7 +133,7 @@
     CPPUNIT_ASSERT(fleet.everyNodeHolds(zoneName(0), "second"));
   }
 
-  void restartedZonePublishesAnew() {
+  void restartedZoneCanPublish() {
     Fleet fleet(4);
     fleet.world.runFor(10s);
     for (const char* payload : {"a", "b", "c"}) {
@@ -148,7 +148,8 @@
     CPPUNIT_ASSERT(fleet.everyNodeHolds(zoneName(2), "new life"));
   }
 
-  /// While nothing changes, zones are heard of by versions alone, and still by every node in time.
+  /// While nothing changes, refreshes carry versions without payloads, and every node still hears
+  /// of each zone within `zone_silent_after`.
   void refreshesCarryNoPayload() {
     Fleet fleet(6);
     fleet.world.runFor(40s);
