--- a/src/cypresswall/fleet_limits/account_keepers.h
+++ b/src/cypresswall/fleet_limits/account_keepers.h
@@ -1,5 +1,5 @@
-/// Which node keeps the account of a server that names a limit, and how much of the limit it may
-/// give out.
+/// Determines the keeper of each rate-limited server: the one node that holds the server's permit
+/// account, and the share of the limit that it may grant.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +14,19 @@
 
 namespace cypresswall::fleet_limits {
 
-/// \return the node that decides about a server anyway, such as the owner of an engine; empty for
-///   one that no single node decides about
+/// \return the node that already makes the decisions about a server, such as an engine's owner;
+///   empty if the server has no owner
 using OwnerLookup = std::function<common::NodeId(const std::string& server)>;
 
 struct AccountKeeperSettings {
-  /// Until the last node knows that another one came, went, or was cut off.
+  /// Time until all nodes have learnt that a node joined, left or was partitioned.
   common::Duration settling_time = std::chrono::seconds(5);
 };
 
-/// A server's account lies at the node that decides about it, or at one found by rendezvous hashing
-/// over the members. While lists of members differ two nodes may take themselves for the keeper:
-/// each gives out half of the limit until its list has not changed for the settling time, and as
-/// long as it sees no more than half of the members of the last minutes.
+/// A server's keeper is its owner, or a node chosen by rendezvous hashing over the members. While
+/// member lists differ, two nodes may both act as keeper. Each therefore grants only half of the
+/// limit until its list has been stable for the settling time, and while it sees no more than half
+/// of the largest membership of the last minutes.
 class AccountKeepers {
  public:
   AccountKeepers(const AccountKeeperSettings& settings, const api::ProcessContext& context,
@@ -35,14 +35,14 @@
   AccountKeepers& operator=(const AccountKeepers&) = delete;
 
   void setOwnerLookup(OwnerLookup find) { owner_lookup_ = std::move(find); }
-  /// \return the node that keeps the account; this node if it knows no other
+  /// \return the keeper of the server's account; this node if there is no candidate
   common::NodeId keeperOf(const std::string& server);
-  /// \return the part of a limit that this node may give out as the keeper, up to 1
+  /// \return the fraction of a limit that this node may grant as the keeper, up to 1
   double share() const;
 
  private:
   void membersChanged();
-  /// Members that are alive and handle the messages about permits.
+  /// \return the members that are alive and support the rate limit messages
   const std::vector<common::NodeId>& candidates();
 
   const AccountKeeperSettings settings_;
@@ -50,9 +50,9 @@
   const membership::MembershipView& membership_;
   OwnerLookup owner_lookup_;
   std::vector<common::NodeId> candidates_;
-  /// Set by each change of the members until the candidates are asked for.
+  /// True if the members have changed since `candidates_` was computed.
   bool stale_ = true;
-  /// By server, found by hashing; emptied when the candidates change.
+  /// Cache of rendezvous hashing results by server; cleared when the candidates change.
   std::unordered_map<std::string, common::NodeId> rendezvous_cache_;
   std::size_t member_count_ = 0;
   FleetSizeHistory size_history_;
--- a/src/cypresswall/fleet_limits/engine_rate_limits.cpp
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.cpp
@@ -13,19 +13,22 @@
 constexpr const char* kOwnAnswer = "answer";
 constexpr const char* kPeer = "peer";
 constexpr const char* kAskingNode = "asking node";
-/// Servers in one repetition, some 5 KB; more go out in turns.
+/// Servers in one update message, about 5 KB; further servers follow in the next messages.
 constexpr std::size_t kServersPerMessage = 64;
-/// A node that sees more than so many times the members of before has just started or come back.
+/// If the number of members grows by more than this factor, the node has just started or returned
+/// from a partition.
 constexpr std::size_t kRejoinGrowthFactor = 2;
-/// Servers that have a metric of their own; the others share one.
+/// Maximum number of servers with a metric label of their own; the others share one label.
 constexpr std::size_t kLabelledServers = 64;
 constexpr const char* kOtherServers = "other";
-/// Nodes that were refused ask again within up to so many times the time until the next permit, not
-/// all together.
+/// A refused node waits for the time until the next permit plus up to this multiple of it at
+/// random, so that nodes do not retry at the same time.
 constexpr double kRetrySpread = 1.0;
-/// Retry-After is stretched by up to this share at random, so that callers don't return together.
+/// Retry-After is extended by up to this fraction at random, so that callers do not return
+/// together.
 constexpr double kRetryJitter = 0.25;
-/// Told by a node that does not keep the account, while lists of members differ.
+/// Wait time in the answer of a node that is not the keeper, which happens while member lists
+/// differ.
 constexpr common::Duration kNotKeeperWait = std::chrono::milliseconds(200);
 
 std::uint32_t ceilMilliseconds(common::Duration duration) {
--- a/src/cypresswall/fleet_limits/engine_rate_limits.h
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.h
@@ -1,5 +1,5 @@
-/// The limits that engines and back ends name on requests from the whole fleet, kept by the nodes
-/// of a zone together.
+/// Enforces the rate limits that engines and back ends announce for the whole fleet. The nodes of a
+/// zone enforce them jointly.
 #pragma once
 
 #include <cstddef>
@@ -20,51 +20,51 @@
 namespace cypresswall::fleet_limits {
 
 struct RateLimitSettings {
-  /// Off: limits are noticed and told of, but not kept.
+  /// False: limits are recorded and disseminated but not enforced.
   bool enforced = true;
   RateLimitTableSettings table;
   PermitAccountSettings accounts;
   AccountKeeperSettings keepers;
-  /// A permit that takes longer is not waited for.
+  /// Time after which a request for a permit is treated as refused.
   common::Duration permit_timeout = std::chrono::milliseconds(100);
-  /// For so long a server whose keeper did not answer counts as exhausted.
+  /// How long a server counts as exhausted after its keeper did not answer.
   common::Duration unresponsive_keeper_pause = std::chrono::milliseconds(500);
-  /// How often what is known is repeated to two other nodes.
+  /// How often known limits are sent to two other nodes.
   common::Duration anti_entropy_interval = std::chrono::seconds(1);
-  /// Bounds of what callers are told to wait.
+  /// Bounds of the Retry-After time given to callers.
   common::Duration minimum_retry_after = std::chrono::milliseconds(200);
   common::Duration maximum_retry_after = std::chrono::seconds(10);
 };
 
-/// What is known of one server, for operators.
+/// State of one server's limit, for operators.
 struct RateLimitRow {
   std::string server;
   double requests_per_second = 0;
-  /// Since an answer last named the limit.
+  /// Time since a response last named the limit.
   common::Duration age{0};
   common::NodeId keeper;
-  /// Permits granted and refused by this node as the keeper.
+  /// Permits that this node granted and refused as the keeper.
   PermitCounts counts;
 };
 
-/// A limit that one answer names is told to all nodes at once. From then on a request needs a
-/// permit of the one node that keeps the server's account, so that the sum is exact whatever the
-/// number of nodes, also where a node's even part would be less than one request. Costs one round
-/// trip before a request to a server that stands under a limit, and nothing for all others.
-/// docs/design/shared-limits.md weighs other ways.
+/// When a response names a limit, it is disseminated to all nodes at once. From then on each
+/// request needs a permit from the server's keeper, so that the total is exact for any number of
+/// nodes, even if an equal share per node would be less than one request. This costs one round trip
+/// before each request to a limited server, and nothing for other servers.
+/// docs/design/shared-limits.md compares alternatives.
 class EngineRateLimits final : public RateLimiter {
  public:
-  /// Registers the handlers of the messages. \pre all references outlive this object
+  /// Registers the message handlers. \pre all references outlive this object
   EngineRateLimits(const RateLimitSettings& settings,
                    const membership::NeighbourSettings& neighbours,
                    const api::ProcessContext& context, membership::MembershipView& membership);
   EngineRateLimits(const EngineRateLimits&) = delete;
   EngineRateLimits& operator=(const EngineRateLimits&) = delete;
 
-  /// \return what is known of all servers that name a limit, or did so lately
+  /// \return the limits of all servers that name one, or did so recently
   const RateLimitTable& table() const { return table_; }
 
-  /// Begins to repeat what is known.
+  /// Starts anti-entropy.
   void start() { runAntiEntropy(); }
   void setOwnerLookup(OwnerLookup find) { keepers_.setOwnerLookup(std::move(find)); }
 
@@ -76,19 +76,19 @@
   common::Duration retryAfter(const std::string& resource, const std::vector<std::string>& servers,
                               std::size_t refusing_nodes) override;
 
-  /// \return all servers that stand under a limit
+  /// \return all servers with an active limit
   std::vector<RateLimitRow> rows();
 
  private:
-  /// A permit that another node was asked for.
+  /// A permit request to another node that is waiting for its answer.
   struct PendingPermit {
     std::string server;
     PermitCallback done;
     common::TimerId timer = 0;
   };
 
-  /// A node that starts, or comes back from a cut, asks others what they know before its requests
-  /// would teach it.
+  /// A node that starts or returns from a partition requests the known limits from others, so that
+  /// it need not learn them from responses to its own requests.
   void membersChanged();
   void onSyncRequest(const common::NodeId& sender);
   void onUpdate(const RateLimitUpdate& update);
@@ -97,20 +97,20 @@
   void onPermitTimeout(std::uint64_t request_id);
   void requestPermit(const common::NodeId& keeper, const std::string& server,
                      const RateLimit& limit, PermitCallback done);
-  /// \pre this node keeps the server's account
+  /// \pre this node is the server's keeper
   Permit take(const std::string& server);
   void setRefusedUntil(const std::string& server, common::MonotonicTime time);
   bool isExhausted(const std::string& server, const RateLimit& limit);
 
   RateLimitRecord toMessage(const std::string& server, const RateLimit& limit) const;
-  /// Takes in what another node knows. \return true if it was news
+  /// Merges a limit received from another node. \return true if it changed the table
   bool merge(const RateLimitRecord& record, const char* source);
-  /// The limit of a server is another than before.
+  /// Updates metrics, accounts and the log after a server's limit has changed.
   void changed(const std::string& server, const char* source);
   void runAntiEntropy();
-  /// \return what is known of the next servers in turn
+  /// \return the limits of the next servers in round-robin order
   RateLimitUpdate nextUpdate();
-  /// Forgets servers of which nothing was heard for long.
+  /// Removes limits that have not been confirmed for the retention time.
   void expire();
   common::Counter& limitGauge(const std::string& server);
 
@@ -123,11 +123,11 @@
   PermitAccounts accounts_;
   std::unordered_map<std::uint64_t, PendingPermit> pending_permits_;
   std::uint64_t next_request_id_ = 1;
-  /// By server: no permit is to be had before.
+  /// By server: time before which the keeper will not grant a permit.
   std::map<std::string, common::MonotonicTime> refused_until_;
-  /// By demand: the time at which the last caller that was refused is to return.
+  /// By resource: time at which the caller refused last was told to retry.
   std::map<std::string, common::MonotonicTime> last_retry_at_;
-  /// Where in the table the next repetition begins.
+  /// Position in the table at which the next update starts.
   std::size_t next_server_ = 0;
   std::size_t labelled_servers_ = 0;
   std::size_t member_count_ = 0;
--- a/src/cypresswall/fleet_limits/fleet_size_history.h
+++ b/src/cypresswall/fleet_limits/fleet_size_history.h
@@ -1,4 +1,4 @@
-/// How much of its fleet a node sees, by the members of the last minutes.
+/// Compares the current number of members with the largest one of the last minutes.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,20 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Notices that a node sees only the smaller part of its fleet, as one that is cut off does: the
-/// others may divide limits without it.
+/// Detects that a node sees only a minority of its fleet, as in a network partition. The majority
+/// may then use the limits without this node.
 class FleetSizeHistory {
  public:
   void add(std::size_t members, common::MonotonicTime now) {
     members_ = members;
     maximum_.add(members, now);
   }
-  /// \return true if the node sees no more than half of the most members
+  /// \return true if the node sees no more than half of the largest recent membership
   bool seesMinority() const { return members_ * kMinorityDivisor <= maximum_.value(); }
 
  private:
   static constexpr common::Duration kHistorySpan = std::chrono::minutes(10);
-  /// A node needs to see more than the most members divided by this.
+  /// A node sees a minority unless it sees more than the maximum divided by this.
   static constexpr std::size_t kMinorityDivisor = 2;
 
   std::size_t members_ = 0;
--- a/src/cypresswall/fleet_limits/local_share.cpp
+++ b/src/cypresswall/fleet_limits/local_share.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr common::Duration kCheckInterval = std::chrono::milliseconds(500);
-/// A timer later than this shows that the process stood still; the settling time covers less.
+/// A timer that fires later than this shows that the process was paused; shorter pauses are covered
+/// by the settling time.
 constexpr common::Duration kPauseThreshold = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/cypresswall/fleet_limits/local_share.h
+++ b/src/cypresswall/fleet_limits/local_share.h
@@ -1,4 +1,4 @@
-/// The part of a limit of the whole fleet that one node may use without asking anybody.
+/// The share of a fleet-wide limit that one node may use without coordination.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,33 @@
 namespace cypresswall::fleet_limits {
 
 struct LocalShareSettings {
-  /// Parts of the fleet that don't hear of each other's members; each gets the same share.
+  /// Number of regions. Nodes do not see the members of other regions; each region gets an equal
+  /// share.
   std::size_t regions = 1;
-  /// The span over which the limit is summed: what a node or its earlier life has used counts so
-  /// long.
+  /// Window over which the limit is summed. What a node or its previous incarnation used counts for
+  /// this long.
   common::Duration window = std::chrono::seconds(10);
-  /// Until the last node knows that another one came, went, or was cut off: a silent node is taken
-  /// for dead after 2.5 s, and the news of it is passed on for a second.
+  /// Time until all nodes have learnt that a node joined, left or was partitioned: a node without
+  /// heartbeats is declared dead after 2.5 s, and gossip takes about a second to spread it.
   common::Duration settling_time = std::chrono::seconds(5);
-  /// Off: a node has its part from its start on. On: the sum is kept also when nodes restart.
+  /// False: a node may use its share from its start. True: the share is withheld after a start, so
+  /// that the total stays within the limit when nodes restart.
   bool withhold_after_start = false;
 };
 
-/// One divided by the nodes of the fleet. The parts of all nodes add up to one at the most in each
-/// window, whatever members they see:
+/// One divided by the number of nodes in the fleet. The shares used in any window add up to at most
+/// one, even while member lists differ:
 ///
-/// A node that starts, or wakes from a pause, has nothing for a window and the settling time: its
-/// earlier life may have used the part up, and others may still divide without it.
+/// A node that starts, or resumes after a pause, has no share for one window plus the settling
+/// time: its previous incarnation may have used the share, and others may still divide without this
+/// node.
 ///
-/// A node divides by the most members that it saw in that time: those that are lost have used their
-/// parts long ago when the others take them over.
+/// A node divides by the largest number of members that it saw in that time, so that it takes over
+/// the shares of lost nodes only after their use has left the window.
 ///
-/// A node that sees no more than half of the most members of ten minutes takes itself for cut off
-/// and has nothing: the others may divide without it. Once it sees more, it waits as after a start.
+/// A node that sees no more than half of the largest membership of ten minutes assumes that it is
+/// partitioned and has no share, as the others may divide without it. Once it sees more, its share
+/// is withheld as after a start.
 class LocalShare {
  public:
   LocalShare(const LocalShareSettings& settings, const api::ProcessContext& context,
@@ -41,14 +45,14 @@
   LocalShare(const LocalShare&) = delete;
   LocalShare& operator=(const LocalShare&) = delete;
 
-  /// \return from 0 to 1; 0 if this node may use nothing
+  /// \return from 0 to 1; 0 while the share is withheld
   double fraction() const;
 
  private:
   void check();
   bool wasPaused() const;
   void countMembers();
-  /// Has nothing from now on until the wait is over.
+  /// Withholds the share for one window plus the settling time.
   void withhold(const char* reason);
 
   const LocalShareSettings settings_;
--- a/src/cypresswall/fleet_limits/permit_accounts.h
+++ b/src/cypresswall/fleet_limits/permit_accounts.h
@@ -1,5 +1,5 @@
-/// The accounts of requests that this node keeps for the fleet, one for each server that names a
-/// limit.
+/// The permit accounts that this node holds for the fleet as keeper: one token bucket for each
+/// server that names a limit.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace cypresswall::fleet_limits {
 
 struct PermitAccountSettings {
-  /// Requests of so long may be sent at once after a pause, and one at the least.
+  /// Bucket depth: requests of this time may be sent at once after a pause, but at least one.
   common::Duration burst = std::chrono::seconds(1);
   /// A server that takes fewer requests a second gets these nonetheless: only an answer shows that
   /// its limit is over.
@@ -22,11 +22,11 @@
 /// One answer to who asks for a permit.
 struct Permit {
   bool granted = false;
-  /// Until there is one again.
+  /// Time until the next permit is available.
   common::Duration wait{0};
 };
 
-/// Grants and refusals of one account, for operators.
+/// Granted and refused permits of one account, for operators.
 struct PermitCounts {
   std::uint64_t granted = 0;
   std::uint64_t refused = 0;
@@ -36,8 +36,8 @@
  public:
   explicit PermitAccounts(const PermitAccountSettings& settings) : settings_(settings) {}
 
-  /// \param limit requests a second that the server takes
-  /// \param share part of the limit that this node may give out
+  /// \param limit requests per second that the server accepts
+  /// \param share fraction of the limit that this node may grant
   Permit take(const std::string& server, double limit, double share, common::MonotonicTime now);
   /// \return true if take() would grant a permit
   bool available(const std::string& server, double limit, double share, common::MonotonicTime now);
--- a/src/cypresswall/fleet_limits/rate_bucket.h
+++ b/src/cypresswall/fleet_limits/rate_bucket.h
@@ -1,4 +1,4 @@
-/// A token bucket whose rate may change at any time.
+/// A token bucket whose rate can change at any time.
 #pragma once
 
 #include <algorithm>
@@ -7,18 +7,18 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Begins empty: who takes an account over does not know what was used before.
+/// Starts empty, since a node that takes over an account does not know what was used before.
 class RateBucket {
  public:
   explicit RateBucket(common::MonotonicTime now) : filled_at_(now) {}
 
-  /// Fills up for the time since the last call.
-  /// \param rate tokens a second  \param depth tokens that it holds at the most
+  /// Adds the tokens for the time since the last call.
+  /// \param rate tokens per second  \param depth maximum number of tokens
   void fill(double rate, double depth, common::MonotonicTime now) {
     tokens_ = std::min(depth, tokens_ + rate * common::toSeconds(now - filled_at_));
     filled_at_ = now;
   }
-  /// \return false, taking nothing, if there is no whole token
+  /// \return false, without taking anything, if less than one token is left
   bool take() {
     if (!available()) {
       return false;
@@ -27,7 +27,7 @@
     return true;
   }
   bool available() const { return tokens_ >= 1; }
-  /// \return the time until there is a whole token
+  /// \return the time until one token is available
   common::Duration wait(double rate) const {
     return available() ? common::Duration{0} : common::fromSeconds((1 - tokens_) / rate);
   }
--- a/src/cypresswall/fleet_limits/rate_limit_messages.h
+++ b/src/cypresswall/fleet_limits/rate_limit_messages.h
@@ -1,4 +1,4 @@
-/// Messages by which the nodes of a zone keep the limits on requests that servers name.
+/// Messages by which the nodes of a zone enforce the rate limits that servers announce.
 #pragma once
 
 #include <cstdint>
@@ -9,36 +9,36 @@
 
 namespace cypresswall::fleet_limits {
 
-/// What a node knows of one server's limit.
+/// A server's limit as known to the sender.
 struct RateLimitRecord {
   std::string server;
   std::uint64_t version = 0;
   bool active = false;
-  /// Requests a second; means nothing unless the limit stands.
+  /// Requests per second; meaningful only if `active`.
   double requests_per_second = 0;
-  /// Since an answer last said so.
+  /// Time since a response last confirmed this state.
   std::uint32_t age_milliseconds = 0;
   MSGPACK_DEFINE(server, version, active, requests_per_second, age_milliseconds)
 };
 
-/// Told to others at once when a limit is new, changed or over, and repeated to a few now and then.
+/// Sent at once when a limit is new, changed or over, and periodically for anti-entropy.
 struct RateLimitUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kFleetLimitsFirst, 0);
   std::vector<RateLimitRecord> limits;
   MSGPACK_DEFINE(limits)
 };
 
-/// Asks for all that the receiver knows, which answers with RateLimitNews.
+/// Requests all limits known to the receiver, which replies with RateLimitUpdate.
 struct RateLimitSyncRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kFleetLimitsFirst, 3);
   MSGPACK_DEFINE()
 };
 
-/// Asks the node that keeps a server's account for a permit to send one request.
+/// Asks a server's keeper for a permit to send one request.
 struct PermitRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kFleetLimitsFirst, 1);
   std::uint64_t request_id = 0;
-  /// As the asking node knows it: the other one may not have heard of it.
+  /// The limit as known to the sender, since the keeper may not know it yet.
   RateLimitRecord limit;
   MSGPACK_DEFINE(request_id, limit)
 };
@@ -47,7 +47,7 @@
   static constexpr auto kType = api::messageType(api::MessageType::kFleetLimitsFirst, 2);
   std::uint64_t request_id = 0;
   bool granted = false;
-  /// Until there is a permit again; zero if granted.
+  /// Time until the next permit is available; zero if granted.
   std::uint32_t wait_milliseconds = 0;
   MSGPACK_DEFINE(request_id, granted, wait_milliseconds)
 };
--- a/src/cypresswall/fleet_limits/rate_limit_table.cpp
+++ b/src/cypresswall/fleet_limits/rate_limit_table.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::fleet_limits {
 namespace {
 
-/// \return the limit as a number that can be compared: none is higher than any.
+/// \return the limit as a number for comparison; no limit compares as infinity
 double comparableLimit(const RateLimit& limit) {
   return limit.requests_per_second.value_or(std::numeric_limits<double>::infinity());
 }
@@ -40,12 +40,12 @@
   }
   RateLimit& limit = known->second;
   if (!limit.active()) {
-    // An answer to a request from before the limit ended may have been made before, too.
-    const bool anew = sent_at > limit.named_at;
-    if (anew) {
+    // The response to a request sent before the limit ended may have been produced before it, too.
+    const bool newer = sent_at > limit.named_at;
+    if (newer) {
       change(limit, value, now);
     }
-    return anew;
+    return newer;
   }
   if (value == *limit.requests_per_second) {
     limit.named_at = now;
--- a/src/cypresswall/fleet_limits/rate_limit_table.h
+++ b/src/cypresswall/fleet_limits/rate_limit_table.h
@@ -1,4 +1,4 @@
-/// The limits on requests that servers name, as far as a node knows them. Pure state.
+/// The rate limits that servers announce, as known to one node. Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +13,27 @@
 
 namespace cypresswall::fleet_limits {
 
-/// What is known of one server's limit.
+/// The last known state of one server's limit.
 struct RateLimit {
-  /// Rises with each change of the limit, over all nodes.
+  /// Incremented with each change of the limit; comparable across nodes.
   std::uint64_t version = 0;
-  /// Empty: the server has named a limit and names none any more.
+  /// Empty if the server named a limit earlier but no longer does.
   std::optional<double> requests_per_second;
-  /// When an answer last said so.
+  /// When a response last confirmed this state.
   common::MonotonicTime named_at{};
 
   bool active() const { return requests_per_second.has_value(); }
 };
 
 struct RateLimitTableSettings {
-  /// A limit of which nothing was heard for so long is forgotten.
+  /// A limit that was not confirmed for this long is removed.
   common::Duration retention = std::chrono::minutes(1);
-  /// For so long after a limit was named a higher one, or none, changes nothing: of several values
-  /// that a server names in turns the lowest holds.
+  /// Minimum time after a limit was named before it is raised or lifted. If a server alternates
+  /// between several values, the lowest one applies.
   common::Duration raise_delay = std::chrono::seconds(1);
-  /// More than a server gets from any fleet: the same as no limit.
+  /// Requests per second above which a limit is treated as no limit, as no fleet sends that many.
   double unlimited_above = 10000;
-  /// Servers beyond so many are not remembered, some 100 bytes each.
+  /// Maximum number of servers in the table, about 100 bytes each; further ones are ignored.
   std::size_t maximum_servers = 4096;
 };
 
@@ -41,21 +41,21 @@
  public:
   explicit RateLimitTable(const RateLimitTableSettings& settings) : settings_(settings) {}
 
-  /// Takes in what an answer to a request said that was sent at `sent_at`.
-  /// \return true if other nodes have to know of it: a limit that is new, changed or over
+  /// Processes the notice in the response to a request that was sent at `sent_at`.
+  /// \return true if the limit is new, changed or over, so that other nodes must be told
   bool answered(const std::string& server, const common::RateLimitNotice& notice,
                 common::MonotonicTime sent_at, common::MonotonicTime now);
-  /// Takes in what another node knows. Of two changes that were made at the same time the lower
-  /// limit holds. \return true if it was news to this node
+  /// Merges the state known to another node. Of two concurrent changes with the same version the
+  /// lower limit wins. \return true if the table changed
   bool merge(const std::string& server, const RateLimit& other, common::MonotonicTime now);
-  /// Forgets what is old. \return the servers that were forgotten
+  /// Removes outdated limits. \return the servers that were removed
   std::vector<std::string> expire(common::MonotonicTime now);
 
-  /// \return the limit of a server, a null pointer if it stands under none
+  /// \return the active limit of a server, a null pointer if there is none
   const RateLimit* activeLimit(const std::string& server) const;
-  /// Limits that stand, and those that ended lately.
+  /// \return active limits and those that ended recently
   const std::map<std::string, RateLimit>& all() const { return limits_; }
-  /// \return how many servers stand under a limit
+  /// \return the number of servers with an active limit
   std::size_t activeCount() const;
 
  private:
--- a/src/cypresswall/fleet_limits/rate_limiter.h
+++ b/src/cypresswall/fleet_limits/rate_limiter.h
@@ -1,4 +1,4 @@
-/// Keeps the limits that engines and back ends name on requests from the whole fleet.
+/// Interface for enforcing the rate limits that engines and back ends announce for the whole fleet.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,30 @@
 
 namespace cypresswall::fleet_limits {
 
-/// \param granted false if the fleet has no request left for the server now
+/// \param granted false if the fleet has used up the server's limit for now
 using PermitCallback = std::function<void(bool granted)>;
 
-/// Servers are known by the name of an engine's life or the address of a back end.
+/// A server is identified by the name of an engine incarnation or the address of a back end.
 class RateLimiter {
  public:
   virtual ~RateLimiter() = default;
-  /// Takes in what an answer of a server says of its limit.
-  /// \param sent_at when the request that it answers was sent
+  /// Processes the limit that a server's response announces.
+  /// \param sent_at when the request was sent
   virtual void answered(const std::string& server, const common::RateLimitNotice& notice,
                         common::MonotonicTime sent_at) = 0;
-  /// \return true if the server stands under a limit that is to be kept
+  /// \return true if the server has an active limit that is to be enforced
   virtual bool limited(const std::string& server) const = 0;
-  /// Asks for a permit to send one request to a server, whatever comes of it then: a first attempt,
-  /// a repeat, a prompt alone, a resumed answer. `done` is called once, before the call returns
-  /// where no other node has to be asked.
+  /// Acquires a permit for one request of any kind to a server: a first attempt, a retry, a
+  /// prefill-only request or a resumed response. `done` is called exactly once, before acquire()
+  /// returns if no other node has to be asked.
   virtual void acquire(const std::string& server, PermitCallback done) = 0;
-  /// \return the servers that, as far as this node knows, have no request left now
+  /// \return the servers whose limit is used up for now, as far as this node knows
   virtual std::vector<std::string> exhausted() = 0;
-  /// \param demand names what is asked for, such as a model; its refused callers return in turns
-  /// \param servers those that would serve it but are exhausted
-  /// \param refusing_nodes nodes that refuse such callers at the same time, at least 1
-  /// \return when a caller should come back
+  /// \param resource what the caller requested, such as a model; its refused callers get staggered
+  ///   times
+  /// \param servers the servers of the resource, all exhausted
+  /// \param refusing_nodes nodes that refuse callers of the resource concurrently, at least 1
+  /// \return the time after which a refused caller should retry
   virtual common::Duration retryAfter(const std::string& resource,
                                       const std::vector<std::string>& servers,
                                       std::size_t refusing_nodes) = 0;
--- a/src/cypresswall/fleet_limits/recent_maximum.h
+++ b/src/cypresswall/fleet_limits/recent_maximum.h
@@ -1,4 +1,4 @@
-/// The largest value of a series over a recent span of time.
+/// Maximum of a series over a recent time span.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Forgets a value after one to two spans, and needs two numbers for it.
+/// A value expires after one to two spans; only two buckets are stored.
 class RecentMaximum {
  public:
   explicit RecentMaximum(common::Duration span) : span_(span) {}
--- a/src/cypresswall/fleet_limits/retry_budgets.cpp
+++ b/src/cypresswall/fleet_limits/retry_budgets.cpp
@@ -44,15 +44,15 @@
   return std::max(0.0, window_counter_.earned(now) * share + burst - window_counter_.used(now));
 }
 
-bool RetryBudget::available(std::uint32_t repeats) const { return left() >= repeats; }
+bool RetryBudget::available(std::uint32_t retries) const { return left() >= retries; }
 
-bool RetryBudget::withdraw(std::uint32_t repeats) {
-  if (!available(repeats)) {
+bool RetryBudget::withdraw(std::uint32_t retries) {
+  if (!available(retries)) {
     refused();
     return false;
   }
-  window_counter_.use(repeats, context_.clock.now());
-  paid(repeats);
+  window_counter_.use(retries, context_.clock.now());
+  granted(retries);
   return true;
 }
 
@@ -70,8 +70,8 @@
       .field("part", local_share_());
 }
 
-void RetryBudget::paid(std::uint32_t repeats) {
-  granted_count_.add(repeats);
+void RetryBudget::granted(std::uint32_t retries) {
+  granted_count_.add(retries);
   left_gauge_.set(left());
   if (!exhausted_ || context_.clock.now() - last_refused_at_ < kRecoveryTime) {
     return;
@@ -88,11 +88,11 @@
     : settings_(settings), context_(context), local_share_(std::move(local_share)) {}
 
 RetryBudget& RetryBudgets::of(const common::ServiceName& service) {
-  auto& account = accounts_[service];
-  if (!account) {
-    account = std::make_unique<RetryBudget>(service, settings_, context_, local_share_);
+  auto& budget = budgets_[service];
+  if (!budget) {
+    budget = std::make_unique<RetryBudget>(service, settings_, context_, local_share_);
   }
-  return *account;
+  return *budget;
 }
 
 }  // namespace cypresswall::fleet_limits
--- a/src/cypresswall/fleet_limits/retry_budgets.h
+++ b/src/cypresswall/fleet_limits/retry_budgets.h
@@ -1,5 +1,5 @@
-/// How often the requests of each service may be repeated by this node, so that all nodes together
-/// stay within what the service's operators allow.
+/// Retry budgets: limit the retries that this node makes for each service, so that all nodes
+/// together stay within the fleet-wide limit set by the operators.
 #pragma once
 
 #include <cstdint>
@@ -13,53 +13,53 @@
 
 namespace cypresswall::fleet_limits {
 
-/// What operators allow a service in each window, over all nodes.
+/// Limits on the retries of a service in each window, over all nodes.
 struct RetryLimitSettings {
-  /// Repeats for each request sent to the service.
+  /// Retries per request sent to the service.
   double fleet_share = 0.2;
-  /// Repeats beyond the share, so that the streams of one lost engine can resume at once: 50 on
-  /// each of 13 nodes, unless operators name their figure.
+  /// Retries allowed beyond the share, so that the streams of one lost engine can resume at once.
+  /// The default allows 50 on each of 13 nodes.
   double fleet_burst = 650;
   common::Duration window = std::chrono::seconds(10);
 };
 
-/// \return the part of the fleet's burst that this node may use, from 0 to 1
+/// \return the fraction of the fleet's burst that this node may use, from 0 to 1
 using LocalShareFunction = std::function<double()>;
 
-/// The account of one service. Whatever arrives at a back end beyond the first arrival of its
-/// request is one repeat.
+/// The retry budget of one service. Each arrival of a request at a back end after its first arrival
+/// counts as one retry.
 class RetryBudget {
  public:
   RetryBudget(const common::ServiceName& service, const RetryLimitSettings& settings,
               const api::ProcessContext& context, LocalShareFunction local_share);
-  /// Pays in for one request that a caller sent.
+  /// Credits the budget for one request from a caller.
   void recordRequest();
-  /// \return true if so many repeats could be paid for now
-  bool available(std::uint32_t repeats = 1) const;
-  /// \return false, taking nothing, if the account doesn't hold so many repeats
-  bool withdraw(std::uint32_t repeats = 1);
+  /// \return true if the budget covers this many retries now
+  bool available(std::uint32_t retries = 1) const;
+  /// \return false, without taking anything, if the budget does not cover this many retries
+  bool withdraw(std::uint32_t retries = 1);
 
   const common::ServiceName& service() const { return service_; }
-  /// \return repeats of the last window
+  /// \return retries made in the last window
   double used() const;
-  /// \return repeats that can be paid for now
+  /// \return retries that the budget covers now
   double left() const;
-  /// \return repeats that were not paid for since the start
+  /// \return calls of withdraw() that were refused since the start
   std::uint64_t totalRefused() const { return total_refused_; }
 
  private:
   void refused();
-  void paid(std::uint32_t repeats);
+  void granted(std::uint32_t retries);
 
   const common::ServiceName service_;
   const RetryLimitSettings settings_;
   const api::ProcessContext& context_;
   const LocalShareFunction local_share_;
   SlidingWindowCounter window_counter_;
-  /// Set from the first refusal until repeats are paid for again.
+  /// True from the first refusal until retries are granted again.
   bool exhausted_ = false;
   common::MonotonicTime last_refused_at_{};
-  /// Since the account was found empty.
+  /// Refusals since the budget was exhausted.
   std::uint64_t refusals_ = 0;
   std::uint64_t total_refused_ = 0;
   common::Counter& granted_count_;
@@ -67,21 +67,21 @@
   common::Counter& left_gauge_;
 };
 
-/// The accounts of all services, one each, made when a service is first asked for.
+/// The budgets of all services, each created when it is first requested.
 class RetryBudgets {
  public:
   RetryBudgets(const RetryLimitSettings& settings, const api::ProcessContext& context,
                LocalShareFunction local_share);
   RetryBudget& of(const common::ServiceName& service);
   const std::map<common::ServiceName, std::unique_ptr<RetryBudget>>& all() const {
-    return accounts_;
+    return budgets_;
   }
 
  private:
   const RetryLimitSettings settings_;
   const api::ProcessContext& context_;
   const LocalShareFunction local_share_;
-  std::map<common::ServiceName, std::unique_ptr<RetryBudget>> accounts_;
+  std::map<common::ServiceName, std::unique_ptr<RetryBudget>> budgets_;
 };
 
 }  // namespace cypresswall::fleet_limits
--- a/src/cypresswall/fleet_limits/sliding_window_counter.h
+++ b/src/cypresswall/fleet_limits/sliding_window_counter.h
@@ -1,4 +1,4 @@
-/// What came in and what was used over a sliding window.
+/// Sums of earned and used amounts over a sliding window.
 #pragma once
 
 #include <array>
@@ -9,8 +9,8 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Sums over the last window in slices of a twentieth of it. Both sums err to the safe side: what
-/// was used counts for up to two slices longer than the window, what came in for up to one less.
+/// Divides the window into 20 slices. Both sums are conservative: used amounts count for up to two
+/// slices longer than the window, earned amounts for up to one slice less.
 class SlidingWindowCounter {
  public:
   explicit SlidingWindowCounter(common::Duration window);
@@ -22,11 +22,12 @@
 
  private:
   static constexpr std::size_t kSlicesPerWindow = 20;
-  /// The present slice, those of the window, and one more in which borrowed amounts are used.
+  /// The current slice, those of the window, and one more for the conservative sum of used amounts.
   static constexpr std::size_t kUsedSlices = kSlicesPerWindow + 2;
 
   struct Slice {
-    /// Number since the clock's zero; tells an old slice from the present one in its place.
+    /// Slice number since the clock's epoch; distinguishes an outdated slice from the current one
+    /// at the same index.
     std::int64_t number = -1;
     double earned = 0;
     double used = 0;
--- a/tests/fleet_limits/fleet_retries_test.cpp
+++ b/tests/fleet_limits/fleet_retries_test.cpp
@@ -1,14 +1,10 @@
-/// Repeats of a service's requests, summed over a fleet, stay within what its operators allow.
+/// The retries of a service, summed over all nodes of a fleet, stay within the configured limit.
 ///
-/// Seen: a back-end service got more arrivals beyond the first of each request than were allowed in
-/// ten seconds, on a fleet of 66 nodes with little traffic.
-/// How it came about: most engines of the service failed most requests, and all nodes restarted
-/// while that lasted.
-/// Cause: the burst that may be repeated at once was a constant of each process, full at its start.
-/// 66 processes held 330 repeats where the fleet was allowed 172, and held them anew after the
-/// restart.
-/// Proof: 7 nodes, whose bursts together are smaller than what is allowed, stayed within the limit
-/// under the same failures; 66 went beyond it by 54 without the restart, and by 227 with it.
+/// Guards against a burst that is a constant of each process and full at its start: 66 nodes then
+/// held 330 retries where the fleet was allowed 172, and again after a restart. With little traffic
+/// and most engines failing most requests, 66 nodes exceeded the limit by 54 retries in ten
+/// seconds, and by 227 if all nodes restarted meanwhile. 7 nodes, whose bursts add up to less than
+/// the limit, stayed within it.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -32,13 +28,13 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t kVersion = 41;
-/// What operators allow: this share of the requests, and so many more, in each window.
+/// Retries allowed in each window: this share of the requests, plus the allowed burst.
 constexpr double kAllowedShare = 0.2;
 constexpr common::Duration kWindow = seconds(10);
-/// From their start until the nodes get traffic.
-constexpr common::Duration kLead = seconds(14);
+/// Time from the start of the nodes until they get traffic.
+constexpr common::Duration kWarmUp = seconds(14);
 
-/// What a fleet is, what it is asked, and what goes wrong.
+/// Size of the fleet, its traffic and its faults.
 struct Scenario {
   std::uint32_t nodes = 66;
   std::uint32_t engines = 57;
@@ -47,7 +43,7 @@
   bool restarts = true;
 };
 
-/// The settings that are deployed, for a fleet with these limits.
+/// Settings from the deployed template, for a fleet with these limits.
 node::NodeSettings deployedSettings(const Scenario& scenario) {
   const testing::TemplateValues values = {
       {"listen_addrs.control", "10.1.0.1:7000"},
@@ -85,18 +81,18 @@
     declared_.set(configuration::applyChange({}, change));
     fleet_ = std::make_unique<SimulatedFleet>(seed, settings);
     fleet_->bringUp();
-    fleet_->time().runFor(kLead);
+    fleet_->time().runFor(kWarmUp);
   }
 
-  void ask(common::Duration duration) {
+  void sendRequests(common::Duration duration) {
     const common::Duration step = common::Duration(seconds(1)) / scenario_.requests_per_second;
     for (common::Duration spent{0}; spent < duration; spent += step) {
       fleet_->askModel(fleet_->simulation().random().below(scenario_.nodes), 300, 2);
       fleet_->time().runFor(step);
     }
   }
-  /// Four of five engines fail four of five requests.
-  void letEnginesFail() {
+  /// Makes four of five engines fail four of five requests.
+  void makeEnginesFail() {
     std::uint32_t number = 0;
     for (const auto& [address, engine] : fleet_->engines().all()) {
       emulation::EngineFaults faults;
@@ -111,39 +107,39 @@
     }
   }
 
-  /// \return by how much the repeats of the worst window went beyond what was allowed there
+  /// \return the largest excess of retries over the allowed number in any window
   double worstExcess() const {
-    const std::vector<common::MonotonicTime> repeats = repeatTimes();
+    const std::vector<common::MonotonicTime> retries = retryTimes();
     double worst = -static_cast<double>(scenario_.allowed_burst);
-    for (std::size_t first = 0; first < repeats.size(); ++first) {
-      const auto end = repeats[first] + kWindow;
-      const auto beyond = std::lower_bound(repeats.begin(), repeats.end(), end);
-      const auto count = static_cast<double>(beyond - repeats.begin()) - static_cast<double>(first);
-      worst = std::max(worst, count - allowedFrom(repeats[first]));
+    for (std::size_t first = 0; first < retries.size(); ++first) {
+      const auto end = retries[first] + kWindow;
+      const auto beyond = std::lower_bound(retries.begin(), retries.end(), end);
+      const auto count = static_cast<double>(beyond - retries.begin()) - static_cast<double>(first);
+      worst = std::max(worst, count - allowedFrom(retries[first]));
     }
     return worst;
   }
-  std::size_t repeats() const { return repeatTimes().size(); }
+  std::size_t retries() const { return retryTimes().size(); }
 
  private:
-  /// When each arrival at an engine came that was not the first of its request.
-  std::vector<common::MonotonicTime> repeatTimes() const {
+  /// \return the times of all arrivals at engines except the first one of each request
+  std::vector<common::MonotonicTime> retryTimes() const {
     std::map<std::string, std::vector<common::MonotonicTime>> arrivals;
     for (const auto& [address, engine] : fleet_->engines().all()) {
       for (const emulation::StreamEntry& stream : engine->ledger().streams) {
         arrivals[stream.stream_id].push_back(stream.started_at);
       }
     }
-    std::vector<common::MonotonicTime> repeats;
+    std::vector<common::MonotonicTime> retries;
     for (auto& [stream, times] : arrivals) {
       std::sort(times.begin(), times.end());
-      repeats.insert(repeats.end(), times.begin() + 1, times.end());
+      retries.insert(retries.end(), times.begin() + 1, times.end());
     }
-    std::sort(repeats.begin(), repeats.end());
-    return repeats;
+    std::sort(retries.begin(), retries.end());
+    return retries;
   }
-  /// What is allowed in the window from `start`: requests count that were sent in it, in the one
-  /// before, or in the one that lies half before, whichever holds the most.
+  /// \return the retries allowed in the window from `start`, based on the requests of that window,
+  ///   of the previous one or of the one half a window earlier, whichever has the most
   double allowedFrom(common::MonotonicTime start) const {
     std::size_t most = 0;
     for (const auto back : {common::Duration{0}, kWindow / 2, kWindow}) {
@@ -162,49 +158,48 @@
   std::unique_ptr<SimulatedFleet> fleet_;
 };
 
-class FleetRepeatsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FleetRepeatsTest);
-  CPPUNIT_TEST(stayAllowedWhenAllNodesRestart);
-  CPPUNIT_TEST(stayAllowedWithoutRestart);
-  CPPUNIT_TEST(stayAllowedOnFewNodes);
+class FleetRetriesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(FleetRetriesTest);
+  CPPUNIT_TEST(staysWithinLimitWhenAllNodesRestart);
+  CPPUNIT_TEST(staysWithinLimitWithoutRestart);
+  CPPUNIT_TEST(staysWithinLimitOnFewNodes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void stayAllowedWhenAllNodesRestart() { requireAllowed(Scenario{}); }
-  void stayAllowedWithoutRestart() {
+  void staysWithinLimitWhenAllNodesRestart() { requireWithinLimit(Scenario{}); }
+  void staysWithinLimitWithoutRestart() {
     Scenario scenario;
     scenario.restarts = false;
-    requireAllowed(scenario);
+    requireWithinLimit(scenario);
   }
-  void stayAllowedOnFewNodes() {
+  void staysWithinLimitOnFewNodes() {
     Scenario scenario;
     scenario.nodes = 7;
     scenario.engines = 12;
     scenario.allowed_burst = 54;
-    requireAllowed(scenario);
+    requireWithinLimit(scenario);
   }
 
  private:
-  static void requireAllowed(const Scenario& scenario) {
+  static void requireWithinLimit(const Scenario& scenario) {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Fleet fleet(seed, scenario);
-      fleet.ask(seconds(10));
-      fleet.letEnginesFail();
-      fleet.ask(seconds(5));
+      fleet.sendRequests(seconds(10));
+      fleet.makeEnginesFail();
+      fleet.sendRequests(seconds(5));
       if (scenario.restarts) {
         fleet.restartAll();
       }
-      fleet.ask(seconds(8));
-      CPPUNIT_ASSERT_MESSAGE("nothing was repeated", fleet.repeats() > 20);
-      CPPUNIT_ASSERT_MESSAGE(
-          "repeats beyond what is allowed: " + std::to_string(fleet.worstExcess()) + ", seed " +
-              std::to_string(seed),
-          fleet.worstExcess() <= 0);
+      fleet.sendRequests(seconds(8));
+      CPPUNIT_ASSERT_MESSAGE("no request was retried", fleet.retries() > 20);
+      CPPUNIT_ASSERT_MESSAGE("retries beyond the limit: " + std::to_string(fleet.worstExcess()) +
+                                 ", seed " + std::to_string(seed),
+                             fleet.worstExcess() <= 0);
     }
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FleetRepeatsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FleetRetriesTest);
 
 }  // namespace
 }  // namespace cypresswall::fleet_limits
--- a/tests/fleet_limits/fleet_sum_test.cpp
+++ b/tests/fleet_limits/fleet_retry_total_test.cpp
@@ -1,6 +1,6 @@
-/// Repeats that the accounts of a whole fleet pay for stay within the limit in each window,
-/// whatever its nodes go through: restarts, losses, additions, cuts, pauses, and lists of members
-/// that differ for seconds.
+/// The retries granted by the budgets of a whole fleet stay within the limit in each window,
+/// despite restarts, lost and added nodes, partitions, pauses, and member lists that differ for
+/// seconds.
 #include <algorithm>
 #include <deque>
 #include <optional>
@@ -13,34 +13,35 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using testing::AccountNode;
+using testing::BudgetNode;
 using List = testing::SharedMembership::List;
 
 constexpr common::Duration kStep = milliseconds(250);
 constexpr int kStepsPerWindow = 40;
 constexpr double kShare = 0.2;
-/// Requests a second at each node with the usual traffic.
-constexpr double kUsualRate = 8;
-/// Traffic at which hardly any repeat rests on requests, so that parts alone are seen.
-constexpr double kLittleTraffic = 0.002;
-/// News of members takes up to so many steps to reach the last node.
-constexpr std::uint32_t kSlowestNews = 16;
-/// Nodes are added up to about twice as many.
-constexpr std::size_t kMostNodes = 1000;
-/// Of ten requests, so many fail while engines fail.
+/// Requests per second at each node with a traffic factor of 1.
+constexpr double kBaseRate = 8;
+/// Traffic factor at which requests earn hardly any retries, so that only the local shares matter.
+constexpr double kMinimalTraffic = 0.002;
+/// Maximum number of steps until a node sees a membership change.
+constexpr std::uint32_t kMaximumViewDelaySteps = 16;
+/// No nodes are added beyond this number; one addition may exceed it by two thirds.
+constexpr std::size_t kMaximumNodes = 1000;
+/// Number of failing requests out of ten while engines fail.
 constexpr std::uint32_t kFailingOfTen = 6;
 
-enum class Trouble : std::uint8_t {
+enum class Fault : std::uint8_t {
   kRestartAll,
   kLoseSome,
   kAddMany,
-  kCutSome,
+  kPartition,
   kPauseSome,
   kCount
 };
 
-/// Who has failures.
-enum class Failures : std::uint8_t { kNowhere, kEverywhere, kAtOneNode, kAllThatIsHeld, kCount };
+/// Which nodes see failing requests. With kAtOneNode, one node uses up its whole budget at once;
+/// with kWholeBudget, every node does.
+enum class Failures : std::uint8_t { kNowhere, kEverywhere, kAtOneNode, kWholeBudget, kCount };
 
 List listOf(std::size_t members) {
   return std::make_shared<const std::vector<membership::Member>>(members);
@@ -49,105 +50,106 @@
 class Fleet {
  public:
   Fleet(std::uint64_t seed, std::size_t nodes, double traffic)
-      : random_(seed), rate_(kUsualRate * traffic) {
+      : random_(seed), rate_(kBaseRate * traffic) {
     limits_.fleet_share = kShare;
     limits_.fleet_burst = 40 + 2 * static_cast<double>(nodes);
     part_.withhold_after_start = true;
     for (std::size_t node = 0; node < nodes; ++node) {
       nodes_.push_back(start());
     }
-    tellAll(0, nodes_.size());
+    scheduleViews(0, nodes_.size());
   }
 
-  /// Plays a quarter of a second.
+  /// Simulates one step of 250 ms.
   void step(Failures failures) {
     time_.runFor(kStep);
     ++now_;
-    news();
+    deliverViews();
     requests_.push_back(0);
-    repeats_.push_back(0);
+    retries_.push_back(0);
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      const bool greedy = failures == Failures::kAllThatIsHeld ||
-                          (failures == Failures::kAtOneNode && node == favourite_);
+      const bool greedy = failures == Failures::kWholeBudget ||
+                          (failures == Failures::kAtOneNode && node == failing_node_);
       takeRequests(*nodes_[node], greedy || failures == Failures::kEverywhere, greedy);
     }
   }
 
-  void strike(Trouble trouble) {
-    switch (trouble) {
-      case Trouble::kRestartAll:
+  void inject(Fault fault) {
+    switch (fault) {
+      case Fault::kRestartAll:
         for (auto& node : nodes_) {
           node = start();
         }
-        tellAll(0, nodes_.size());
+        scheduleViews(0, nodes_.size());
         break;
-      case Trouble::kLoseSome:
+      case Fault::kLoseSome:
         nodes_.resize(std::max<std::size_t>(1, nodes_.size() * 6 / 10));
-        tellAll(0, nodes_.size());
+        scheduleViews(0, nodes_.size());
         break;
-      case Trouble::kAddMany:
-        for (std::size_t added = nodes_.size() > kMostNodes ? 0 : nodes_.size() * 2 / 3; added > 0;
-             --added) {
+      case Fault::kAddMany:
+        for (std::size_t added = nodes_.size() > kMaximumNodes ? 0 : nodes_.size() * 2 / 3;
+             added > 0; --added) {
           nodes_.push_back(start());
         }
-        tellAll(0, nodes_.size());
+        scheduleViews(0, nodes_.size());
         break;
-      case Trouble::kCutSome:
+      case Fault::kPartition:
         cut_ = nodes_.size() * 35 / 100;
-        tell(0, cut_, cut_);
-        tell(cut_, nodes_.size(), nodes_.size() - cut_);
+        scheduleView(0, cut_, cut_);
+        scheduleView(cut_, nodes_.size(), nodes_.size() - cut_);
         break;
-      case Trouble::kPauseSome:
+      case Fault::kPauseSome:
         pauseSome();
         break;
-      case Trouble::kCount:
+      case Fault::kCount:
         break;
     }
   }
-  /// Ends cuts and pauses.
-  void heal() {
-    tellAll(0, nodes_.size());
+  /// Ends partitions and pauses.
+  void recover() {
+    scheduleViews(0, nodes_.size());
     for (auto& node : nodes_) {
       node->timers.wake();
     }
   }
 
-  /// \return by how much the repeats of the worst window went beyond the limit
+  /// \return the largest excess of retries over the limit in any window
   double worstExcess() const {
     double worst = -limits_.fleet_burst;
     for (int start = 0; start + kStepsPerWindow <= now_; ++start) {
       const double requests =
           std::max({sum(requests_, start), sum(requests_, start - kStepsPerWindow / 2),
                     sum(requests_, start - kStepsPerWindow)});
-      worst = std::max(worst, sum(repeats_, start) - kShare * requests - limits_.fleet_burst);
+      worst = std::max(worst, sum(retries_, start) - kShare * requests - limits_.fleet_burst);
     }
     return worst;
   }
-  double repeats() const { return sum(repeats_, 0, now_); }
+  double retries() const { return sum(retries_, 0, now_); }
 
  private:
-  struct News {
+  struct PendingView {
     int at = 0;
-    AccountNode* node = nullptr;
+    BudgetNode* node = nullptr;
     List list;
   };
 
-  std::unique_ptr<AccountNode> start() {
-    return std::make_unique<AccountNode>(time_, limits_, part_);
+  std::unique_ptr<BudgetNode> start() {
+    return std::make_unique<BudgetNode>(time_, limits_, part_);
   }
-  void tellAll(std::size_t from, std::size_t to) { tell(from, to, nodes_.size()); }
-  /// Lets these nodes see so many members, each at its own time.
-  void tell(std::size_t from, std::size_t to, std::size_t members) {
+  void scheduleViews(std::size_t from, std::size_t to) { scheduleView(from, to, nodes_.size()); }
+  /// Makes these nodes see this number of members, each after a random delay.
+  void scheduleView(std::size_t from, std::size_t to, std::size_t members) {
     const List list = listOf(members);
     for (std::size_t node = from; node < to; ++node) {
-      const auto delay = static_cast<int>(random_.below(kSlowestNews));
-      std::erase_if(news_, [&](const News& old) { return old.node == nodes_[node].get(); });
-      news_.push_back({now_ + delay, nodes_[node].get(), list});
+      const auto delay = static_cast<int>(random_.below(kMaximumViewDelaySteps));
+      std::erase_if(pending_views_,
+                    [&](const PendingView& old) { return old.node == nodes_[node].get(); });
+      pending_views_.push_back({now_ + delay, nodes_[node].get(), list});
     }
   }
-  void news() {
-    std::deque<News> later;
-    for (const News& item : news_) {
+  void deliverViews() {
+    std::deque<PendingView> later;
+    for (const PendingView& item : pending_views_) {
       const bool alive = std::any_of(nodes_.begin(), nodes_.end(),
                                      [&](const auto& node) { return node.get() == item.node; });
       if (!alive) {
@@ -156,18 +158,18 @@
       if (item.at > now_ || item.node->timers.paused) {
         later.push_back(item);
       } else {
-        item.node->membership.see(item.list);
+        item.node->membership.setMembers(item.list);
       }
     }
-    news_ = std::move(later);
+    pending_views_ = std::move(later);
   }
   void pauseSome() {
     for (auto& node : nodes_) {
       node->timers.paused = random_.below(3) == 0;
     }
   }
-  /// \param greedy takes whatever the account holds
-  void takeRequests(AccountNode& node, bool fails, bool greedy) {
+  /// \param greedy whether the node uses up its whole budget
+  void takeRequests(BudgetNode& node, bool fails, bool greedy) {
     if (node.timers.paused) {
       return;
     }
@@ -176,13 +178,13 @@
     count += random_.unit() < expected - count ? 1 : 0;
     requests_.back() += count;
     for (; count > 0; --count) {
-      node.account().recordRequest();
-      if (fails && random_.below(10) < kFailingOfTen && node.account().withdraw()) {
-        ++repeats_.back();
+      node.budget().recordRequest();
+      if (fails && random_.below(10) < kFailingOfTen && node.budget().withdraw()) {
+        ++retries_.back();
       }
     }
-    while (greedy && node.account().withdraw()) {
-      ++repeats_.back();
+    while (greedy && node.budget().withdraw()) {
+      ++retries_.back();
     }
   }
   static double sum(const std::vector<double>& values, int start, int steps = kStepsPerWindow) {
@@ -198,13 +200,13 @@
   RetryLimitSettings limits_;
   LocalShareSettings part_;
   simulation::VirtualTime time_;
-  std::vector<std::unique_ptr<AccountNode>> nodes_;
-  std::deque<News> news_;
-  std::size_t favourite_ = 0;
+  std::vector<std::unique_ptr<BudgetNode>> nodes_;
+  std::deque<PendingView> pending_views_;
+  std::size_t failing_node_ = 0;
   std::size_t cut_ = 0;
   int now_ = 0;
   std::vector<double> requests_;
-  std::vector<double> repeats_;
+  std::vector<double> retries_;
 };
 
 template <typename Kind>
@@ -212,18 +214,18 @@
   return static_cast<Kind>(random.below(static_cast<std::uint64_t>(Kind::kCount)));
 }
 
-class FleetSumTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FleetSumTest);
-  CPPUNIT_TEST(staysWithinTheLimitUnderTrouble);
-  CPPUNIT_TEST(staysWithinTheLimitWhenAllRestart);
-  CPPUNIT_TEST(twoSidesOfACutStayWithinTheLimit);
-  CPPUNIT_TEST(wokenNodesStayWithinTheLimit);
-  CPPUNIT_TEST(thoseThatAreLeftStayWithinTheLimit);
+class FleetRetryTotalTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(FleetRetryTotalTest);
+  CPPUNIT_TEST(totalStaysWithinLimitUnderFaults);
+  CPPUNIT_TEST(totalStaysWithinLimitWhenAllRestart);
+  CPPUNIT_TEST(bothSidesOfPartitionStayWithinLimit);
+  CPPUNIT_TEST(resumedNodesStayWithinLimit);
+  CPPUNIT_TEST(remainingNodesStayWithinLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void staysWithinTheLimitUnderTrouble() {
-    testing::requireProperty("a fleet's repeats stay within the limit", 40, [](std::uint32_t seed) {
+  void totalStaysWithinLimitUnderFaults() {
+    testing::requireProperty("a fleet's retries stay within the limit", 40, [](std::uint32_t seed) {
       common::SeededRandom random(seed);
       constexpr std::size_t kSizes[] = {1, 7, 13, 66, 66, 300};
       constexpr double kTraffic[] = {0.1, 0.125, 1, 3};
@@ -233,46 +235,46 @@
     });
   }
 
-  void staysWithinTheLimitWhenAllRestart() {
+  void totalStaysWithinLimitWhenAllRestart() {
     for (const std::size_t nodes : {1U, 13U, 66U, 300U, 1000U}) {
       Fleet fleet(nodes, nodes, 0.125);
       run(fleet, 100, Failures::kEverywhere);
-      fleet.strike(Trouble::kRestartAll);
+      fleet.inject(Fault::kRestartAll);
       run(fleet, 20, Failures::kEverywhere);
-      fleet.strike(Trouble::kAddMany);
+      fleet.inject(Fault::kAddMany);
       run(fleet, 80, Failures::kEverywhere);
       CPPUNIT_ASSERT(fleet.worstExcess() <= 0);
-      CPPUNIT_ASSERT(fleet.repeats() > 0);
+      CPPUNIT_ASSERT(fleet.retries() > 0);
     }
   }
 
-  void twoSidesOfACutStayWithinTheLimit() {
-    Fleet fleet(1, 66, kLittleTraffic);
+  void bothSidesOfPartitionStayWithinLimit() {
+    Fleet fleet(1, 66, kMinimalTraffic);
     run(fleet, 100, Failures::kNowhere);
-    fleet.strike(Trouble::kCutSome);
-    run(fleet, 300, Failures::kAllThatIsHeld);
-    fleet.heal();
-    run(fleet, 100, Failures::kAllThatIsHeld);
+    fleet.inject(Fault::kPartition);
+    run(fleet, 300, Failures::kWholeBudget);
+    fleet.recover();
+    run(fleet, 100, Failures::kWholeBudget);
     CPPUNIT_ASSERT(fleet.worstExcess() <= 0);
   }
 
-  void wokenNodesStayWithinTheLimit() {
-    Fleet fleet(1, 30, kLittleTraffic);
+  void resumedNodesStayWithinLimit() {
+    Fleet fleet(1, 30, kMinimalTraffic);
     run(fleet, 100, Failures::kNowhere);
-    fleet.strike(Trouble::kPauseSome);
-    fleet.strike(Trouble::kAddMany);
-    run(fleet, 200, Failures::kAllThatIsHeld);
-    fleet.heal();
-    run(fleet, 100, Failures::kAllThatIsHeld);
+    fleet.inject(Fault::kPauseSome);
+    fleet.inject(Fault::kAddMany);
+    run(fleet, 200, Failures::kWholeBudget);
+    fleet.recover();
+    run(fleet, 100, Failures::kWholeBudget);
     CPPUNIT_ASSERT(fleet.worstExcess() <= 0);
   }
 
-  void thoseThatAreLeftStayWithinTheLimit() {
-    Fleet fleet(1, 66, kLittleTraffic);
+  void remainingNodesStayWithinLimit() {
+    Fleet fleet(1, 66, kMinimalTraffic);
     run(fleet, 100, Failures::kNowhere);
-    run(fleet, 4, Failures::kAllThatIsHeld);
-    fleet.strike(Trouble::kLoseSome);
-    run(fleet, 150, Failures::kAllThatIsHeld);
+    run(fleet, 4, Failures::kWholeBudget);
+    fleet.inject(Fault::kLoseSome);
+    run(fleet, 150, Failures::kWholeBudget);
     CPPUNIT_ASSERT(fleet.worstExcess() <= 0);
   }
 
@@ -287,9 +289,9 @@
       const auto failures = drawn<Failures>(random);
       run(fleet, 20 + static_cast<int>(random.below(60)), failures);
       if (random.below(3) == 0) {
-        fleet.heal();
+        fleet.recover();
       } else {
-        fleet.strike(drawn<Trouble>(random));
+        fleet.inject(drawn<Fault>(random));
       }
     }
     run(fleet, kStepsPerWindow, Failures::kEverywhere);
@@ -297,7 +299,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(FleetSumTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(FleetRetryTotalTest);
 
 }  // namespace
 }  // namespace cypresswall::fleet_limits
--- a/tests/fleet_limits/permit_accounts_test.cpp
+++ b/tests/fleet_limits/permit_accounts_test.cpp
@@ -13,19 +13,19 @@
 
 class PermitAccountsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PermitAccountsTest);
-  CPPUNIT_TEST(accountBeginsEmpty);
-  CPPUNIT_TEST(pauseSavesNoMoreThanTheBurst);
-  CPPUNIT_TEST(refusalTellsWhenTheNextPermitIsThere);
+  CPPUNIT_TEST(accountStartsEmpty);
+  CPPUNIT_TEST(idleAccountSavesAtMostTheBurst);
+  CPPUNIT_TEST(refusalReportsTimeToNextPermit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Whoever kept it before may have given out all.
-  void accountBeginsEmpty() {
+  /// The previous keeper may have granted the whole limit already.
+  void accountStartsEmpty() {
     CPPUNIT_ASSERT(!accounts_.take(kServer, kLimit, 1, now_).granted);
     CPPUNIT_ASSERT(accounts_.take(kServer, kLimit, 1, now_ + milliseconds(250)).granted);
     CPPUNIT_ASSERT(!accounts_.take(kServer, kLimit, 1, now_ + milliseconds(250)).granted);
   }
-  void pauseSavesNoMoreThanTheBurst() {
+  void idleAccountSavesAtMostTheBurst() {
     accounts_.take(kServer, kLimit, 1, now_);
     int granted = 0;
     while (accounts_.take(kServer, kLimit, 1, now_ + seconds(60)).granted) {
@@ -33,7 +33,7 @@
     }
     CPPUNIT_ASSERT_EQUAL(4, granted);
   }
-  void refusalTellsWhenTheNextPermitIsThere() {
+  void refusalReportsTimeToNextPermit() {
     CPPUNIT_ASSERT(milliseconds(250) == accounts_.take(kServer, kLimit, 1, now_).wait);
     CPPUNIT_ASSERT(seconds(10) == accounts_.take("engine-2", 0, 1, now_).wait);
   }
--- a/tests/fleet_limits/rate_limit_table_test.cpp
+++ b/tests/fleet_limits/rate_limit_table_test.cpp
@@ -12,72 +12,72 @@
 
 constexpr const char* kServer = "engine-1";
 
-/// Moments count from here, so that requests can have been sent before the first answer.
+/// Test times are relative to one hour, so that requests can be sent before the first response.
 common::MonotonicTime at(common::Duration since_start) {
   return common::MonotonicTime(std::chrono::hours(1)) + since_start;
 }
 
 class RateLimitTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RateLimitTableTest);
-  CPPUNIT_TEST(firstNoticeIsNewsAndTheNextIsNot);
-  CPPUNIT_TEST(lowerLimitHoldsAtOnceAndHigherAfterAWhile);
-  CPPUNIT_TEST(limitEndsByAnAnswerToALaterRequestOnly);
-  CPPUNIT_TEST(serverThatNamesALimitInTurnsStaysUnderIt);
-  CPPUNIT_TEST(answerFromBeforeTheEndDoesNotBringTheLimitBack);
-  CPPUNIT_TEST(hugeLimitIsNone);
+  CPPUNIT_TEST(firstNoticeChangesTableAndRepeatDoesNot);
+  CPPUNIT_TEST(lowerLimitAppliesAtOnceAndHigherAfterDelay);
+  CPPUNIT_TEST(limitEndsOnlyByResponseToLaterRequest);
+  CPPUNIT_TEST(alternatingLimitStaysActive);
+  CPPUNIT_TEST(earlierResponseDoesNotReactivateLimit);
+  CPPUNIT_TEST(hugeLimitCountsAsNone);
   CPPUNIT_TEST(unreadableNoticeChangesNothing);
-  CPPUNIT_TEST(newerVersionWinsAndOfTwoAlikeTheLowerLimit);
-  CPPUNIT_TEST(oldKnowledgeIsForgottenAndNotTaken);
-  CPPUNIT_TEST(remembersSoManyServersOnly);
+  CPPUNIT_TEST(newerVersionWinsAndLowerLimitBreaksTies);
+  CPPUNIT_TEST(outdatedLimitIsRemovedAndNotMerged);
+  CPPUNIT_TEST(tableSizeIsBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void firstNoticeIsNewsAndTheNextIsNot() {
-    CPPUNIT_ASSERT(hears(5.5, seconds(1)));
-    CPPUNIT_ASSERT(!hears(5.5, seconds(2)));
+  void firstNoticeChangesTableAndRepeatDoesNot() {
+    CPPUNIT_ASSERT(namesLimit(5.5, seconds(1)));
+    CPPUNIT_ASSERT(!namesLimit(5.5, seconds(2)));
     CPPUNIT_ASSERT_EQUAL(5.5, limit());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, table_.activeCount());
   }
-  void lowerLimitHoldsAtOnceAndHigherAfterAWhile() {
-    hears(5, seconds(1));
-    CPPUNIT_ASSERT(hears(2, milliseconds(1010)));
-    CPPUNIT_ASSERT(!hears(5, milliseconds(1500)));
+  void lowerLimitAppliesAtOnceAndHigherAfterDelay() {
+    namesLimit(5, seconds(1));
+    CPPUNIT_ASSERT(namesLimit(2, milliseconds(1010)));
+    CPPUNIT_ASSERT(!namesLimit(5, milliseconds(1500)));
     CPPUNIT_ASSERT_EQUAL(2.0, limit());
-    CPPUNIT_ASSERT(hears(5, milliseconds(2100)));
+    CPPUNIT_ASSERT(namesLimit(5, milliseconds(2100)));
     CPPUNIT_ASSERT_EQUAL(5.0, limit());
   }
-  void limitEndsByAnAnswerToALaterRequestOnly() {
-    hears(5, seconds(1));
-    CPPUNIT_ASSERT(!hearsNone(milliseconds(900), seconds(3)));
-    CPPUNIT_ASSERT(hearsNone(milliseconds(2900), seconds(3)));
+  void limitEndsOnlyByResponseToLaterRequest() {
+    namesLimit(5, seconds(1));
+    CPPUNIT_ASSERT(!namesNone(milliseconds(900), seconds(3)));
+    CPPUNIT_ASSERT(namesNone(milliseconds(2900), seconds(3)));
     CPPUNIT_ASSERT(table_.activeLimit(kServer) == nullptr);
   }
-  void serverThatNamesALimitInTurnsStaysUnderIt() {
+  void alternatingLimitStaysActive() {
     for (common::Duration now = seconds(1); now < seconds(10); now += milliseconds(400)) {
-      hears(5, now);
-      hearsNone(now + milliseconds(100), now + milliseconds(200));
+      namesLimit(5, now);
+      namesNone(now + milliseconds(100), now + milliseconds(200));
       CPPUNIT_ASSERT(table_.activeLimit(kServer) != nullptr);
     }
   }
-  void answerFromBeforeTheEndDoesNotBringTheLimitBack() {
-    hears(5, seconds(1));
-    hearsNone(milliseconds(2900), seconds(3));
+  void earlierResponseDoesNotReactivateLimit() {
+    namesLimit(5, seconds(1));
+    namesNone(milliseconds(2900), seconds(3));
     CPPUNIT_ASSERT(!table_.answered(kServer, namedRateLimit(5), at(seconds(2)), at(seconds(4))));
     CPPUNIT_ASSERT(table_.answered(kServer, namedRateLimit(5), at(seconds(4)), at(seconds(5))));
   }
-  void hugeLimitIsNone() {
-    CPPUNIT_ASSERT(!hears(1e300, seconds(1)));
-    hears(5, seconds(2));
-    CPPUNIT_ASSERT(hears(1e300, seconds(4)));
+  void hugeLimitCountsAsNone() {
+    CPPUNIT_ASSERT(!namesLimit(1e300, seconds(1)));
+    namesLimit(5, seconds(2));
+    CPPUNIT_ASSERT(namesLimit(1e300, seconds(4)));
     CPPUNIT_ASSERT(table_.activeLimit(kServer) == nullptr);
   }
   void unreadableNoticeChangesNothing() {
     const RateLimitNotice unreadable{RateLimitNotice::Kind::kUnreadable, 0};
-    hears(5, seconds(1));
+    namesLimit(5, seconds(1));
     CPPUNIT_ASSERT(!table_.answered(kServer, unreadable, at(seconds(9)), at(seconds(10))));
     CPPUNIT_ASSERT_EQUAL(5.0, limit());
   }
-  void newerVersionWinsAndOfTwoAlikeTheLowerLimit() {
+  void newerVersionWinsAndLowerLimitBreaksTies() {
     CPPUNIT_ASSERT(merges(1, 5));
     CPPUNIT_ASSERT(!merges(1, 5));
     CPPUNIT_ASSERT(!merges(1, 7));
@@ -87,14 +87,14 @@
     CPPUNIT_ASSERT(!merges(1, 1));
     CPPUNIT_ASSERT(table_.activeLimit(kServer) == nullptr);
   }
-  void oldKnowledgeIsForgottenAndNotTaken() {
-    hears(5, seconds(1));
+  void outdatedLimitIsRemovedAndNotMerged() {
+    namesLimit(5, seconds(1));
     CPPUNIT_ASSERT(table_.expire(at(seconds(61))).empty());
     CPPUNIT_ASSERT(table_.expire(at(seconds(62))) == std::vector<std::string>{kServer});
     CPPUNIT_ASSERT(!table_.merge(kServer, {4, 5.0, at(seconds(1))}, at(seconds(62))));
     CPPUNIT_ASSERT(table_.all().empty());
   }
-  void remembersSoManyServersOnly() {
+  void tableSizeIsBounded() {
     RateLimitTableSettings settings;
     settings.maximum_servers = 2;
     RateLimitTable table(settings);
@@ -106,10 +106,10 @@
   }
 
  private:
-  bool hears(double value, common::Duration now) {
+  bool namesLimit(double value, common::Duration now) {
     return table_.answered(kServer, namedRateLimit(value), at(now - milliseconds(50)), at(now));
   }
-  bool hearsNone(common::Duration sent, common::Duration now) {
+  bool namesNone(common::Duration sent, common::Duration now) {
     return table_.answered(kServer, RateLimitNotice{}, at(sent), at(now));
   }
   bool merges(std::uint64_t version, std::optional<double> value) {
--- a/tests/fleet_limits/rate_limit_zone.h
+++ b/tests/fleet_limits/rate_limit_zone.h
@@ -1,5 +1,5 @@
-/// Nodes of one zone that keep the limits which servers name, in virtual time; no server is there,
-/// a test says what was answered.
+/// Nodes of one zone that enforce rate limits, in virtual time. There are no servers: the test
+/// supplies their responses.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
       nodes_.emplace_back();
       startNode(i);
     }
-    tellMembers();
+    announceMembers();
   }
 
   void run(common::Duration time) { simulation_.time().runFor(time); }
@@ -30,14 +30,15 @@
   const common::NodeId& id(std::size_t node) const { return nodes_[node].process->id(); }
   std::uint64_t messages() { return simulation_.network().deliveredMessages(); }
 
-  /// A node gets an answer to a request that it has just sent.
-  void answer(std::size_t node, const std::string& server, const common::RateLimitNotice& notice) {
+  /// The node receives a response to a request that it has just sent.
+  void receiveResponse(std::size_t node, const std::string& server,
+                       const common::RateLimitNotice& notice) {
     at(node).answered(server, notice, nodes_[node].process->context().clock.now());
   }
-  void answer(std::size_t node, const std::string& server, double limit) {
-    answer(node, server, common::namedRateLimit(limit));
+  void receiveResponse(std::size_t node, const std::string& server, double limit) {
+    receiveResponse(node, server, common::namedRateLimit(limit));
   }
-  /// A node wants to send a request; what it gets a permit for counts as sent then.
+  /// The node asks for a permit to send a request; a granted request counts as sent at that time.
   void send(std::size_t node, const std::string& server) {
     at(node).acquire(server, [this, server](bool granted) {
       if (granted) {
@@ -47,7 +48,7 @@
       }
     });
   }
-  /// Requests for a server, each from any node, one each `interval`.
+  /// Sends one request per `interval` to a server, each from a random node.
   void sendFor(common::Duration duration, common::Duration interval, const std::string& server) {
     for (common::Duration spent{0}; spent < duration; spent += interval) {
       const auto node = simulation_.random().below(nodes_.size());
@@ -58,13 +59,13 @@
     }
   }
 
-  void end(std::size_t node) {
+  void stop(std::size_t node) {
     nodes_[node].process->kill();
     nodes_[node] = {};
   }
   void restart(std::size_t node) {
     if (nodes_[node].process != nullptr) {
-      end(node);
+      stop(node);
     }
     startNode(node);
   }
@@ -82,18 +83,18 @@
     std::sort(ids.begin(), ids.end());
     return ids;
   }
-  void tellMembers() {
+  void announceMembers() {
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      tellMembers(node, running());
+      announceMembers(node, running());
     }
   }
-  void tellMembers(std::size_t node, const std::vector<common::NodeId>& members) {
+  void announceMembers(std::size_t node, const std::vector<common::NodeId>& members) {
     if (nodes_[node].process != nullptr) {
       nodes_[node].membership->setMembers(members);
     }
   }
-  /// The first nodes and the others don't reach each other, and each side knows it.
-  void cutAfter(std::size_t first) {
+  /// Partitions the first nodes from the others; each side sees only its own members.
+  void partitionAfter(std::size_t first) {
     const auto all = running();
     for (std::size_t left = 0; left < first; ++left) {
       for (std::size_t right = first; right < nodes_.size(); ++right) {
@@ -109,10 +110,10 @@
         }
       }
       std::sort(side.begin(), side.end());
-      tellMembers(node, side);
+      announceMembers(node, side);
     }
   }
-  /// These nodes run a build that knows no limits: they keep no account.
+  /// Makes these nodes run an earlier build without rate limits, which cannot be keepers.
   void runEarlierBuild(std::size_t first, std::size_t last) {
     for (const Node& node : nodes_) {
       for (std::size_t earlier = first; earlier <= last; ++earlier) {
@@ -122,9 +123,9 @@
     for (std::size_t earlier = first; earlier <= last; ++earlier) {
       nodes_[earlier].process->context().dispatcher = {};
     }
-    tellMembers();
+    announceMembers();
   }
-  std::uint64_t messagesNotHandled() {
+  std::uint64_t unhandledMessages() {
     std::uint64_t count = 0;
     for (const auto& process : simulation_.processes()) {
       count += process->undispatchedMessages();
@@ -132,18 +133,18 @@
     return count;
   }
 
-  /// \return how many nodes know that a server stands under this limit
-  std::size_t nodesThatKnow(const std::string& server, double limit) {
+  /// \return the number of nodes that know this limit of the server
+  std::size_t nodesWithLimit(const std::string& server, double limit) {
     return count(
         [&](const fleet_limits::RateLimit* known) {
           return known != nullptr && known->requests_per_second == limit;
         },
         server);
   }
-  std::size_t nodesThatKnowNone(const std::string& server) {
+  std::size_t nodesWithoutLimit(const std::string& server) {
     return count([](const fleet_limits::RateLimit* known) { return known == nullptr; }, server);
   }
-  /// \return the node that keeps the server's account, as the first node sees it
+  /// \return the index of the server's keeper as seen by the first node
   std::size_t keeperOf(const std::string& server) {
     for (const auto& row : at(0).rows()) {
       if (row.server == server) {
@@ -162,8 +163,8 @@
     return static_cast<std::size_t>(times.end() -
                                     std::lower_bound(times.begin(), times.end(), from));
   }
-  /// \return the most requests that were sent in any span of that length
-  std::size_t worstSpan(const std::string& server, common::Duration span) {
+  /// \return the largest number of requests sent in any span of that length
+  std::size_t maximumInSpan(const std::string& server, common::Duration span) {
     const auto& times = sent_[server];
     std::size_t worst = 0;
     for (auto first = times.begin(); first != times.end(); ++first) {
--- a/tests/fleet_limits/rate_limits/engine_rate_limits_test.cpp
+++ b/tests/fleet_limits/rate_limits/engine_rate_limits_test.cpp
@@ -1,9 +1,9 @@
-/// Engines and back ends that name a limit get no more requests than that from all nodes together.
+/// Engines and back ends that name a rate limit get no more requests than that from all nodes
+/// together.
 ///
-/// Seen: engines that had named a limit of 5.2 and 1.3 requests a second got 74 and 19 requests in
-/// 4 s from the 9 nodes of their zone, as many as before.
-/// Cause: no node took notice of the limit; and had each node kept it for itself, their sum would
-/// have been as many times too large as the zone has nodes.
+/// Guards against limits that are ignored, or that each node enforces for itself, which exceeds
+/// them by a factor of the number of nodes. Before limits were enforced, engines with limits of 5.2
+/// and 1.3 requests per second got 74 and 19 requests in 4 s from the 9 nodes of their zone.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -26,13 +26,14 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t kVersion = 41;
-/// In some span of this length a server may get 1.5 times what its limit allows, and 5 more.
+/// In any span of this length a server may get 1.5 times the requests that its limit allows,
+/// plus 5.
 constexpr common::Duration kSpan = seconds(4);
 constexpr double kAllowedShare = 1.5;
-constexpr double kAllowedBeyond = 5;
-/// Spans count from here on after a server first named its limit.
-constexpr common::Duration kTimeUntilKept = seconds(3);
-/// A limit is there to be used: so much of it arrives at least while more is asked.
+constexpr double kAllowedExtra = 5;
+/// Time after a server first names its limit from which on spans are checked.
+constexpr common::Duration kEnforcementDelay = seconds(3);
+/// Minimum share of the limit that must be used while demand exceeds it.
 constexpr double kUsedShare = 0.6;
 
 struct Scenario {
@@ -59,11 +60,11 @@
     fleet_->bringUp();
   }
 
-  SimulatedFleet& all() { return *fleet_; }
+  SimulatedFleet& simulated() { return *fleet_; }
   common::MonotonicTime now() { return fleet_->time().now(); }
 
-  /// Each request at any node that runs; every tenth of the plain service.
-  void ask(common::Duration duration) {
+  /// Sends each request through a random running node; every tenth goes to the plain HTTP service.
+  void sendRequests(common::Duration duration) {
     for (common::Duration spent{0}; spent < duration; spent += scenario_.between_requests) {
       const auto node = fleet_->simulation().random().below(scenario_.nodes);
       if (fleet_->running(node)) {
@@ -100,7 +101,7 @@
   std::vector<common::MonotonicTime> arrivalsAtBackend(std::uint32_t number) {
     return fleet_->services().arrivals(simulation::backendAddress(0, number));
   }
-  std::size_t answeredOfHundred(common::MonotonicTime from) const {
+  std::size_t answeredPercent(common::MonotonicTime from) const {
     std::size_t answered = 0;
     std::size_t ended = 0;
     for (const CallerRecord& record : fleet_->records()) {
@@ -119,9 +120,9 @@
   std::uint64_t number_ = 0;
 };
 
-/// \return the most arrivals of any span that begins at `from` or later
-std::size_t worstSpan(const std::vector<common::MonotonicTime>& arrivals,
-                      common::MonotonicTime from) {
+/// \return the largest number of arrivals in any span that begins at `from` or later
+std::size_t maximumInSpan(const std::vector<common::MonotonicTime>& arrivals,
+                          common::MonotonicTime from) {
   std::size_t worst = 0;
   for (auto first = std::lower_bound(arrivals.begin(), arrivals.end(), from);
        first != arrivals.end(); ++first) {
@@ -138,13 +139,13 @@
 }
 
 double allowedInSpan(double limit) {
-  return kAllowedShare * limit * common::toSeconds(kSpan) + kAllowedBeyond;
+  return kAllowedShare * limit * common::toSeconds(kSpan) + kAllowedExtra;
 }
 
-void requireKept(const std::string& server, double limit,
-                 const std::vector<common::MonotonicTime>& arrivals, common::MonotonicTime named_at,
-                 std::uint64_t seed) {
-  const std::size_t worst = worstSpan(arrivals, named_at + kTimeUntilKept);
+void requireWithinLimit(const std::string& server, double limit,
+                        const std::vector<common::MonotonicTime>& arrivals,
+                        common::MonotonicTime named_at, std::uint64_t seed) {
+  const std::size_t worst = maximumInSpan(arrivals, named_at + kEnforcementDelay);
   CPPUNIT_ASSERT_MESSAGE(server + " with a limit of " + std::to_string(limit) + " a second got " +
                              std::to_string(worst) + " requests in 4 s, seed " +
                              std::to_string(seed),
@@ -153,115 +154,115 @@
 
 class EngineRateLimitsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineRateLimitsTest);
-  CPPUNIT_TEST(limitsOfEnginesAreKeptByTheWholeFleet);
-  CPPUNIT_TEST(limitsOfBackendsAreKeptByTheWholeFleet);
-  CPPUNIT_TEST(limitsAreKeptInALargeZone);
-  CPPUNIT_TEST(limitsAreKeptWhenNodesEndAndStart);
-  CPPUNIT_TEST(limitsOfAllEnginesTogetherAreKept);
-  CPPUNIT_TEST(engineGetsItsWorkBackWhenItNamesNoLimitAnyMore);
+  CPPUNIT_TEST(engineLimitsAreEnforcedAcrossFleet);
+  CPPUNIT_TEST(backendLimitsAreEnforcedAcrossFleet);
+  CPPUNIT_TEST(limitsAreEnforcedInLargeZone);
+  CPPUNIT_TEST(limitsAreEnforcedWhenNodesRestart);
+  CPPUNIT_TEST(limitsOfAllEnginesAreEnforced);
+  CPPUNIT_TEST(engineGetsTrafficBackWhenLimitEnds);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void limitsOfEnginesAreKeptByTheWholeFleet() {
+  void engineLimitsAreEnforcedAcrossFleet() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Fleet fleet(seed, Scenario{});
-      fleet.ask(seconds(4));
+      fleet.sendRequests(seconds(4));
       const auto named_at = fleet.now();
       fleet.limitEngine(3, 5.5);
       fleet.limitEngine(7, 1.2);
       fleet.limitEngine(9, 0);
-      fleet.ask(seconds(20));
-      requireKept("engine", 5.5, fleet.arrivalsAtEngine(3), named_at, seed);
-      requireKept("engine", 1.2, fleet.arrivalsAtEngine(7), named_at, seed);
-      requireKept("engine", 0, fleet.arrivalsAtEngine(9), named_at, seed);
+      fleet.sendRequests(seconds(20));
+      requireWithinLimit("engine", 5.5, fleet.arrivalsAtEngine(3), named_at, seed);
+      requireWithinLimit("engine", 1.2, fleet.arrivalsAtEngine(7), named_at, seed);
+      requireWithinLimit("engine", 0, fleet.arrivalsAtEngine(9), named_at, seed);
       requireUsed(5.5, fleet.arrivalsAtEngine(3), named_at, seconds(20));
       requireUsed(1.2, fleet.arrivalsAtEngine(7), named_at, seconds(20));
       requireAnswered(fleet, named_at, 97);
     }
   }
 
-  void limitsOfBackendsAreKeptByTheWholeFleet() {
+  void backendLimitsAreEnforcedAcrossFleet() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Fleet fleet(seed, Scenario{});
-      fleet.ask(seconds(4));
+      fleet.sendRequests(seconds(4));
       const auto named_at = fleet.now();
       fleet.limitBackend(1, 1.2);
-      fleet.ask(seconds(20));
-      requireKept("back end", 1.2, fleet.arrivalsAtBackend(1), named_at, seed);
+      fleet.sendRequests(seconds(20));
+      requireWithinLimit("back end", 1.2, fleet.arrivalsAtBackend(1), named_at, seed);
       requireUsed(1.2, fleet.arrivalsAtBackend(1), named_at, seconds(20));
       requireAnswered(fleet, named_at, 97);
     }
   }
 
-  void limitsAreKeptInALargeZone() {
+  void limitsAreEnforcedInLargeZone() {
     Scenario scenario;
     scenario.nodes = 60;
     scenario.engines = 36;
     scenario.between_requests = milliseconds(4);
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       Fleet fleet(seed, scenario);
-      fleet.ask(seconds(4));
+      fleet.sendRequests(seconds(4));
       const auto named_at = fleet.now();
       fleet.limitEngine(3, 2.5);
       fleet.limitEngine(7, 0.6);
       fleet.limitBackend(0, 1.2);
-      fleet.ask(seconds(16));
-      requireKept("engine", 2.5, fleet.arrivalsAtEngine(3), named_at, seed);
-      requireKept("engine", 0.6, fleet.arrivalsAtEngine(7), named_at, seed);
-      requireKept("back end", 1.2, fleet.arrivalsAtBackend(0), named_at, seed);
+      fleet.sendRequests(seconds(16));
+      requireWithinLimit("engine", 2.5, fleet.arrivalsAtEngine(3), named_at, seed);
+      requireWithinLimit("engine", 0.6, fleet.arrivalsAtEngine(7), named_at, seed);
+      requireWithinLimit("back end", 1.2, fleet.arrivalsAtBackend(0), named_at, seed);
       requireAnswered(fleet, named_at, 97);
     }
   }
 
-  /// Whoever keeps the account may end, and a node that starts knows of no limit.
-  void limitsAreKeptWhenNodesEndAndStart() {
+  /// The stopped nodes include keepers, and a node that starts does not know the limits yet.
+  void limitsAreEnforcedWhenNodesRestart() {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       Fleet fleet(seed, Scenario{});
-      fleet.ask(seconds(4));
+      fleet.sendRequests(seconds(4));
       const auto named_at = fleet.now();
       fleet.limitEngine(3, 5.5);
       fleet.limitEngine(7, 1.2);
-      fleet.ask(seconds(4));
+      fleet.sendRequests(seconds(4));
       for (std::size_t node = 0; node < 6; ++node) {
-        fleet.all().killNode(node);
-        fleet.ask(milliseconds(1500));
-        fleet.all().startNode(node);
-        fleet.ask(milliseconds(1500));
+        fleet.simulated().killNode(node);
+        fleet.sendRequests(milliseconds(1500));
+        fleet.simulated().startNode(node);
+        fleet.sendRequests(milliseconds(1500));
       }
-      requireKept("engine", 5.5, fleet.arrivalsAtEngine(3), named_at, seed);
-      requireKept("engine", 1.2, fleet.arrivalsAtEngine(7), named_at, seed);
+      requireWithinLimit("engine", 5.5, fleet.arrivalsAtEngine(3), named_at, seed);
+      requireWithinLimit("engine", 1.2, fleet.arrivalsAtEngine(7), named_at, seed);
     }
   }
 
-  void limitsOfAllEnginesTogetherAreKept() {
+  void limitsOfAllEnginesAreEnforced() {
     Scenario scenario;
     scenario.engines = 4;
     scenario.backends = 1;
     scenario.between_requests = milliseconds(20);
     Fleet fleet(1, scenario);
-    fleet.ask(seconds(4));
+    fleet.sendRequests(seconds(4));
     const auto named_at = fleet.now();
     for (std::uint32_t engine = 0; engine < scenario.engines; ++engine) {
       fleet.limitEngine(engine, 2);
     }
     fleet.limitBackend(0, 1);
-    fleet.ask(seconds(20));
+    fleet.sendRequests(seconds(20));
     for (std::uint32_t engine = 0; engine < scenario.engines; ++engine) {
-      requireKept("engine", 2, fleet.arrivalsAtEngine(engine), named_at, 1);
+      requireWithinLimit("engine", 2, fleet.arrivalsAtEngine(engine), named_at, 1);
       requireUsed(2, fleet.arrivalsAtEngine(engine), named_at, seconds(20));
     }
-    requireKept("back end", 1, fleet.arrivalsAtBackend(0), named_at, 1);
-    requireRefusedAtOnce(fleet, named_at + kTimeUntilKept);
+    requireWithinLimit("back end", 1, fleet.arrivalsAtBackend(0), named_at, 1);
+    requireRefusedAtOnce(fleet, named_at + kEnforcementDelay);
   }
 
-  void engineGetsItsWorkBackWhenItNamesNoLimitAnyMore() {
+  void engineGetsTrafficBackWhenLimitEnds() {
     Fleet fleet(1, Scenario{});
-    fleet.ask(seconds(4));
+    fleet.sendRequests(seconds(4));
     const auto usual = countFrom(fleet.arrivalsAtEngine(3), fleet.now() - seconds(3));
     fleet.limitEngine(3, 1.2);
-    fleet.ask(seconds(8));
+    fleet.sendRequests(seconds(8));
     fleet.limitEngine(3, std::nullopt);
-    fleet.ask(seconds(8));
+    fleet.sendRequests(seconds(8));
     const auto after = countFrom(fleet.arrivalsAtEngine(3), fleet.now() - seconds(3));
     CPPUNIT_ASSERT_MESSAGE("requests in 3 s: " + std::to_string(after) + " after the limit, " +
                                std::to_string(usual) + " before",
@@ -271,21 +272,21 @@
  private:
   static void requireUsed(double limit, const std::vector<common::MonotonicTime>& arrivals,
                           common::MonotonicTime named_at, common::Duration asked_for) {
-    const auto from = named_at + kTimeUntilKept;
+    const auto from = named_at + kEnforcementDelay;
     const auto arrived = static_cast<double>(countFrom(arrivals, from));
-    const double taken = limit * common::toSeconds(asked_for - kTimeUntilKept);
+    const double taken = limit * common::toSeconds(asked_for - kEnforcementDelay);
     CPPUNIT_ASSERT_MESSAGE(
         "only " + std::to_string(arrived) + " of " + std::to_string(taken) + " requests were sent",
         arrived >= kUsedShare * taken);
   }
   static void requireAnswered(const Fleet& fleet, common::MonotonicTime from, std::size_t least) {
-    const std::size_t answered = fleet.answeredOfHundred(from);
-    CPPUNIT_ASSERT_MESSAGE("answered of a hundred: " + std::to_string(answered), answered >= least);
+    const std::size_t answered = fleet.answeredPercent(from);
+    CPPUNIT_ASSERT_MESSAGE("percent answered: " + std::to_string(answered), answered >= least);
   }
-  /// What can't be sent is refused at once, with the word that it has not run and when to return.
+  /// A request that cannot be sent is refused at once, with outcome kNotRun and a Retry-After time.
   static void requireRefusedAtOnce(Fleet& fleet, common::MonotonicTime from) {
     std::size_t refused = 0;
-    for (const CallerRecord& record : fleet.all().records()) {
+    for (const CallerRecord& record : fleet.simulated().records()) {
       if (record.asked_at < from || record.result != CallerResult::kError) {
         continue;
       }
--- a/tests/fleet_limits/retry_arrivals_test.cpp
+++ b/tests/fleet_limits/retry_arrivals_test.cpp
@@ -1,8 +1,8 @@
-/// Whatever arrives at an engine beyond the first arrival of a request is paid for.
+/// Each arrival of a request at an engine after the first one is charged to the retry budget.
 ///
-/// Seen: requests whose output was refused by the engine that should give it arrived twice more, at
-/// one that computed the prompt again and at one that gave the output, and paid for one repeat.
-/// Cause: a repeat was paid for by attempt, not by arrival.
+/// Guards against charging per attempt: if the decode engine refused a request, the retry arrived
+/// at two engines, one that recomputed the prompt and one that generated the output, but only one
+/// retry was charged.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "tests/execution/model_world.h"
@@ -16,13 +16,13 @@
 
 constexpr auto kLongRun = std::chrono::minutes(5);
 
-class ArrivalsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ArrivalsTest);
-  CPPUNIT_TEST(promptComputedAgainIsPaidFor);
+class RetryArrivalsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RetryArrivalsTest);
+  CPPUNIT_TEST(recomputedPromptIsCharged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void promptComputedAgainIsPaidFor() {
+  void recomputedPromptIsCharged() {
     execution::ExecutionSettings settings;
     settings.charge_refused_attempts = true;
     RetryLimitSettings limits;
@@ -34,12 +34,12 @@
     RecordingObserver observer;
     const auto handle = world.start(observer);
     world.process.time.runFor(kLongRun);
-    // One prompt and one output go without pay; one repeat is paid for.
+    // The first prefill and the first decode arrival are free; one retry is covered by the burst.
     CPPUNIT_ASSERT(world.engines.started.size() <= 3);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ArrivalsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RetryArrivalsTest);
 
 }  // namespace
 }  // namespace cypresswall::fleet_limits
--- a/tests/fleet_limits/retry_budget_test.cpp
+++ b/tests/fleet_limits/retry_budget_test.cpp
@@ -13,64 +13,65 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class KeptLines final : public common::LogSink {
+class RecordingLogSink final : public common::LogSink {
  public:
   bool enabled(common::LogLevel) const override { return true; }
   void write(common::LogLevel, const std::string& line) override { lines.push_back(line); }
-  std::size_t of(const std::string& event) const {
-    std::size_t count = 0;
+  std::size_t count(const std::string& event) const {
+    std::size_t found = 0;
     for (const std::string& line : lines) {
-      count += line.find("event=" + event) != std::string::npos ? 1 : 0;
+      found += line.find("event=" + event) != std::string::npos ? 1 : 0;
     }
-    return count;
+    return found;
   }
 
   std::vector<std::string> lines;
 };
 
-class RetryAccountTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(RetryAccountTest);
-  CPPUNIT_TEST(paysHalfOfTheShareAndThePartOfTheBurst);
-  CPPUNIT_TEST(whatWasUsedComesBackAfterTheWindow);
-  CPPUNIT_TEST(whatWasNotUsedIsForgotten);
-  CPPUNIT_TEST(servicesPayForThemselves);
-  CPPUNIT_TEST(tellsOnceThatItIsEmptyAndOnceThatItRecovered);
-  CPPUNIT_TEST(burstIsWithheldBeforeAPauseIsNoticed);
+class RetryBudgetTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(RetryBudgetTest);
+  CPPUNIT_TEST(coversHalfOfShareAndLocalBurst);
+  CPPUNIT_TEST(usedAmountReturnsAfterWindow);
+  CPPUNIT_TEST(unusedAmountExpires);
+  CPPUNIT_TEST(servicesHaveSeparateBudgets);
+  CPPUNIT_TEST(logsExhaustionAndRecoveryOnce);
+  CPPUNIT_TEST(burstIsWithheldBeforePauseIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override {
     limits_.fleet_share = 0.2;
     limits_.fleet_burst = 3;
-    node_ = std::make_unique<testing::AccountNode>(time_, limits_, LocalShareSettings{}, lines_);
+    node_ = std::make_unique<testing::BudgetNode>(time_, limits_, LocalShareSettings{}, log_);
   }
 
-  /// Timers of a suspended machine go on where they were, while its clock has moved.
-  void burstIsWithheldBeforeAPauseIsNoticed() {
+  /// On a suspended machine the clock advances while timers do not: a request may arrive before the
+  /// timer that would detect the pause.
+  void burstIsWithheldBeforePauseIsDetected() {
     LocalShareSettings part;
     part.withhold_after_start = true;
-    testing::AccountNode node(time_, limits_, part, lines_);
+    testing::BudgetNode node(time_, limits_, part, log_);
     time_.runFor(seconds(20));
-    CPPUNIT_ASSERT(node.account().available());
+    CPPUNIT_ASSERT(node.budget().available());
     node.timers.paused = true;
     time_.runFor(seconds(5));
-    CPPUNIT_ASSERT(!node.account().available());
+    CPPUNIT_ASSERT(!node.budget().available());
     node.timers.wake();
     time_.runFor(seconds(10));
-    CPPUNIT_ASSERT(!node.account().available());
+    CPPUNIT_ASSERT(!node.budget().available());
     time_.runFor(seconds(10));
-    CPPUNIT_ASSERT(node.account().available());
+    CPPUNIT_ASSERT(node.budget().available());
   }
 
-  void paysHalfOfTheShareAndThePartOfTheBurst() {
+  void coversHalfOfShareAndLocalBurst() {
     request(50);
-    CPPUNIT_ASSERT(node_->account().available(8));
-    CPPUNIT_ASSERT(!node_->account().available(9));
-    CPPUNIT_ASSERT(!node_->account().withdraw(9));
+    CPPUNIT_ASSERT(node_->budget().available(8));
+    CPPUNIT_ASSERT(!node_->budget().available(9));
+    CPPUNIT_ASSERT(!node_->budget().withdraw(9));
     CPPUNIT_ASSERT_EQUAL(8, withdrawAll());
   }
 
-  void whatWasUsedComesBackAfterTheWindow() {
+  void usedAmountReturnsAfterWindow() {
     CPPUNIT_ASSERT_EQUAL(3, withdrawAll());
     time_.runFor(seconds(10));
     CPPUNIT_ASSERT_EQUAL(0, withdrawAll());
@@ -78,38 +79,38 @@
     CPPUNIT_ASSERT_EQUAL(3, withdrawAll());
   }
 
-  void whatWasNotUsedIsForgotten() {
+  void unusedAmountExpires() {
     request(100);
     time_.runFor(seconds(10));
     CPPUNIT_ASSERT_EQUAL(3, withdrawAll());
   }
 
-  void servicesPayForThemselves() {
+  void servicesHaveSeparateBudgets() {
     withdrawAll();
-    CPPUNIT_ASSERT(node_->accounts.of("calculator").available(3));
+    CPPUNIT_ASSERT(node_->budgets.of("calculator").available(3));
   }
 
-  void tellsOnceThatItIsEmptyAndOnceThatItRecovered() {
+  void logsExhaustionAndRecoveryOnce() {
     withdrawAll();
     for (int number = 0; number < 100; ++number) {
-      CPPUNIT_ASSERT(!node_->account().withdraw());
+      CPPUNIT_ASSERT(!node_->budget().withdraw());
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, lines_.of("retry_account_empty"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, log_.count("retry_account_empty"));
     time_.runFor(seconds(12));
     withdrawAll();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, lines_.of("retry_account_empty"));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, lines_.of("retry_account_recovered"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, log_.count("retry_account_empty"));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, log_.count("retry_account_recovered"));
   }
 
  private:
   void request(int count) {
     for (; count > 0; --count) {
-      node_->account().recordRequest();
+      node_->budget().recordRequest();
     }
   }
   int withdrawAll() {
     int count = 0;
-    while (node_->account().available() && node_->account().withdraw()) {
+    while (node_->budget().available() && node_->budget().withdraw()) {
       ++count;
     }
     return count;
@@ -117,11 +118,11 @@
 
   RetryLimitSettings limits_;
   simulation::VirtualTime time_;
-  KeptLines lines_;
-  std::unique_ptr<testing::AccountNode> node_;
+  RecordingLogSink log_;
+  std::unique_ptr<testing::BudgetNode> node_;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(RetryAccountTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RetryBudgetTest);
 
 }  // namespace
 }  // namespace cypresswall::fleet_limits
--- a/tests/fleet_limits/simulated_budgets.h
+++ b/tests/fleet_limits/simulated_budgets.h
@@ -1,5 +1,5 @@
-/// Accounts of many nodes in virtual time, each with the members that it believes in. Nodes start,
-/// die, stand still and are cut off; only what the accounts rest on is simulated.
+/// Retry budgets of many nodes in virtual time, each with its own view of the members. Nodes can
+/// start, die, be paused and be partitioned; only the inputs of the budgets are simulated.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
 
 namespace cypresswall::testing {
 
-/// The timers of one process: they wait while it stands still, and are dropped when it ends.
+/// Timers of one process: deferred while it is paused, and dropped when it ends.
 class ProcessTimers final : public common::Scheduler {
  public:
   explicit ProcessTimers(simulation::VirtualTime& time) : time_(time) {}
@@ -26,7 +26,7 @@
         return;
       }
       if (paused) {
-        held_.push_back(callback);
+        deferred_.push_back(callback);
       } else {
         callback();
       }
@@ -35,7 +35,7 @@
   void cancel(common::TimerId timer) override { time_.cancel(timer); }
   void wake() {
     paused = false;
-    for (const auto& callback : std::exchange(held_, {})) {
+    for (const auto& callback : std::exchange(deferred_, {})) {
       callback();
     }
   }
@@ -45,10 +45,10 @@
  private:
   simulation::VirtualTime& time_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
 };
 
-/// Members as one node sees them; lists are shared between nodes that see the same.
+/// Member list of one node; nodes with the same view share the list.
 class SharedMembership final : public membership::MembershipView {
  public:
   using List = std::shared_ptr<const std::vector<membership::Member>>;
@@ -67,7 +67,7 @@
   void onChange(std::function<void()> listener) override {
     listeners_.push_back(std::move(listener));
   }
-  void see(List list) {
+  void setMembers(List list) {
     list_ = std::move(list);
     for (const auto& listener : listeners_) {
       listener();
@@ -81,12 +81,12 @@
   std::vector<std::function<void()>> listeners_;
 };
 
-/// One life of one node.
-class AccountNode {
+/// One incarnation of a node.
+class BudgetNode {
  public:
-  AccountNode(simulation::VirtualTime& time, const fleet_limits::RetryLimitSettings& limits,
-              const fleet_limits::LocalShareSettings& part,
-              common::LogSink& log = common::nullLogSink())
+  BudgetNode(simulation::VirtualTime& time, const fleet_limits::RetryLimitSettings& limits,
+             const fleet_limits::LocalShareSettings& part,
+             common::LogSink& log = common::nullLogSink())
       : timers(time),
         context_{common::NodeId{"127.0.0.1:1", 7},
                  "quay",
@@ -98,11 +98,11 @@
                  transport_,
                  dispatcher_},
         fleet_part(part, context_, membership),
-        accounts(limits, context_, [this] { return fleet_part.fraction(); }) {}
-  AccountNode(const AccountNode&) = delete;
-  AccountNode& operator=(const AccountNode&) = delete;
+        budgets(limits, context_, [this] { return fleet_part.fraction(); }) {}
+  BudgetNode(const BudgetNode&) = delete;
+  BudgetNode& operator=(const BudgetNode&) = delete;
 
-  fleet_limits::RetryBudget& account() { return accounts.of("advice"); }
+  fleet_limits::RetryBudget& budget() { return budgets.of("advice"); }
 
   ProcessTimers timers;
   SharedMembership membership;
@@ -116,7 +116,7 @@
 
  public:
   fleet_limits::LocalShare fleet_part;
-  fleet_limits::RetryBudgets accounts;
+  fleet_limits::RetryBudgets budgets;
 };
 
 }  // namespace cypresswall::testing
