--- a/src/cypresswall/quarantine/fleet_quarantine.cpp
+++ b/src/cypresswall/quarantine/fleet_quarantine.cpp
@@ -227,7 +227,7 @@
 }
 
 void FleetQuarantine::notifyPeers(const std::vector<QuarantinedRequest>& requests) {
-  context_.sendToAll(peers_.newsReceivers(), QuarantineNotice{requests});
+  context_.sendToAll(peers_.updateReceivers(), QuarantineNotice{requests});
 }
 
 void FleetQuarantine::announcePeriodically() {
@@ -239,7 +239,7 @@
   if (list_.size() == 0) {
     return;
   }
-  const auto receivers = peers_.repetitionReceivers();
+  const auto receivers = peers_.antiEntropyReceivers();
   if (receivers.empty()) {
     return;
   }
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -180,7 +180,7 @@
         {"engine_ejection",
          [](const auto& s) { return s.node.directory.ejection.ejection_enabled; }},
         {"request_quarantine", [](const auto& s) { return s.node.quarantine.quarantines; }},
-        {"engine_rate_limits", [](const auto& s) { return s.node.rate_limits.keeps; }},
+        {"engine_rate_limits", [](const auto& s) { return s.node.rate_limits.enforced; }},
         {"copied_prefixes", [](const auto& s) { return s.copied_prefixes; }}};
     for (const SettingKey& key : settingKeys()) {
       const bool is_mechanism = key.name.starts_with("mechanisms.");
