--- a/apps/cypresswalld/daemon.cpp
+++ b/apps/cypresswalld/daemon.cpp
@@ -173,7 +173,7 @@
 }
 
 void Daemon::finishStop(common::MonotonicTime limit) {
-  const bool busy = !server_->quiet() || transport_.queuedMessages() > 0;
+  const bool busy = !server_->isIdle() || transport_.queuedMessages() > 0;
   if (busy && clock_.now() < limit) {
     scheduler_.schedule(kLastAnswersCheck, [this, limit] { finishStop(limit); });
     return;
--- a/src/cypresswall/http/server.cpp
+++ b/src/cypresswall/http/server.cpp
@@ -383,7 +383,7 @@
 
   std::uint16_t port() const override { return port_; }
   std::size_t openRequests() const override { return table_->state()->open_requests; }
-  bool quiet() const override {
+  bool isIdle() const override {
     return !table_->state()->listening && openRequests() == 0 && !table_->awaitsRequest();
   }
 
--- a/src/cypresswall/http/server.h
+++ b/src/cypresswall/http/server.h
@@ -98,7 +98,7 @@
   /// Begins to listen. \throws ListenError
   virtual void start() = 0;
   /// Takes no new connections; open requests go on. Connections that callers have made already are
-  /// accepted still, and each answer from now on ends its connection. See quiet().
+  /// accepted still, and each answer from now on ends its connection. See isIdle().
   virtual void stopListening() = 0;
   /// Ends all connections.
   virtual void close() = 0;
@@ -108,7 +108,7 @@
   virtual std::size_t openRequests() const = 0;
   /// \return true once the server has stopped listening and close() would cut no request: none is
   ///   open, on its way in, or still to come on a connection that has carried none yet.
-  virtual bool quiet() const = 0;
+  virtual bool isIdle() const = 0;
 };
 
 /// Makes a server whose handler runs on `context`'s one thread.
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -314,20 +314,20 @@
       clients.push_back(std::make_unique<RawClient>(context_, port));
     }
     server_->stopListening();
-    CPPUNIT_ASSERT(!server_->quiet());
+    CPPUNIT_ASSERT(!server_->isIdle());
     for (const auto& client : clients) {
       client->startReading();
       client->send("GET / HTTP/1.1\r\n\r\n");
     }
     CPPUNIT_ASSERT(waitForRequests(kClients));
-    CPPUNIT_ASSERT(!server_->quiet());
+    CPPUNIT_ASSERT(!server_->isIdle());
     for (std::size_t number = 0; number < kClients; ++number) {
       responders_[number]->respond(503, {}, "stopping");
       CPPUNIT_ASSERT(clients[number]->waitFor("stopping"));
       CPPUNIT_ASSERT(clients[number]->received.find("Connection: close") != std::string::npos);
       CPPUNIT_ASSERT(clients[number]->waitClosed());
     }
-    CPPUNIT_ASSERT(runUntil(context_, [&] { return server_->quiet(); }));
+    CPPUNIT_ASSERT(runUntil(context_, [&] { return server_->isIdle(); }));
     CPPUNIT_ASSERT_THROW(RawClient(context_, port), std::system_error);
   }
 
