--- a/src/cypresswall/gateway/completion_format.cpp
+++ b/src/cypresswall/gateway/completion_format.cpp
@@ -42,7 +42,7 @@
 
 bool isContinuation(unsigned char byte) { return (byte & 0xC0) == 0x80; }
 
-/// \return the length of the UTF-8 sequence at the start of `text`, zero if there is none.
+/// \return the length of the UTF-8 sequence at the start of `text`, or zero if it is invalid.
 std::size_t utf8Length(std::string_view text) {
   const auto byte = [&](std::size_t at) { return static_cast<unsigned char>(text[at]); };
   const unsigned char lead = byte(0);
@@ -62,7 +62,7 @@
       return 0;
     }
   }
-  // Overlong forms, surrogates and values above U+10FFFF.
+  // Rejects overlong encodings, surrogates and code points above U+10FFFF.
   const unsigned char second = byte(1);
   const bool forbidden = (lead == 0xE0 && second < 0xA0) || (lead == 0xED && second >= 0xA0) ||
                          (lead == 0xF0 && second < 0x90) || (lead == 0xF4 && second >= 0x90);
@@ -113,7 +113,7 @@
   }
 }
 
-StreamFormat::StreamFormat(const CompletionIdentity& identity) : kind_(identity.kind) {
+StreamFormatter::StreamFormatter(const CompletionIdentity& identity) : kind_(identity.kind) {
   const bool chat = kind_ == CompletionKind::kChat;
   event_prefix_ =
       "data: " + commonPart(identity, chat ? "chat.completion.chunk" : "text_completion");
@@ -122,7 +122,7 @@
   token_suffix_ = chat ? kChatTokenSuffix : kTextTokenSuffix;
 }
 
-std::string StreamFormat::opening() const {
+std::string StreamFormatter::firstEvent() const {
   if (kind_ == CompletionKind::kText) {
     return {};
   }
@@ -131,7 +131,8 @@
          "\"finish_reason\":null}]}\n\n";
 }
 
-std::string StreamFormat::ending(const engines::StreamUsage& usage, bool include_usage) const {
+std::string StreamFormatter::finalEvents(const engines::StreamUsage& usage,
+                                         bool include_usage) const {
   const bool chat = kind_ == CompletionKind::kChat;
   std::string out = event_prefix_ +
                     (chat ? R"({"index":0,"delta":{},)" : R"({"index":0,"text":"",)") +
@@ -143,8 +144,8 @@
   return out;
 }
 
-std::string wholeAnswer(const CompletionIdentity& identity, std::string_view text,
-                        const engines::StreamUsage& usage) {
+std::string completeAnswer(const CompletionIdentity& identity, std::string_view text,
+                           const engines::StreamUsage& usage) {
   const bool chat = identity.kind == CompletionKind::kChat;
   std::string out = commonPart(identity, chat ? "chat.completion" : "text_completion");
   out.reserve(out.size() + text.size() + 512);
--- a/src/cypresswall/gateway/completion_format.h
+++ b/src/cypresswall/gateway/completion_format.h
@@ -1,4 +1,4 @@
-/// Writes the answers of completion requests in the shapes of the OpenAI API.
+/// Formats the answers to completion requests as defined by the OpenAI API.
 #pragma once
 
 #include <cstdint>
@@ -10,48 +10,48 @@
 
 namespace cypresswall::gateway {
 
-/// Appends `text` as the inside of a JSON string. Bytes that are not UTF-8 become U+FFFD.
+/// Appends `text`, escaped as the content of a JSON string. Invalid UTF-8 is replaced by U+FFFD.
 void appendJsonEscaped(std::string& out, std::string_view text);
 
-/// What all events and bodies of one answer have in common.
+/// Fields common to all events and bodies of one answer.
 struct CompletionIdentity {
   CompletionKind kind = CompletionKind::kChat;
   std::string request_id;
-  /// Model as the caller named it.
+  /// Model name as given by the caller.
   std::string model;
-  /// Seconds since 1970.
+  /// Unix time in seconds.
   std::int64_t created = 0;
 };
 
-/// Formats the events of one streamed answer. The constant parts of a token's event are built once.
-class StreamFormat {
+/// Formats the events of one streamed answer. The constant parts of token events are built once.
+class StreamFormatter {
  public:
-  explicit StreamFormat(const CompletionIdentity& identity);
+  explicit StreamFormatter(const CompletionIdentity& identity);
 
-  /// \return the event that opens a chat answer; empty for text completions.
-  std::string opening() const;
-  /// Appends the event of one token.
+  /// \return the first event of a chat answer; empty for text completions.
+  std::string firstEvent() const;
+  /// Appends the event for one token.
   void appendToken(std::string& out, std::string_view text) const {
     out += token_prefix_;
     appendJsonEscaped(out, text);
     out += token_suffix_;
   }
-  /// \return the last events of a whole answer, up to "data: [DONE]".
-  std::string ending(const engines::StreamUsage& usage, bool include_usage) const;
+  /// \return the events that complete an answer, including "data: [DONE]".
+  std::string finalEvents(const engines::StreamUsage& usage, bool include_usage) const;
 
  private:
   CompletionKind kind_;
-  /// "data: {...,"choices":[", common to all events.
+  /// "data: {...,"choices":[", the common start of all events.
   std::string event_prefix_;
   std::string token_prefix_;
   std::string_view token_suffix_;
 };
 
-/// \return the body of an answer that is not streamed.
-std::string wholeAnswer(const CompletionIdentity& identity, std::string_view text,
-                        const engines::StreamUsage& usage);
+/// \return the body of a non-streamed answer.
+std::string completeAnswer(const CompletionIdentity& identity, std::string_view text,
+                           const engines::StreamUsage& usage);
 
-/// \return {"prompt_tokens": ...} as the OpenAI API has it.
+/// \return the usage object {"prompt_tokens": ...} of the OpenAI API.
 std::string usageJson(const engines::StreamUsage& usage);
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/completion_request.cpp
+++ b/src/cypresswall/gateway/completion_request.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-/// A place in the body that matters, or kIgnored for all others.
+/// A position in the body that the parser uses, or kIgnored for any other position.
 enum class Node : std::uint8_t {
   kRoot,
   kModel,
@@ -55,7 +55,7 @@
   return key == "n" ? Node::kChoiceCount : Node::kIgnored;
 }
 
-/// \return the node of the member `key` of an object at `parent`.
+/// \return the node of member `key` of the object at `parent`.
 Node memberOf(Node parent, std::string_view key) {
   switch (parent) {
     case Node::kRoot:
@@ -77,7 +77,7 @@
   }
 }
 
-/// \return the node of the items of an array at `parent`.
+/// \return the node of the items of the array at `parent`.
 Node itemOf(Node parent) {
   switch (parent) {
     case Node::kMessages:
@@ -100,7 +100,7 @@
   return node == Node::kMessages || node == Node::kContent || node == Node::kPrompt;
 }
 
-/// The field's name in error answers.
+/// \return the field name used in error answers.
 const char* nameOf(Node node) {
   switch (node) {
     case Node::kModel:
@@ -132,15 +132,15 @@
   return "";
 }
 
-/// Reads the body event by event, so that nothing is kept of fields that are not used and a deep or
-/// wide body costs no memory.
+/// SAX parser for the body: unused fields are not stored, so that deeply nested or very wide bodies
+/// need no extra memory.
 class RequestReader final : public nlohmann::json_sax<Json> {
  public:
   explicit RequestReader(CompletionKind kind) { request_.kind = kind; }
 
   bool null() override {
     const Node node = valueNode();
-    // A message without content (a tool call), and optional fields, may be null.
+    // Optional fields and the content of a message (for tool calls) may be null.
     return node == Node::kModel || node == Node::kRole || node == Node::kMessage ||
                    node == Node::kRoot || node == Node::kPart || node == Node::kPromptItem
                ? wrongType(node)
@@ -216,7 +216,7 @@
     return false;
   }
 
-  /// \pre the body was read to its end, or an error is set
+  /// \pre the body was parsed completely, or an error is set
   CompletionRequest finish();
   const std::optional<ErrorAnswer>& error() const { return error_; }
 
@@ -224,11 +224,11 @@
   struct Frame {
     Node node;
     bool array;
-    /// Node of the member whose key was read last.
+    /// Node of the member whose key was read most recently.
     Node member;
   };
 
-  /// \return the node of the value that comes next.
+  /// \return the node of the next value.
   Node valueNode() const {
     if (stack_.empty()) {
       return Node::kRoot;
@@ -361,8 +361,8 @@
 std::string promptOfMessages(const std::vector<ChatMessage>& messages) {
   constexpr std::string_view kOpen = "<|";
   constexpr std::string_view kClose = "|>\n";
-  constexpr std::string_view kAnswerer = "assistant";
-  std::size_t size = kOpen.size() + kAnswerer.size() + kClose.size();
+  constexpr std::string_view kAssistantRole = "assistant";
+  std::size_t size = kOpen.size() + kAssistantRole.size() + kClose.size();
   for (const ChatMessage& message : messages) {
     size += kOpen.size() + message.role.size() + kClose.size() + message.content.size() + 1;
   }
@@ -371,7 +371,7 @@
   for (const ChatMessage& message : messages) {
     prompt.append(kOpen).append(message.role).append(kClose).append(message.content) += '\n';
   }
-  prompt.append(kOpen).append(kAnswerer).append(kClose);
+  prompt.append(kOpen).append(kAssistantRole).append(kClose);
   return prompt;
 }
 
--- a/src/cypresswall/gateway/completion_request.h
+++ b/src/cypresswall/gateway/completion_request.h
@@ -1,4 +1,4 @@
-/// The body of an OpenAI completion request, read with bounded memory.
+/// Parser for the body of an OpenAI completion request; its memory use is bounded.
 #pragma once
 
 #include <cstdint>
@@ -21,24 +21,26 @@
 struct CompletionRequest {
   CompletionKind kind = CompletionKind::kChat;
   std::string model;
-  /// The text that the engine gets; a chat's messages joined by promptOfMessages().
+  /// The text sent to the engine; for chats, the messages joined by promptOfMessages().
   std::string prompt;
-  /// Zero if the caller named none.
+  /// Zero if not given by the caller.
   std::uint32_t maximum_tokens = 0;
   bool stream = false;
-  /// A stream ends with an event that holds the usage.
+  /// If set, a stream ends with an event that contains the usage.
   bool include_usage = false;
 };
 
-/// Largest number of messages in one chat, and deepest nesting of a body.
+/// Maximum number of messages in a chat, and maximum nesting depth of a body.
 inline constexpr std::size_t kMaximumMessages = 10000;
 inline constexpr std::size_t kMaximumNesting = 64;
 
-/// Joins messages into one prompt: a marker with the role before each, and the assistant's marker
-/// at the end. Equal beginnings of chats give equal beginnings of prompts.
+/// Joins messages into one prompt: each message is preceded by a marker with its role, and the
+/// prompt ends with the assistant's marker. Chats with a common prefix of messages give prompts
+/// with a common prefix, so that cached prefixes can be reused.
 std::string promptOfMessages(const std::vector<ChatMessage>& messages);
 
-/// Reads a request body. Unknown fields are skipped. \throws RequestError (400) naming the field
+/// Parses a request body. Unknown fields are ignored.
+/// \throws RequestError (400) that names the invalid field
 CompletionRequest parseCompletionRequest(CompletionKind kind, std::string_view body);
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/error_answer.cpp
+++ b/src/cypresswall/gateway/error_answer.cpp
@@ -13,15 +13,15 @@
 constexpr const char* kInvalidRequestType = "invalid_request_error";
 constexpr const char* kServerErrorType = "server_error";
 
-/// How one kind of execution error appears to callers.
-struct ErrorAppearance {
+/// Maps one kind of execution error to the fields of an error answer.
+struct ErrorMapping {
   int status;
   const char* type;
   const char* code;
-  bool refused_for_load;
+  bool requires_retry_after;
 };
 
-ErrorAppearance appearanceOf(ErrorKind kind) {
+ErrorMapping mappingOf(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kUnknownService:
       return {404, kInvalidRequestType, "service_not_found", false};
@@ -79,14 +79,14 @@
 }
 
 ErrorAnswer errorAnswerOf(const execution::ExecutionError& error) {
-  const auto appearance = appearanceOf(error.kind);
+  const auto mapping = mappingOf(error.kind);
   ErrorAnswer answer;
-  answer.status = appearance.status;
+  answer.status = mapping.status;
   answer.message = error.message;
-  answer.type = appearance.type;
-  answer.code = appearance.code;
+  answer.type = mapping.type;
+  answer.code = mapping.code;
   answer.outcome = error.outcome;
-  if (appearance.refused_for_load || error.retry_after > common::Duration::zero()) {
+  if (mapping.requires_retry_after || error.retry_after > common::Duration::zero()) {
     answer.retry_after_seconds = retryAfterSeconds(error.retry_after);
   }
   return answer;
@@ -108,7 +108,7 @@
   if (!error.param.empty()) {
     content["param"] = error.param;
   }
-  // A message may quote the caller's bytes, which need not be UTF-8.
+  // The message may quote bytes from the caller that are not valid UTF-8.
   return nlohmann::json{{"error", std::move(content)}}.dump(
       -1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
--- a/src/cypresswall/gateway/error_answer.h
+++ b/src/cypresswall/gateway/error_answer.h
@@ -1,4 +1,4 @@
-/// Errors as callers get them: HTTP status, the OpenAI API's error object, outcome and Retry-After.
+/// Error answers to callers: HTTP status, the OpenAI API's error object, outcome and Retry-After.
 #pragma once
 
 #include <string>
@@ -10,27 +10,26 @@
 
 namespace cypresswall::gateway {
 
-/// Header that names the request, for logs and questions.
+/// Header with the request identifier, for correlation with logs.
 inline constexpr const char* kRequestIdHeader = "X-Request-Id";
-/// Header that says whether the request ran: "done", "not-run" or "unknown".
+/// Header that tells whether the request was executed: "done", "not-run" or "unknown".
 inline constexpr const char* kOutcomeHeader = "X-Cypresswall-Outcome";
 inline constexpr const char* kRetryAfterHeader = "Retry-After";
 
-/// One error answer.
 struct ErrorAnswer {
   int status = 500;
   std::string message;
-  /// Kind of error as in the OpenAI API, for example "invalid_request_error".
+  /// Error type of the OpenAI API, for example "invalid_request_error".
   std::string type;
-  /// Name of the request's field at fault; empty stands for null.
+  /// Name of the invalid request field; written as null if empty.
   std::string param;
   std::string code;
   execution::Outcome outcome = execution::Outcome::kNotRun;
-  /// Whole seconds; zero leaves the header out.
+  /// Value of the Retry-After header; zero omits the header.
   long retry_after_seconds = 0;
 };
 
-/// A request that is refused before anything ran.
+/// A request that is rejected before its execution starts.
 class RequestError : public common::Error {
  public:
   explicit RequestError(ErrorAnswer answer)
@@ -41,21 +40,21 @@
   ErrorAnswer answer_;
 };
 
-/// \return a 400 for the field `param` (empty: the body as a whole).
+/// \return a 400 for the field `param`, or for the body as a whole if `param` is empty.
 ErrorAnswer invalidRequestError(std::string message, std::string param, std::string code);
 ErrorAnswer notFoundError(std::string message);
 ErrorAnswer methodNotAllowedError(const std::string& method);
-/// \return what a caller is told of an execution's error. A refusal for load always has a
-///   Retry-After of at least one second.
+/// \return the answer for an execution error. Overload errors and other temporary rejections always
+///   have a Retry-After of at least one second.
 ErrorAnswer errorAnswerOf(const execution::ExecutionError& error);
 
-/// \return `delay` in whole seconds, rounded up, at least 1.
+/// \return `delay` in seconds, rounded up, at least 1.
 long retryAfterSeconds(common::Duration delay);
 
 /// \return {"error": {...}} with message, type, param, code and outcome.
 std::string errorBody(const ErrorAnswer& error);
 
-/// Answers with `error`. \param request_id left out if empty
+/// Answers with `error`. \param request_id omitted from the answer if empty
 void respondWithError(http::Responder& responder, const ErrorAnswer& error,
                       const std::string& request_id);
 
--- a/src/cypresswall/gateway/gateway.cpp
+++ b/src/cypresswall/gateway/gateway.cpp
@@ -17,7 +17,7 @@
 constexpr const char* kTextPath = "/v1/completions";
 constexpr const char* kModelsPath = "/v1/models";
 constexpr const char* kServicesPath = "/services/";
-constexpr const char* kOwner = "cypresswall";
+constexpr const char* kModelOwner = "cypresswall";
 
 void requireMethod(const http::Request& request, const char* method) {
   if (request.method != method) {
@@ -25,7 +25,8 @@
   }
 }
 
-/// Before the first snapshot of the configuration nothing is known of models and services.
+/// Rejects requests until the first configuration snapshot arrives: models and services are unknown
+/// before that.
 void requireConfiguration(const configuration::FleetConfiguration& configuration) {
   if (configuration.version == 0) {
     ErrorAnswer error;
@@ -39,10 +40,10 @@
 }
 
 nlohmann::json modelObject(const std::string& name) {
-  return {{"id", name}, {"object", "model"}, {"created", 0}, {"owned_by", kOwner}};
+  return {{"id", name}, {"object", "model"}, {"created", 0}, {"owned_by", kModelOwner}};
 }
 
-/// \return all names that callers may give in the field "model".
+/// \return all valid values of the request field "model".
 std::set<std::string> servedNames(const configuration::FleetConfiguration& configuration) {
   std::set<std::string> names;
   for (const auto& [name, service] : configuration.model_services) {
@@ -68,8 +69,8 @@
     : context_(std::move(context)), settings_(settings), counters_(context_.counters) {}
 
 Gateway::~Gateway() {
-  if (sweep_timer_ != 0) {
-    context_.scheduler.cancel(sweep_timer_);
+  if (cleanup_timer_ != 0) {
+    context_.scheduler.cancel(cleanup_timer_);
   }
 }
 
@@ -103,7 +104,7 @@
     startCompletion(kind, request, responder, request_id);
   } else if (request.path == kModelsPath || request.path.starts_with("/v1/models/")) {
     requireMethod(request, "GET");
-    answerModels(request, *responder, request_id);
+    respondWithModels(request, *responder, request_id);
   } else if (!request.path.starts_with(kServicesPath)) {
     throw RequestError(notFoundError("no resource at " + request.path));
   } else {
@@ -116,8 +117,8 @@
                               const std::string& request_id) {
   auto tenant = tenants_.tenantOf(request, *context_.configuration.current());
   auto completion = parseCompletionRequest(kind, request.body);
-  keep(std::make_unique<ModelSession>(context_, settings_, counters_, std::move(completion),
-                                      std::move(tenant), request_id, responder));
+  addSession(std::make_unique<ModelSession>(context_, settings_, counters_, std::move(completion),
+                                            std::move(tenant), request_id, responder));
 }
 
 void Gateway::startService(http::Request& request,
@@ -149,19 +150,19 @@
 void Gateway::passModelCall(execution::ModelCall call,
                             const std::shared_ptr<http::Responder>& responder,
                             ErrorWriter write_error) {
-  keep(std::make_unique<PassThroughSession>(context_, settings_, counters_, std::move(call),
-                                            responder, std::move(write_error)));
+  addSession(std::make_unique<PassThroughSession>(context_, settings_, counters_, std::move(call),
+                                                  responder, std::move(write_error)));
 }
 
 void Gateway::passServiceCall(execution::ServiceCallRequest request,
                               const std::shared_ptr<http::Responder>& responder,
                               ErrorWriter write_error) {
-  keep(std::make_unique<ServiceSession>(context_, counters_, std::move(request), responder,
-                                        std::move(write_error)));
+  addSession(std::make_unique<ServiceSession>(context_, counters_, std::move(request), responder,
+                                              std::move(write_error)));
 }
 
-void Gateway::answerModels(const http::Request& request, http::Responder& responder,
-                           const std::string& request_id) const {
+void Gateway::respondWithModels(const http::Request& request, http::Responder& responder,
+                                const std::string& request_id) const {
   const auto names = servedNames(*context_.configuration.current());
   std::string body;
   if (request.path == kModelsPath) {
@@ -202,23 +203,23 @@
       .field("reason", rejection.reason);
 }
 
-void Gateway::keep(std::unique_ptr<Session> session) {
+void Gateway::addSession(std::unique_ptr<Session> session) {
   const auto id = ++last_session_;
   Session& kept = *session;
   sessions_.emplace(id, std::move(session));
   counters_.open_requests.set(static_cast<double>(sessions_.size()));
-  kept.start([this, id] { sessionEnded(id); });
+  kept.start([this, id] { onSessionEnded(id); });
 }
 
-void Gateway::sessionEnded(SessionId id) {
+void Gateway::onSessionEnded(SessionId id) {
   const auto found = sessions_.find(id);
-  ended_.push_back(std::move(found->second));
+  ended_sessions_.push_back(std::move(found->second));
   sessions_.erase(found);
   counters_.open_requests.set(static_cast<double>(sessions_.size()));
-  if (sweep_timer_ == 0) {
-    sweep_timer_ = context_.scheduler.schedule(common::Duration::zero(), [this] {
-      sweep_timer_ = 0;
-      ended_.clear();
+  if (cleanup_timer_ == 0) {
+    cleanup_timer_ = context_.scheduler.schedule(common::Duration::zero(), [this] {
+      cleanup_timer_ = 0;
+      ended_sessions_.clear();
     });
   }
 }
--- a/src/cypresswall/gateway/gateway.h
+++ b/src/cypresswall/gateway/gateway.h
@@ -1,5 +1,5 @@
-/// The callers' front: turns HTTP requests into executions and gives their answers back, in the
-/// shapes of the OpenAI API for models and as plain HTTP for services.
+/// HTTP front end for callers: starts an execution for each request and returns its answer, using
+/// the OpenAI API for models and plain HTTP for services.
 #pragma once
 
 #include <cstdint>
@@ -33,23 +33,24 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  /// Takes all paths of `routes` that nobody else takes.
+  /// Registers the gateway as the handler of all paths of `routes` that have no other handler.
   void mount(HttpRoutes& routes);
-  /// Takes one request of a caller.
+  /// Handles one request from a caller.
   void handle(http::Request request, const std::shared_ptr<http::Responder>& responder);
-  /// Takes a model request whose answer is given as the engine makes it.
+  /// Handles a model request whose answer is passed through unchanged from the engine.
   void passModelCall(execution::ModelCall call, const std::shared_ptr<http::Responder>& responder,
                      ErrorWriter write_error);
-  /// Takes a request to a plain HTTP service whose errors are written in the caller's protocol.
+  /// Handles a request to a plain HTTP service; `write_error` formats errors in the caller's
+  /// protocol.
   void passServiceCall(execution::ServiceCallRequest request,
                        const std::shared_ptr<http::Responder>& responder, ErrorWriter write_error);
-  /// \return the holder of a caller's key by the configuration in force, null if no tenant has it;
+  /// \return the holder of an API key in the current configuration, null if no tenant has the key;
   ///   valid until the next call
   const KeyHolder* holderOf(const std::string& key);
-  /// Logs and counts a request that the HTTP server itself refused.
+  /// Logs and counts a request that the HTTP server itself rejected.
   void reportRejection(const http::Rejection& rejection);
 
-  /// \return number of requests under way.
+  /// \return the number of requests in progress.
   std::size_t openRequests() const { return sessions_.size(); }
 
  private:
@@ -60,13 +61,13 @@
                        const std::string& request_id);
   void startService(http::Request& request, const std::shared_ptr<http::Responder>& responder,
                     const std::string& request_id);
-  void answerModels(const http::Request& request, http::Responder& responder,
-                    const std::string& request_id) const;
+  void respondWithModels(const http::Request& request, http::Responder& responder,
+                         const std::string& request_id) const;
   void refuse(const ErrorAnswer& error, const http::Request& request, http::Responder& responder,
               const std::string& request_id);
-  /// Starts a session and keeps it until it says that it ended.
-  void keep(std::unique_ptr<Session> session);
-  void sessionEnded(SessionId id);
+  /// Starts a session and owns it until it reports that it ended.
+  void addSession(std::unique_ptr<Session> session);
+  void onSessionEnded(SessionId id);
   std::string makeRequestId();
 
   GatewayContext context_;
@@ -75,9 +76,10 @@
   TenantIndex tenants_;
   SessionId last_session_ = 0;
   std::unordered_map<SessionId, std::unique_ptr<Session>> sessions_;
-  /// Ended sessions, destroyed on the next turn since their executions may still be on the stack.
-  std::vector<std::unique_ptr<Session>> ended_;
-  common::TimerId sweep_timer_ = 0;
+  /// Ended sessions, destroyed in the next iteration of the event loop since their executions may
+  /// still be on the call stack.
+  std::vector<std::unique_ptr<Session>> ended_sessions_;
+  common::TimerId cleanup_timer_ = 0;
 };
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/header_filter.cpp
+++ b/src/cypresswall/gateway/header_filter.cpp
@@ -11,7 +11,7 @@
 
 using NameSet = std::set<std::string, std::less<>>;
 
-/// Headers of one connection (RFC 9110, section 7.6.1), and of one message's framing.
+/// Connection-specific headers (RFC 9110, section 7.6.1) and message framing headers.
 const NameSet& connectionHeaders() {
   static const NameSet kNames = {
       "connection",
@@ -30,8 +30,8 @@
   return kNames;
 }
 
-/// Headers that the system sets or takes for itself.
-const NameSet& ownHeaders() {
+/// Headers that the system sets or interprets itself.
+const NameSet& reservedHeaders() {
   static const NameSet kNames = {
       "authorization",
       "idempotency-key",
@@ -48,7 +48,7 @@
   return lower;
 }
 
-/// Adds the names that a Connection header lists.
+/// Adds the header names listed in a Connection header.
 void addListedNames(std::string_view list, NameSet& names) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
@@ -65,7 +65,7 @@
 }
 
 template <typename To, typename From>
-std::vector<To> filtered(const std::vector<From>& headers) {
+std::vector<To> filterHeaders(const std::vector<From>& headers) {
   NameSet listed;
   for (const From& header : headers) {
     if (lowerCase(header.name) == "connection") {
@@ -75,7 +75,7 @@
   std::vector<To> passed;
   for (const From& header : headers) {
     const auto name = lowerCase(header.name);
-    if (!connectionHeaders().contains(name) && !ownHeaders().contains(name) &&
+    if (!connectionHeaders().contains(name) && !reservedHeaders().contains(name) &&
         !listed.contains(name)) {
       passed.push_back({header.name, header.value});
     }
@@ -86,11 +86,11 @@
 }  // namespace
 
 std::vector<services::HttpHeader> headersForService(const std::vector<http::Header>& headers) {
-  return filtered<services::HttpHeader>(headers);
+  return filterHeaders<services::HttpHeader>(headers);
 }
 
 std::vector<http::Header> headersForCaller(const std::vector<services::HttpHeader>& headers) {
-  return filtered<http::Header>(headers);
+  return filterHeaders<http::Header>(headers);
 }
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/header_filter.h
+++ b/src/cypresswall/gateway/header_filter.h
@@ -1,4 +1,4 @@
-/// Which headers pass between a caller and a plain HTTP service.
+/// Selects the headers that are forwarded between a caller and a plain HTTP service.
 #pragma once
 
 #include <vector>
@@ -8,11 +8,11 @@
 
 namespace cypresswall::gateway {
 
-/// \return the caller's headers that the service gets: none that belong to the connection, nor the
-///   tenant's key, nor those that the system itself sets.
+/// \return the caller's headers to forward to the service, without connection-specific headers, the
+///   tenant's API key and headers set by the system itself.
 std::vector<services::HttpHeader> headersForService(const std::vector<http::Header>& headers);
 
-/// \return the service's headers that the caller gets.
+/// \return the service's headers to forward to the caller.
 std::vector<http::Header> headersForCaller(const std::vector<services::HttpHeader>& headers);
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/http_routes.h
+++ b/src/cypresswall/gateway/http_routes.h
@@ -1,4 +1,4 @@
-/// Chooses the handler of an HTTP request by the longest matching path prefix.
+/// Selects the handler of an HTTP request by the longest matching path prefix.
 #pragma once
 
 #include <map>
@@ -9,11 +9,11 @@
 
 namespace cypresswall::gateway {
 
-/// Paths of one HTTP server. Handlers must outlive the server that uses them.
+/// Routing table of one HTTP server. Handlers must outlive the server that uses them.
 class HttpRoutes {
  public:
-  /// Gives all paths that are `prefix`, or continue it after a slash, to `handler`; a longer prefix
-  /// goes before a shorter one. A later handler of the same prefix replaces the earlier one.
+  /// Routes the path `prefix`, and all paths that start with `prefix` and a slash, to `handler`,
+  /// unless a longer prefix matches. Replaces any earlier handler of the same prefix.
   void add(std::string prefix, http::Handler handler);
   /// Calls the matching handler, or answers 404.
   void handle(http::Request request, const std::shared_ptr<http::Responder>& responder) const;
--- a/src/cypresswall/gateway/model_session.cpp
+++ b/src/cypresswall/gateway/model_session.cpp
@@ -17,11 +17,11 @@
       tenant_(std::move(tenant)),
       identity_{request_.kind, std::move(request_id), request_.model, context.unix_time()},
       responder_(std::move(responder)),
-      pace_(context, settings, counters, *responder_, [this] { callerStuck(); }) {}
+      flow_control_(context, settings, counters, *responder_, [this] { onCallerStalled(); }) {}
 
 void ModelSession::start(std::function<void()> ended) {
-  ended_ = std::move(ended);
-  responder_->onClosed([this] { callerGone(); });
+  on_ended_ = std::move(ended);
+  responder_->onClosed([this] { onCallerDisconnected(); });
   execution::ModelCall call;
   call.request_id = identity_.request_id;
   call.tenant = tenant_;
@@ -33,7 +33,7 @@
 }
 
 void ModelSession::onToken(std::uint32_t /*index*/, const std::string& text) {
-  if (over_) {
+  if (finished_) {
     return;
   }
   ++tokens_;
@@ -46,13 +46,13 @@
 }
 
 void ModelSession::streamToken(const std::string& text) {
-  if (!format_) {
+  if (!formatter_) {
     openStream();
   }
   event_.clear();
-  format_->appendToken(event_, text);
+  formatter_->appendToken(event_, text);
   responder_->write(event_);
-  pace_.written(*execution_);
+  flow_control_.onWritten(*execution_);
 }
 
 void ModelSession::collectToken(const std::string& text) {
@@ -65,44 +65,44 @@
 }
 
 void ModelSession::openStream() {
-  format_.emplace(identity_);
+  formatter_.emplace(identity_);
   responder_->onDrained([this] {
-    if (!over_) {
-      pace_.drained(*execution_);
+    if (!finished_) {
+      flow_control_.onDrained(*execution_);
     }
   });
   responder_->startStream(200, {{"Content-Type", "text/event-stream"},
                                 {"Cache-Control", "no-cache"},
                                 {kRequestIdHeader, identity_.request_id}});
-  responder_->write(format_->opening());
+  responder_->write(formatter_->firstEvent());
 }
 
 void ModelSession::onFinished(const engines::StreamUsage& usage) {
-  if (over_) {
+  if (finished_) {
     return;
   }
   if (request_.stream) {
-    if (!format_) {
+    if (!formatter_) {
       openStream();
     }
-    responder_->write(format_->ending(usage, request_.include_usage));
+    responder_->write(formatter_->finalEvents(usage, request_.include_usage));
     responder_->finishStream();
   } else {
     responder_->respond(200,
                         {{"Content-Type", "application/json"},
                          {kRequestIdHeader, identity_.request_id},
                          {kOutcomeHeader, execution::toString(execution::Outcome::kDone)}},
-                        wholeAnswer(identity_, text_, usage));
+                        completeAnswer(identity_, text_, usage));
   }
   end(execution::toString(execution::Outcome::kDone), usage.finish_reason);
 }
 
 void ModelSession::onError(const execution::ExecutionError& error) {
-  if (over_) {
+  if (finished_) {
     return;
   }
   const auto answer = errorAnswerOf(error);
-  if (format_) {
+  if (formatter_) {
     responder_->write("data: " + errorBody(answer) + "\n\n");
     responder_->finishStream();
   } else {
@@ -111,16 +111,16 @@
   end(execution::toString(error.outcome), answer.code + ": " + error.message);
 }
 
-void ModelSession::callerGone() {
-  if (over_) {
+void ModelSession::onCallerDisconnected() {
+  if (finished_) {
     return;
   }
   execution_.reset();
   end("caller-gone", "the connection ended");
 }
 
-void ModelSession::callerStuck() {
-  if (over_) {
+void ModelSession::onCallerStalled() {
+  if (finished_) {
     return;
   }
   execution_.reset();
@@ -140,11 +140,11 @@
 }
 
 void ModelSession::end(const char* result, const std::string& reason) {
-  over_ = true;
-  pace_.stop();
+  finished_ = true;
+  flow_control_.stop();
   counters_.requestsEnded(result).add();
   logEnd(result, reason);
-  ended_();
+  on_ended_();
 }
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/model_session.h
+++ b/src/cypresswall/gateway/model_session.h
@@ -1,4 +1,4 @@
-/// One completion request: its execution on one side, its caller on the other.
+/// One completion request: connects the model execution to the caller.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 #include "cypresswall/execution/model_executor.h"
 #include "cypresswall/gateway/completion_format.h"
 #include "cypresswall/gateway/completion_request.h"
-#include "cypresswall/gateway/reader_pace.h"
 #include "cypresswall/gateway/session.h"
+#include "cypresswall/gateway/stream_flow_control.h"
 #include "cypresswall/http/server.h"
 
 namespace cypresswall::gateway {
@@ -30,12 +30,12 @@
 
   void streamToken(const std::string& text);
   void collectToken(const std::string& text);
-  /// Sends the headers of a streamed answer, and its first event.
+  /// Sends the headers and the first event of a streamed answer.
   void openStream();
-  void callerGone();
-  void callerStuck();
+  void onCallerDisconnected();
+  void onCallerStalled();
   void logEnd(const char* result, const std::string& reason);
-  /// Nothing is done with the execution or the caller after this.
+  /// Ends the session; neither the execution nor the caller is used afterwards.
   void end(const char* result, const std::string& reason);
 
   GatewayContext& context_;
@@ -45,17 +45,17 @@
   common::TenantName tenant_;
   CompletionIdentity identity_;
   std::shared_ptr<http::Responder> responder_;
-  std::function<void()> ended_;
+  std::function<void()> on_ended_;
   std::unique_ptr<execution::ModelExecution> execution_;
-  /// Set once a streamed answer has begun.
-  std::optional<StreamFormat> format_;
-  /// The event under construction; kept for its memory.
+  /// Set once a streamed answer has started.
+  std::optional<StreamFormatter> formatter_;
+  /// Buffer for the event being formatted; a member so that its memory is reused.
   std::string event_;
-  /// Text of an answer that is not streamed.
+  /// Text of a non-streamed answer.
   std::string text_;
   std::uint32_t tokens_ = 0;
-  ReaderPace pace_;
-  bool over_ = false;
+  StreamFlowControl flow_control_;
+  bool finished_ = false;
 };
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/pass_through_session.cpp
+++ b/src/cypresswall/gateway/pass_through_session.cpp
@@ -15,40 +15,40 @@
       service_(call_.service),
       responder_(std::move(responder)),
       write_error_(std::move(write_error)),
-      pace_(context, settings, counters, *responder_, [this] {
+      flow_control_(context, settings, counters, *responder_, [this] {
         responder_->abort();
-        callerGone("the caller read nothing for too long");
+        onCallerDisconnected("the caller read nothing for too long");
       }) {}
 
 void PassThroughSession::start(std::function<void()> ended) {
-  ended_ = std::move(ended);
-  responder_->onClosed([this] { callerGone("the connection ended"); });
+  on_ended_ = std::move(ended);
+  responder_->onClosed([this] { onCallerDisconnected("the connection ended"); });
   execution_ = context_.models.start(std::move(call_), *this);
 }
 
 void PassThroughSession::onHead(const engines::AnswerHead& head) {
-  if (over_ || std::exchange(head_given_, true)) {
+  if (finished_ || std::exchange(head_sent_, true)) {
     return;
   }
   responder_->onDrained([this] {
-    if (!over_) {
-      pace_.drained(*execution_);
+    if (!finished_) {
+      flow_control_.onDrained(*execution_);
     }
   });
   responder_->startStream(head.status, head.headers);
 }
 
 void PassThroughSession::onToken(std::uint32_t /*index*/, const std::string& text) {
-  if (over_) {
+  if (finished_) {
     return;
   }
   counters_.tokens.add();
   responder_->write(text);
-  pace_.written(*execution_);
+  flow_control_.onWritten(*execution_);
 }
 
 void PassThroughSession::onFinished(const engines::StreamUsage& usage) {
-  if (over_) {
+  if (finished_) {
     return;
   }
   responder_->finishStream();
@@ -56,10 +56,10 @@
 }
 
 void PassThroughSession::onError(const execution::ExecutionError& error) {
-  if (over_) {
+  if (finished_) {
     return;
   }
-  if (head_given_) {
+  if (head_sent_) {
     responder_->abort();
   } else {
     write_error_(*responder_, error, request_id_);
@@ -67,8 +67,8 @@
   end(execution::toString(error.outcome), error.message);
 }
 
-void PassThroughSession::callerGone(const std::string& reason) {
-  if (over_) {
+void PassThroughSession::onCallerDisconnected(const std::string& reason) {
+  if (finished_) {
     return;
   }
   execution_.reset();
@@ -76,15 +76,15 @@
 }
 
 void PassThroughSession::end(const char* result, const std::string& reason) {
-  over_ = true;
-  pace_.stop();
+  finished_ = true;
+  flow_control_.stop();
   counters_.requestsEnded(result).add();
   common::LogEvent(context_.log, common::LogLevel::kInfo, "request_ended")
       .field("request", request_id_)
       .field("service", service_)
       .field("result", result)
       .field("reason", reason);
-  ended_();
+  on_ended_();
 }
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/pass_through_session.h
+++ b/src/cypresswall/gateway/pass_through_session.h
@@ -1,4 +1,4 @@
-/// One model request whose answer is given to its caller byte for byte as the engine made it.
+/// One model request whose answer is forwarded to the caller byte for byte as the engine sent it.
 #pragma once
 
 #include <functional>
@@ -6,17 +6,17 @@
 #include <string>
 
 #include "cypresswall/execution/model_executor.h"
-#include "cypresswall/gateway/reader_pace.h"
 #include "cypresswall/gateway/session.h"
+#include "cypresswall/gateway/stream_flow_control.h"
 #include "cypresswall/http/server.h"
 
 namespace cypresswall::gateway {
 
-/// An answer that breaks off after its head is ended by an abort of the connection, so that it
-/// can't be taken for a whole one.
+/// If the answer fails after its head was sent, the connection is aborted, so that the caller can't
+/// mistake the answer for a complete one.
 class PassThroughSession final : public Session, private execution::ModelCallObserver {
  public:
-  /// \param write_error answers a request that failed before the head of its answer
+  /// \param write_error answers a request that failed before the head of its answer was sent
   PassThroughSession(GatewayContext& context, const GatewaySettings& settings,
                      GatewayCounters& counters, execution::ModelCall call,
                      std::shared_ptr<http::Responder> responder, ErrorWriter write_error);
@@ -29,8 +29,8 @@
   void onFinished(const engines::StreamUsage& usage) override;
   void onError(const execution::ExecutionError& error) override;
 
-  void callerGone(const std::string& reason);
-  /// Nothing is done with the execution or the caller after this.
+  void onCallerDisconnected(const std::string& reason);
+  /// Ends the session; neither the execution nor the caller is used afterwards.
   void end(const char* result, const std::string& reason);
 
   GatewayContext& context_;
@@ -40,11 +40,11 @@
   common::ServiceName service_;
   std::shared_ptr<http::Responder> responder_;
   ErrorWriter write_error_;
-  std::function<void()> ended_;
+  std::function<void()> on_ended_;
   std::unique_ptr<execution::ModelExecution> execution_;
-  ReaderPace pace_;
-  bool head_given_ = false;
-  bool over_ = false;
+  StreamFlowControl flow_control_;
+  bool head_sent_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/service_session.cpp
+++ b/src/cypresswall/gateway/service_session.cpp
@@ -61,16 +61,16 @@
       write_error_(std::move(write_error)) {}
 
 void ServiceSession::start(std::function<void()> ended) {
-  ended_ = std::move(ended);
-  responder_->onClosed([this] { callerGone(); });
+  on_ended_ = std::move(ended);
+  responder_->onClosed([this] { onCallerDisconnected(); });
   execution_ = context_.services.start(
-      request_, [this](execution::ServiceCallAnswer answer) { answered(std::move(answer)); });
+      request_, [this](execution::ServiceCallAnswer answer) { onAnswer(std::move(answer)); });
   request_.body.clear();
   request_.body.shrink_to_fit();
 }
 
-void ServiceSession::answered(execution::ServiceCallAnswer answer) {
-  if (over_) {
+void ServiceSession::onAnswer(execution::ServiceCallAnswer answer) {
+  if (finished_) {
     return;
   }
   if (answer.status == 0) {
@@ -90,8 +90,8 @@
   end(execution::toString(answer.outcome), std::to_string(answer.status));
 }
 
-void ServiceSession::callerGone() {
-  if (over_) {
+void ServiceSession::onCallerDisconnected() {
+  if (finished_) {
     return;
   }
   execution_.reset();
@@ -99,7 +99,7 @@
 }
 
 void ServiceSession::end(const char* result, const std::string& reason) {
-  over_ = true;
+  finished_ = true;
   counters_.requestsEnded(result).add();
   common::LogEvent(context_.log, common::LogLevel::kInfo, "request_ended")
       .field("request", request_id_)
@@ -108,7 +108,7 @@
       .field("method", request_.method)
       .field("result", result)
       .field("reason", reason);
-  ended_();
+  on_ended_();
 }
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/service_session.h
+++ b/src/cypresswall/gateway/service_session.h
@@ -1,4 +1,4 @@
-/// One request to a plain HTTP service: its execution on one side, its caller on the other.
+/// One request to a plain HTTP service: connects the service execution to the caller.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 class ServiceSession final : public Session {
  public:
-  /// \param write_error answers a request that got no answer from the service
+  /// \param write_error answers a request for which the service gave no answer
   ServiceSession(GatewayContext& context, GatewayCounters& counters,
                  execution::ServiceCallRequest request, std::shared_ptr<http::Responder> responder,
                  ErrorWriter write_error);
@@ -21,8 +21,8 @@
   void start(std::function<void()> ended) override;
 
  private:
-  void answered(execution::ServiceCallAnswer answer);
-  void callerGone();
+  void onAnswer(execution::ServiceCallAnswer answer);
+  void onCallerDisconnected();
   void end(const char* result, const std::string& reason);
 
   GatewayContext& context_;
@@ -31,20 +31,21 @@
   std::string request_id_;
   std::shared_ptr<http::Responder> responder_;
   ErrorWriter write_error_;
-  std::function<void()> ended_;
+  std::function<void()> on_ended_;
   std::unique_ptr<execution::ServiceExecution> execution_;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
-/// Splits "/services/<name>/<rest>" into the service's name and the target that it gets.
+/// The parts of a request target "/services/<name>/<rest>".
 struct ServiceTarget {
   common::ServiceName service;
-  /// Begins with a slash, with the query.
+  /// Target of the request to the service: path, starting with a slash, and query.
   std::string target;
 };
 
-/// \throws RequestError if `request` names no service, or its path has "." or ".." segments, by
-///   which another operation than the one declared could be reached
+/// \throws RequestError if `request` names no service, or if its path contains "." or ".."
+/// segments,
+///   which could address a different operation than the declared one
 ServiceTarget serviceTargetOf(const http::Request& request);
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/session.cpp
+++ b/src/cypresswall/gateway/session.cpp
@@ -7,8 +7,8 @@
                               "Output tokens taken from executions")),
       pauses(registry.counter("cypresswall_gateway_pauses_total",
                               "Streams paused because the caller reads slowly")),
-      stuck_readers(registry.counter("cypresswall_gateway_stuck_readers_total",
-                                     "Streams ended because the caller read nothing")),
+      stalled_readers(registry.counter("cypresswall_gateway_stuck_readers_total",
+                                       "Streams ended because the caller read nothing")),
       open_requests(registry.gauge("cypresswall_gateway_open_requests", "Requests under way")),
       registry_(registry) {}
 
--- a/src/cypresswall/gateway/session.h
+++ b/src/cypresswall/gateway/session.h
@@ -1,4 +1,4 @@
-/// What the sessions of callers share: the gateway's surroundings, limits and counters.
+/// Definitions shared by all session types: dependencies, settings and counters of the gateway.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace cypresswall::gateway {
 
-/// What a gateway is built from; all of it must outlive the gateway.
+/// Dependencies of the gateway; all of them must outlive it.
 struct GatewayContext {
   execution::ModelExecutor& models;
   execution::ServiceExecutor& services;
@@ -26,18 +26,18 @@
   common::LogSink& log;
   common::CounterRegistry& counters;
   common::RandomSource& random;
-  /// Seconds since 1970, for the field "created".
+  /// Returns the Unix time in seconds, used for the field "created".
   std::function<std::int64_t()> unix_time;
 };
 
 struct GatewaySettings {
-  /// A stream whose caller has taken none of so many bytes stops taking tokens from the engine,
-  /// and goes on when fewer than the second number are left.
+  /// High and low watermark of the bytes queued for a caller: above the first, the stream from the
+  /// engine is paused; it resumes when no more than the second are left.
   std::size_t pause_above_bytes = 32U << 10;
   std::size_t resume_below_bytes = 8U << 10;
-  /// How long a paused stream waits for its caller before it is ended.
-  common::Duration stuck_reader_limit = std::chrono::seconds(30);
-  /// Largest text of an answer that is not streamed.
+  /// Time that a stream may stay paused for a slow caller before it is ended.
+  common::Duration stalled_reader_timeout = std::chrono::seconds(30);
+  /// Maximum text size of a non-streamed answer.
   std::size_t maximum_answer_bytes = 16U << 20;
   std::size_t maximum_idempotency_key_bytes = 255;
 };
@@ -53,25 +53,25 @@
 
   common::Counter& tokens;
   common::Counter& pauses;
-  common::Counter& stuck_readers;
+  common::Counter& stalled_readers;
   common::Counter& open_requests;
 
  private:
   common::CounterRegistry& registry_;
 };
 
-/// Writes the final answer to a request that was not served.
+/// Writes the error answer to a failed request.
 using ErrorWriter = std::function<void(http::Responder&, const execution::ExecutionError&,
                                        const std::string& request_id)>;
 
 using SessionId = std::uint64_t;
 
-/// One request under way.
+/// One request in progress.
 class Session {
  public:
   virtual ~Session() = default;
-  /// Starts the execution. `ended` is called once, possibly from within an execution's callback;
-  /// the session must then be destroyed, but not before that callback has returned.
+  /// Starts the execution. `ended` is called once, possibly from a callback of the execution; the
+  /// session must then be destroyed, but only after that callback has returned.
   virtual void start(std::function<void()> ended) = 0;
 };
 
--- a/src/cypresswall/gateway/tenants.h
+++ b/src/cypresswall/gateway/tenants.h
@@ -1,4 +1,4 @@
-/// Finds the tenant of a request by its API key.
+/// Identifies the tenant of a request by its API key.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,23 @@
 
 namespace cypresswall::gateway {
 
-/// Tenant of requests that carry no key.
+/// Tenant of requests without an API key.
 inline constexpr const char* kDefaultTenant = "default";
 
-/// The tenant that a key belongs to. The key itself goes no further than this.
+/// The tenant that an API key belongs to. The key itself is not passed on to other components.
 struct KeyHolder {
   common::TenantName tenant;
-  /// Goes before the urgency of the service that the tenant calls.
+  /// If set, overrides the urgency of the service that the tenant calls.
   std::optional<configuration::Urgency> urgency;
 };
 
-/// Keys of one version of the configuration, rebuilt when the version changes.
+/// Index of the API keys in one version of the configuration, rebuilt when the version changes.
 class TenantIndex {
  public:
-  /// \throws RequestError (401) for a key that no tenant has, or another scheme than Bearer
+  /// \throws RequestError (401) if no tenant has the key, or the scheme is not Bearer
   const common::TenantName& tenantOf(const http::Request& request,
                                      const configuration::FleetConfiguration& configuration);
-  /// \return the holder of a key, null if no tenant has it; valid until the next call
+  /// \return the holder of an API key, null if no tenant has it; valid until the next call
   const KeyHolder* holderOf(const std::string& key,
                             const configuration::FleetConfiguration& configuration);
 
--- a/tests/gateway/completion_format_test.cpp
+++ b/tests/gateway/completion_format_test.cpp
@@ -28,8 +28,8 @@
   }
 }
 
-/// Any text, rich in characters that JSON and server-sent events treat specially.
-rc::Gen<std::string> anyText() {
+/// Generates arbitrary text with many characters that are special in JSON or server-sent events.
+rc::Gen<std::string> arbitraryText() {
   const auto code = rc::gen::oneOf(
       rc::gen::element<std::uint32_t>('"', '\\', '\n', '\r', 0, 0x7f, 0x2028),
       rc::gen::inRange<std::uint32_t>(0, 0x80), rc::gen::inRange<std::uint32_t>(0x80, 0x800),
@@ -47,20 +47,20 @@
 
 class CompletionFormatTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CompletionFormatTest);
-  CPPUNIT_TEST(eventsReadBack);
-  CPPUNIT_TEST(wholeAnswersReadBack);
-  CPPUNIT_TEST(bytesThatAreNoTextAreReplaced);
+  CPPUNIT_TEST(eventsRoundTrip);
+  CPPUNIT_TEST(completeAnswersRoundTrip);
+  CPPUNIT_TEST(invalidUtf8IsReplaced);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void eventsReadBack() {
+  void eventsRoundTrip() {
     testing::requireProperty("events read back", 2000, [] {
-      const auto text = *anyText();
-      const auto model = *anyText();
-      const StreamFormat format({CompletionKind::kChat, "id", model, 1});
+      const auto text = *arbitraryText();
+      const auto model = *arbitraryText();
+      const StreamFormatter format({CompletionKind::kChat, "id", model, 1});
       std::string event;
       format.appendToken(event, text);
-      // One event: a data line and an empty line.
+      // Exactly one event: a data line followed by an empty line.
       RC_ASSERT(event.starts_with("data: "));
       RC_ASSERT(event.find('\n') == event.size() - 2);
       RC_ASSERT(event.find('\r') == std::string::npos);
@@ -70,15 +70,16 @@
     });
   }
 
-  void wholeAnswersReadBack() {
+  void completeAnswersRoundTrip() {
     testing::requireProperty("whole answers read back", 500, [] {
-      const auto text = *anyText();
-      const auto body = wholeAnswer({CompletionKind::kText, "id", "m", 1}, text, {1, 0, 2, "stop"});
+      const auto text = *arbitraryText();
+      const auto body =
+          completeAnswer({CompletionKind::kText, "id", "m", 1}, text, {1, 0, 2, "stop"});
       RC_ASSERT(Json::parse(body)["choices"][0]["text"] == text);
     });
   }
 
-  void bytesThatAreNoTextAreReplaced() {
+  void invalidUtf8IsReplaced() {
     testing::requireProperty("any bytes give valid JSON", 2000,
                              [](const std::vector<std::uint8_t>& bytes) {
                                std::string escaped = "\"";
--- a/tests/gateway/completion_request_test.cpp
+++ b/tests/gateway/completion_request_test.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::gateway {
 namespace {
 
-/// \return the code and field of the error; nothing if the body is taken.
+/// \return "code/field" of the error; empty if the body is accepted.
 std::optional<std::string> errorOf(CompletionKind kind, const std::string& body) {
   try {
     parseCompletionRequest(kind, body);
@@ -22,17 +22,17 @@
 
 class CompletionRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CompletionRequestTest);
-  CPPUNIT_TEST(namesTheFieldAtFault);
+  CPPUNIT_TEST(errorsNameTheInvalidField);
   CPPUNIT_TEST(skipsUnknownFields);
   CPPUNIT_TEST(joinsMessagesAndParts);
-  CPPUNIT_TEST(boundsNestingAndMessages);
-  CPPUNIT_TEST(anyBytesGiveARequestOrA400);
-  CPPUNIT_TEST(mutilatedRequestsGiveARequestOrA400);
-  CPPUNIT_TEST(messagesReadBack);
+  CPPUNIT_TEST(limitsNestingAndMessageCount);
+  CPPUNIT_TEST(arbitraryBytesParseOrGive400);
+  CPPUNIT_TEST(mutatedRequestsParseOrGive400);
+  CPPUNIT_TEST(messagesRoundTrip);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void namesTheFieldAtFault() {
+  void errorsNameTheInvalidField() {
     const std::vector<std::pair<std::string, std::string>> bodies = {
         {"", "invalid_json/"},
         {"[]", "invalid_type/"},
@@ -88,7 +88,7 @@
         request.prompt);
   }
 
-  void boundsNestingAndMessages() {
+  void limitsNestingAndMessageCount() {
     const std::string deep(1000000, '[');
     CPPUNIT_ASSERT_EQUAL(std::string("invalid_json/"),
                          errorOf(CompletionKind::kChat, R"({"x":)" + deep).value_or("none"));
@@ -100,14 +100,14 @@
                          errorOf(CompletionKind::kChat, many).value_or("none"));
   }
 
-  void anyBytesGiveARequestOrA400() {
+  void arbitraryBytesParseOrGive400() {
     testing::requireProperty("any bytes", 2000, [](const std::string& body) {
       errorOf(CompletionKind::kChat, body);
       errorOf(CompletionKind::kText, body);
     });
   }
 
-  void mutilatedRequestsGiveARequestOrA400() {
+  void mutatedRequestsParseOrGive400() {
     const std::string whole =
         R"({"model":"m","stream":true,"stream_options":{"include_usage":true},"max_tokens":5,)"
         R"("prompt":["p"],"n":1,"messages":[{"role":"user","content":[{"type":"text","text":"x"}]}]})";
@@ -126,7 +126,7 @@
     });
   }
 
-  void messagesReadBack() {
+  void messagesRoundTrip() {
     testing::requireProperty("messages read back", 500, [](const std::vector<int>& codes) {
       std::string content;
       for (const int code : codes) {
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -1,4 +1,4 @@
-/// A gateway between a recording caller and scripted executors.
+/// Fixture with a gateway between a recording responder and scripted executors.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace cypresswall::gateway {
 
-/// Keeps what a caller would get. The caller reads only when drain() is called.
+/// Records what a caller would receive. Queued bytes count as sent only when drain() is called.
 class RecordingResponder final : public http::Responder {
  public:
   struct Record {
@@ -41,7 +41,7 @@
       }
       return found;
     }
-    /// \return the text that the deltas of a chat stream add up to.
+    /// \return the concatenated text of all deltas of a chat stream.
     std::string deltaText() const {
       std::string text;
       for (const auto& event : events()) {
@@ -96,7 +96,7 @@
   std::shared_ptr<Record> record_;
 };
 
-/// Model calls that the test answers by hand.
+/// Records model calls; the test answers them explicitly.
 class ScriptedModels final : public execution::ModelExecutor {
  public:
   struct Call {
@@ -132,7 +132,7 @@
   };
 };
 
-/// Service calls that the test answers by hand.
+/// Records service calls; the test answers them explicitly.
 class ScriptedServices final : public execution::ServiceExecutor {
  public:
   struct Call {
@@ -165,7 +165,7 @@
   };
 };
 
-/// Timers that run when the test says so.
+/// Scheduler whose timers run only when the test calls run().
 class ManualScheduler final : public common::Scheduler {
  public:
   common::TimerId schedule(common::Duration delay, std::function<void()> callback) override {
@@ -173,7 +173,7 @@
     return last_;
   }
   void cancel(common::TimerId timer) override { timers_.erase(timer); }
-  /// Runs all timers of at most `delay` that are pending now.
+  /// Runs all currently pending timers with a delay of at most `delay`.
   void run(common::Duration delay) {
     for (auto& [id, timer] : std::map(timers_)) {
       if (timer.first <= delay && timers_.erase(id) > 0) {
@@ -198,14 +198,13 @@
       std::make_shared<configuration::FleetConfiguration>();
 };
 
-class LineSink final : public common::LogSink {
+class RecordingSink final : public common::LogSink {
  public:
   bool enabled(common::LogLevel) const override { return true; }
   void write(common::LogLevel, const std::string& line) override { lines.push_back(line); }
   std::vector<std::string> lines;
 };
 
-/// All of it together.
 struct GatewayFixture {
   GatewayFixture() {
     configuration.fleet->version = 1;
@@ -238,7 +237,7 @@
   ScriptedServices services;
   FixedConfiguration configuration;
   ManualScheduler scheduler;
-  LineSink log;
+  RecordingSink log;
   common::CounterRegistry counters;
   common::SeededRandom random{7};
   Gateway gateway{{models, services, configuration, scheduler, log, counters, random,
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -11,25 +11,25 @@
 
 class GatewayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayTest);
-  CPPUNIT_TEST(givesAWholeChatAnswer);
-  CPPUNIT_TEST(streamsAChat);
-  CPPUNIT_TEST(streamsAnEmptyAnswer);
+  CPPUNIT_TEST(returnsCompleteChatAnswer);
+  CPPUNIT_TEST(streamsChatCompletion);
+  CPPUNIT_TEST(streamsEmptyCompletion);
   CPPUNIT_TEST(answersTextCompletions);
-  CPPUNIT_TEST(refusalsForLoadHaveRetryAfter);
-  CPPUNIT_TEST(errorsKeepTheirOutcome);
-  CPPUNIT_TEST(failureInAStreamIsItsLastEvent);
-  CPPUNIT_TEST(callerThatLeavesCancels);
-  CPPUNIT_TEST(slowReaderPausesAndResumes);
-  CPPUNIT_TEST(stuckReaderIsEnded);
-  CPPUNIT_TEST(keyNamesTheTenant);
+  CPPUNIT_TEST(overloadErrorsHaveRetryAfter);
+  CPPUNIT_TEST(errorsCarryExecutionOutcome);
+  CPPUNIT_TEST(streamFailureIsSentAsLastEvent);
+  CPPUNIT_TEST(callerDisconnectCancelsExecution);
+  CPPUNIT_TEST(slowReaderPausesAndResumesStream);
+  CPPUNIT_TEST(stalledReaderIsDisconnected);
+  CPPUNIT_TEST(apiKeySelectsTenant);
   CPPUNIT_TEST(listsModels);
-  CPPUNIT_TEST(badRequestsAreRefusedAndLoggedOnce);
-  CPPUNIT_TEST(refusesBeforeTheFirstConfiguration);
-  CPPUNIT_TEST(requestIdsDiffer);
+  CPPUNIT_TEST(invalidRequestsAreRejectedAndLoggedOnce);
+  CPPUNIT_TEST(rejectsRequestsBeforeFirstConfiguration);
+  CPPUNIT_TEST(requestIdsAreUnique);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void givesAWholeChatAnswer() {
+  void returnsCompleteChatAnswer() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(false);
     CPPUNIT_ASSERT_EQUAL(std::string("summary"), fixture.call().call.service);
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.gateway.openRequests());
   }
 
-  void streamsAChat() {
+  void streamsChatCompletion() {
     GatewayFixture fixture;
     const auto answer = fixture.post(
         "/v1/chat/completions",
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT(answer->finished);
   }
 
-  void streamsAnEmptyAnswer() {
+  void streamsEmptyCompletion() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(true);
     fixture.call().observer->onFinished({1, 0, 0, "stop"});
@@ -101,7 +101,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("u"), event["choices"][0]["text"].get<std::string>());
   }
 
-  void refusalsForLoadHaveRetryAfter() {
+  void overloadErrorsHaveRetryAfter() {
     const std::vector<std::pair<ErrorKind, int>> kinds = {{ErrorKind::kTenantLimit, 429},
                                                           {ErrorKind::kOverloaded, 503},
                                                           {ErrorKind::kNoBackend, 503},
@@ -122,7 +122,7 @@
     }
   }
 
-  void errorsKeepTheirOutcome() {
+  void errorsCarryExecutionOutcome() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(false);
     fixture.call().observer->onToken(0, "part");
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(answer->json()["error"]["param"].is_null());
   }
 
-  void failureInAStreamIsItsLastEvent() {
+  void streamFailureIsSentAsLastEvent() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(true);
     fixture.call().observer->onToken(0, "part");
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT(answer->body.find("[DONE]") == std::string::npos);
   }
 
-  void callerThatLeavesCancels() {
+  void callerDisconnectCancelsExecution() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(true);
     CPPUNIT_ASSERT(!fixture.call().cancelled);
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT_EQUAL(1.0, fixture.counters.total("cypresswall_gateway_requests_total"));
   }
 
-  void slowReaderPausesAndResumes() {
+  void slowReaderPausesAndResumesStream() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(true);
     const std::string token(1000, 'x');
@@ -171,24 +171,24 @@
     CPPUNIT_ASSERT(fixture.call().paused);
     answer->drain(0);
     CPPUNIT_ASSERT(!fixture.call().paused);
-    fixture.scheduler.run(GatewaySettings{}.stuck_reader_limit);
+    fixture.scheduler.run(GatewaySettings{}.stalled_reader_timeout);
     CPPUNIT_ASSERT(!answer->aborted);
     fixture.call().observer->onFinished({1, 0, index, "stop"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{index} * token.size(), answer->deltaText().size());
   }
 
-  void stuckReaderIsEnded() {
+  void stalledReaderIsDisconnected() {
     GatewayFixture fixture;
     const auto answer = fixture.chat(true);
     fixture.call().observer->onToken(0, std::string(100000, 'x'));
     CPPUNIT_ASSERT(fixture.call().paused);
-    fixture.scheduler.run(GatewaySettings{}.stuck_reader_limit);
+    fixture.scheduler.run(GatewaySettings{}.stalled_reader_timeout);
     CPPUNIT_ASSERT(answer->aborted);
     CPPUNIT_ASSERT(fixture.call().cancelled);
     CPPUNIT_ASSERT_EQUAL(1.0, fixture.counters.total("cypresswall_gateway_stuck_readers_total"));
   }
 
-  void keyNamesTheTenant() {
+  void apiKeySelectsTenant() {
     GatewayFixture fixture;
     http::Request request;
     request.method = "POST";
@@ -220,7 +220,7 @@
     CPPUNIT_ASSERT_EQUAL(405, fixture.send(request)->status);
   }
 
-  void badRequestsAreRefusedAndLoggedOnce() {
+  void invalidRequestsAreRejectedAndLoggedOnce() {
     GatewayFixture fixture;
     const auto answer = fixture.post("/v1/chat/completions", "{\"model\": \xff");
     CPPUNIT_ASSERT_EQUAL(400, answer->status);
@@ -233,7 +233,7 @@
     CPPUNIT_ASSERT_EQUAL(404, fixture.post("/v1/other", "")->status);
   }
 
-  void refusesBeforeTheFirstConfiguration() {
+  void rejectsRequestsBeforeFirstConfiguration() {
     GatewayFixture fixture;
     fixture.configuration.fleet->version = 0;
     const auto answer = fixture.chat(false);
@@ -242,7 +242,7 @@
     CPPUNIT_ASSERT(fixture.models.calls.empty());
   }
 
-  void requestIdsDiffer() {
+  void requestIdsAreUnique() {
     GatewayFixture fixture;
     fixture.chat(true);
     const auto first = fixture.call().call.request_id;
--- a/tests/gateway/service_session_test.cpp
+++ b/tests/gateway/service_session_test.cpp
@@ -25,17 +25,17 @@
 
 class ServiceSessionTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServiceSessionTest);
-  CPPUNIT_TEST(passesTheRequestOn);
-  CPPUNIT_TEST(passesTheAnswerBack);
-  CPPUNIT_TEST(refusalsForLoadHaveRetryAfter);
-  CPPUNIT_TEST(errorsKeepTheirOutcome);
-  CPPUNIT_TEST(callerThatLeavesCancels);
-  CPPUNIT_TEST(badTargetsAreRefused);
+  CPPUNIT_TEST(forwardsRequestToService);
+  CPPUNIT_TEST(returnsServiceAnswerToCaller);
+  CPPUNIT_TEST(overloadErrorsHaveRetryAfter);
+  CPPUNIT_TEST(errorsCarryExecutionOutcome);
+  CPPUNIT_TEST(callerDisconnectCancelsExecution);
+  CPPUNIT_TEST(invalidTargetsAreRejected);
   CPPUNIT_TEST(routesByLongestPrefix);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void passesTheRequestOn() {
+  void forwardsRequestToService() {
     GatewayFixture fixture;
     fixture.send(bookingRequest("/services/booking/slots/7?day=2"));
     const auto& request = fixture.services.calls.at(0)->request;
@@ -49,7 +49,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("Content-Type"), request.headers[0].name);
   }
 
-  void passesTheAnswerBack() {
+  void returnsServiceAnswerToCaller() {
     GatewayFixture fixture;
     const auto answer = fixture.send(bookingRequest("/services/booking"));
     CPPUNIT_ASSERT_EQUAL(std::string("/"), fixture.services.calls.at(0)->request.target);
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.gateway.openRequests());
   }
 
-  void refusalsForLoadHaveRetryAfter() {
+  void overloadErrorsHaveRetryAfter() {
     for (const bool given : {false, true}) {
       GatewayFixture fixture;
       const auto answer = fixture.send(bookingRequest("/services/booking/x"));
@@ -83,7 +83,7 @@
     }
   }
 
-  void errorsKeepTheirOutcome() {
+  void errorsCarryExecutionOutcome() {
     GatewayFixture fixture;
     const auto answer = fixture.send(bookingRequest("/services/booking/x"));
     execution::ServiceCallAnswer failure;
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("unknown"), answer->headers.at("X-Cypresswall-Outcome"));
   }
 
-  void callerThatLeavesCancels() {
+  void callerDisconnectCancelsExecution() {
     GatewayFixture fixture;
     const auto answer = fixture.send(bookingRequest("/services/booking/x"));
     answer->on_closed();
@@ -103,7 +103,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fixture.gateway.openRequests());
   }
 
-  void badTargetsAreRefused() {
+  void invalidTargetsAreRejected() {
     GatewayFixture fixture;
     CPPUNIT_ASSERT_EQUAL(404, fixture.send(bookingRequest("/services/"))->status);
     CPPUNIT_ASSERT_EQUAL(400, fixture.send(bookingRequest("/services/a/x/../y"))->status);
