--- a/src/cypresswall/http/chunk_buffer.cpp
+++ b/src/cypresswall/http/chunk_buffer.cpp
@@ -5,8 +5,8 @@
 
 constexpr std::string_view kHexDigits = "0123456789ABCDEF";
 constexpr std::string_view kLineEnd = "\r\n";
-/// Memory that an idle stream keeps for its next chunk.
-constexpr std::size_t kMaximumKeptBytes = 1024;
+/// Limit of the memory that an idle stream retains for its next chunk.
+constexpr std::size_t kMaximumRetainedBytes = 1024;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 }
 
 void ChunkBuffer::clear() {
-  if (content_.capacity() > kMaximumKeptBytes) {
+  if (content_.capacity() > kMaximumRetainedBytes) {
     content_ = std::string();
   } else {
     content_.clear();
--- a/src/cypresswall/http/chunk_buffer.h
+++ b/src/cypresswall/http/chunk_buffer.h
@@ -1,4 +1,4 @@
-/// Bytes of a streamed answer that wait for the socket, framed in place as one HTTP chunk.
+/// Buffer for bytes of a streamed answer that are not yet sent, framed in place as one HTTP chunk.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
   /// \return the bytes appended since clear().
   std::string_view payload() const;
   /// Frames the payload as one chunk: size line, payload, line end. Nothing may be appended before
-  /// the next clear(), which also ends the life of what was returned.
+  /// the next clear(), which invalidates the returned view.
   std::string_view frame();
-  /// Forgets the bytes; keeps their memory for the next ones if it is small.
+  /// Discards the bytes; keeps the allocated memory if it is small.
   void clear();
 
  private:
-  /// Room before the payload for eight hexadecimal digits and a line end.
+  /// Space reserved before the payload for eight hexadecimal digits and a line end.
   static constexpr std::size_t kSizeLineRoom = 10;
 
   std::string content_;
--- a/src/cypresswall/http/connection.cpp
+++ b/src/cypresswall/http/connection.cpp
@@ -11,16 +11,16 @@
 namespace cypresswall::http {
 namespace {
 
-/// How long, and for how many bytes, a closed connection is read on so that the caller gets the
-/// last answer and no reset.
+/// Limits for draining a connection after its last answer: closing a socket with unread input would
+/// reset the connection before the caller has read the answer.
 constexpr std::chrono::seconds kLingerTime(2);
 constexpr std::size_t kLingerBytes = 64U << 20;
 constexpr std::size_t kLingerBufferBytes = 4096;
 
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
-/// \return true if the bytes are a whole header after which the caller waits for a go-ahead.
-bool waitsForContinue(std::string_view bytes) {
+/// \return true if the bytes are a complete header with "Expect: 100-continue".
+bool expectsContinue(std::string_view bytes) {
   constexpr std::string_view kExpectation = "\r\nexpect: 100-continue\r\n";
   const auto same = [](char a, char b) {
     return std::tolower(static_cast<unsigned char>(a)) == static_cast<unsigned char>(b);
@@ -30,7 +30,7 @@
              bytes.end();
 }
 
-/// Reads and drops what the caller still sends, until it closes or a limit is reached.
+/// Reads and discards input until the caller closes the connection or a limit is reached.
 class LingeringClose : public std::enable_shared_from_this<LingeringClose> {
  public:
   explicit LingeringClose(asio::ip::tcp::socket socket)
@@ -45,19 +45,19 @@
         self->finish();
       }
     });
-    readOn();
+    readNext();
   }
 
  private:
-  void readOn() {
+  void readNext() {
     socket_.async_read_some(
         asio::buffer(buffer_),
         [self = shared_from_this()](const asio::error_code& error, std::size_t length) {
-          self->dropped_ += length;
-          if (error || self->dropped_ > kLingerBytes) {
+          self->discarded_bytes_ += length;
+          if (error || self->discarded_bytes_ > kLingerBytes) {
             self->finish();
           } else {
-            self->readOn();
+            self->readNext();
           }
         });
   }
@@ -71,7 +71,7 @@
   asio::ip::tcp::socket socket_;
   asio::steady_timer timer_;
   std::array<char, kLingerBufferBytes> buffer_{};
-  std::size_t dropped_ = 0;
+  std::size_t discarded_bytes_ = 0;
 };
 
 }  // namespace
@@ -80,10 +80,10 @@
   std::erase_if(exchanges_, [&](const auto& held) { return held.get() == exchange; });
 }
 
-void Connection::readEnded(const asio::error_code& error, std::string_view bytes) {
+void Connection::onRead(const asio::error_code& error, std::string_view bytes) {
   if (!error && !receiving_since_) {
     receiving_since_ = std::chrono::steady_clock::now();
-    if (!hasExchanges() && waitsForContinue(bytes)) {
+    if (!hasExchanges() && expectsContinue(bytes)) {
       sendNow(kContinue);
     }
   }
@@ -97,7 +97,7 @@
     return false;
   }
   asio::error_code ignored;
-  return !asked_ || receiving_since_ || socket_->available(ignored) > 0;
+  return !request_received_ || receiving_since_ || socket_->available(ignored) > 0;
 }
 
 void Connection::sendLastAnswer(const std::string& answer) {
@@ -136,7 +136,7 @@
 
 ConnectionSocket::~ConnectionSocket() {
   if (connection_) {
-    connection_->socketGone();
+    connection_->onSocketClosed();
   }
 }
 
@@ -148,7 +148,7 @@
 
 void ConnectionSocket::close() {
   if (connection_) {
-    connection_->socketGone();
+    connection_->onSocketClosed();
   }
   if (std::exchange(linger_on_close_, false) && is_open()) {
     std::make_shared<LingeringClose>(Base(std::move(static_cast<Base&>(*this))))->start();
--- a/src/cypresswall/http/connection.h
+++ b/src/cypresswall/http/connection.h
@@ -1,6 +1,6 @@
-/// The server's own record of each caller's connection, and the socket type that RESTinio works on.
-/// Together they give what RESTinio does not: an answer to requests that it can't parse, a time
-/// limit for requests that arrive in part, and an abort in the middle of an answer.
+/// The server's own state of each caller's connection, and the socket type used by RESTinio.
+/// Together they add what RESTinio lacks: an answer to requests that it can't parse, a timeout for
+/// partially received requests, and aborting a connection in the middle of an answer.
 #pragma once
 
 #include <asio/buffer.hpp>
@@ -23,8 +23,8 @@
 
 using ConnectionId = std::uint64_t;
 
-/// One connection: its socket, the exchanges that are not fully answered, and the state of reading.
-/// Only used on the server's one thread.
+/// One connection: its socket, its unfinished exchanges and its read state. Not thread-safe; used
+/// on the server's thread only.
 class Connection {
  public:
   Connection(ConnectionId id, ConnectionSocket& socket) : id_(id), socket_(&socket) {}
@@ -33,48 +33,50 @@
 
   void addExchange(const std::shared_ptr<Exchange>& exchange) { exchanges_.push_back(exchange); }
   void removeExchange(const Exchange* exchange);
-  /// \return the open exchanges, and forgets them.
+  /// Removes and returns the open exchanges.
   std::vector<std::shared_ptr<Exchange>> takeExchanges() { return std::exchange(exchanges_, {}); }
   bool hasExchanges() const { return !exchanges_.empty(); }
-  /// \return the exchange whose answer is next on the connection; null if there is none.
+  /// \return the exchange that is answered next on the connection; null if there is none.
   const Exchange* firstExchange() const {
     return exchanges_.empty() ? nullptr : exchanges_.front().get();
   }
 
-  /// Notes the result of a read. The first bytes of a request start its time limit, and are
-  /// answered by "100 Continue" if the caller waits for that; the end of the stream in the middle
-  /// of a request is told to the listener.
-  void readEnded(const asio::error_code& error, std::string_view bytes);
-  /// Calls `listener` when the caller ends its side in the middle of a request.
+  /// Processes the result of a read. The first bytes of a request start its timeout and are
+  /// answered with "100 Continue" if the caller expects it. Calls the truncation listener if the
+  /// connection ends in the middle of a request.
+  void onRead(const asio::error_code& error, std::string_view bytes);
+  /// Sets the listener called when the caller closes its side in the middle of a request.
   void onTruncated(std::function<void()> listener) { on_truncated_ = std::move(listener); }
-  /// Notes that a whole request arrived.
-  void requestCompleted() {
+  /// Records that a request was received completely.
+  void onRequestCompleted() {
     receiving_since_.reset();
-    asked_ = true;
+    request_received_ = true;
   }
-  /// \return true if a request is arriving, lies unread, or is still to come on a new connection.
+  /// \return true if a request is being received, is waiting in the socket, or has yet to arrive on
+  /// a
+  ///   new connection.
   bool awaitsRequest() const;
-  /// \return since when a request is arriving; nothing if none is.
+  /// \return the time at which the current request began to arrive; empty if there is none.
   std::optional<std::chrono::steady_clock::time_point> receivingSince() const {
     return receiving_since_;
   }
 
-  /// Gives bytes to the socket without waiting, past RESTinio.
-  /// \pre RESTinio has nothing to write on this connection
-  /// \return how many bytes were taken, nothing if the connection is broken
+  /// Writes bytes to the socket without blocking, bypassing RESTinio.
+  /// \pre RESTinio has no pending writes on this connection
+  /// \return the number of bytes written; empty if the connection is broken
   std::optional<std::size_t> sendNow(std::string_view bytes);
-  /// Sends `answer` outside RESTinio, as far as the socket takes it at once, and makes the socket
-  /// linger when it is closed, so that the caller can read the answer. Does nothing while another
-  /// answer of this connection is under way.
+  /// Sends as much of `answer` as the socket accepts without blocking, bypassing RESTinio, and
+  /// enables lingering on close so that the caller can read it. Does nothing while another exchange
+  /// is open on this connection.
   void sendLastAnswer(const std::string& answer);
-  /// Ends both directions; RESTinio notices and closes the connection.
+  /// Shuts down both directions; RESTinio detects this and closes the connection.
   void shutdown();
 
-  /// The socket is destroyed or closed.
-  void socketGone() { socket_ = nullptr; }
-  /// Keeps `server` until the socket is destroyed: before that, RESTinio's connection reports its
-  /// end to RESTinio's server, to which it only has a plain pointer.
-  void keepAlive(std::shared_ptr<const void> server) { server_ = std::move(server); }
+  /// Called when the socket is destroyed or closed.
+  void onSocketClosed() { socket_ = nullptr; }
+  /// Keeps `server` alive until the socket is destroyed: RESTinio's connection holds only a raw
+  /// pointer to RESTinio's server and uses it to report that the connection ended.
+  void retainServer(std::shared_ptr<const void> server) { server_ = std::move(server); }
 
  private:
   ConnectionId id_;
@@ -82,12 +84,12 @@
   std::vector<std::shared_ptr<Exchange>> exchanges_;
   std::optional<std::chrono::steady_clock::time_point> receiving_since_;
   std::function<void()> on_truncated_;
-  bool asked_ = false;
+  bool request_received_ = false;
   std::shared_ptr<const void> server_;
 };
 
-/// A TCP socket that knows its Connection. It hides the few operations of its base that RESTinio
-/// calls and that need more than the base does.
+/// A TCP socket with a reference to its Connection. Shadows the base-class operations called by
+/// RESTinio that need additional behaviour.
 class ConnectionSocket : public asio::ip::tcp::socket {
  public:
   using Base = asio::ip::tcp::socket;
@@ -101,7 +103,7 @@
 
   void attach(std::shared_ptr<Connection> connection);
 
-  /// Makes the next close() let the caller read what was sent.
+  /// Makes the next close() wait so that the caller can read the sent bytes.
   void lingerOnClose() { linger_on_close_ = true; }
 
   template <typename Buffers, typename Handler>
@@ -110,7 +112,7 @@
     Base::async_read_some(target, [connection = connection_, target, handler = std::move(handler)](
                                       const asio::error_code& error, std::size_t length) mutable {
       if (connection) {
-        connection->readEnded(error, {static_cast<const char*>(target.data()), length});
+        connection->onRead(error, {static_cast<const char*>(target.data()), length});
       }
       handler(error, length);
     });
@@ -124,13 +126,14 @@
   bool linger_on_close_ = false;
 };
 
-/// \return the connection that was attached last on this thread. RESTinio announces a connection
-///   to its state listener, which is not given the socket, directly after it prepared the socket.
+/// \return the connection attached most recently on this thread. RESTinio's state listener gets no
+///   access to the socket, but is called immediately after the socket is prepared.
 std::shared_ptr<Connection>& lastPreparedConnection();
 
-/// Called by RESTinio, found by argument-dependent lookup, before it starts to read.
+/// Customisation point of RESTinio (found by argument-dependent lookup), called before reading
+/// starts.
 template <typename RestinioConnection, typename StartRead, typename Failed>
-void prepare_connection_and_start_read(  // NOLINT: name given by RESTinio
+void prepare_connection_and_start_read(  // NOLINT: name required by RESTinio
     ConnectionSocket& socket, RestinioConnection& connection, StartRead start_read, Failed) {
   auto record = std::make_shared<Connection>(connection.connection_id(), socket);
   socket.attach(record);
--- a/src/cypresswall/http/exchange.cpp
+++ b/src/cypresswall/http/exchange.cpp
@@ -48,7 +48,7 @@
   if (!body.empty()) {
     builder.set_body(std::move(body));
   }
-  builder.done([self = shared_from_this()](const auto&) { self->written(true); });
+  builder.done([self = shared_from_this()](const auto&) { self->onWritten(true); });
 }
 
 void Exchange::startStream(int status, const std::vector<Header>& headers) {
@@ -102,7 +102,7 @@
   const bool answer_open = state_ != State::kSent && state_ != State::kClosed;
   state_ = State::kClosed;
   if (answer_open && on_closed_) {
-    // The handler may drop its Responder, and with it the callback, before the post runs.
+    // The handler may release its Responder, and thus the callback, before the posted task runs.
     asio::post(server_->context, [self = shared_from_this()] {
       if (const auto callback = std::exchange(self->on_closed_, nullptr)) {
         callback();
@@ -159,7 +159,8 @@
   restinio::writable_items_container_t items;
   items.emplace_back(std::move(rest));
   restinio::write_group_t group(std::move(items));
-  group.after_write_notificator([self = shared_from_this()](const auto&) { self->written(false); });
+  group.after_write_notificator(
+      [self = shared_from_this()](const auto&) { self->onWritten(false); });
   handle_->write_response_parts(
       request_id_, {restinio::response_parts_attr_t::not_final_parts, connection_attribute_},
       std::move(group));
@@ -174,7 +175,7 @@
     builder_->append_chunk(restinio::writable_item_t(std::string(buffer_.payload())));
     buffer_.clear();
   }
-  auto notify = [self = shared_from_this(), last](const auto&) { self->written(last); };
+  auto notify = [self = shared_from_this(), last](const auto&) { self->onWritten(last); };
   if (last) {
     state_ = State::kSent;
     builder_->done(std::move(notify));
@@ -183,14 +184,14 @@
   }
 }
 
-void Exchange::written(bool last) {
+void Exchange::onWritten(bool last) {
   write_in_flight_ = false;
   bytes_in_flight_ = 0;
   if (last) {
     complete();
     return;
   }
-  // Not at once: RESTinio has not finished with the write that it reports.
+  // Deferred, since RESTinio is still processing the write that it reports.
   if (!buffer_.empty() || state_ == State::kFinishing) {
     scheduleFlush();
   }
@@ -199,7 +200,7 @@
 
 void Exchange::notifyDrained() {
   if (state_ == State::kStreaming && on_drained_) {
-    // A copy, since the callback may drop the Responder.
+    // Copied, since the callback may release the Responder.
     const auto callback = on_drained_;
     callback();
   }
--- a/src/cypresswall/http/exchange.h
+++ b/src/cypresswall/http/exchange.h
@@ -1,4 +1,4 @@
-/// One request and its answer on their way through RESTinio.
+/// One request and its answer, processed through RESTinio.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,24 +16,25 @@
 
 namespace cypresswall::http {
 
-/// What all exchanges of a server share.
+/// State shared by all exchanges of a server.
 struct ServerState {
   explicit ServerState(asio::io_context& io_context) : context(io_context) {}
 
   asio::io_context& context;
   std::size_t open_requests = 0;
-  /// Number of periodic checks so far, a coarse clock for the activity of exchanges.
+  /// Number of periodic checks so far; a coarse clock for the last activity of exchanges.
   std::uint64_t checks = 0;
-  /// Set when the server takes no new connections: answers then end their connection.
+  /// Set once the server accepts no new connections; each answer then closes its connection.
   bool stopping = false;
-  /// False once the listening socket is closed and what it had accepted is in the table.
+  /// False once the listening socket is closed and all accepted connections are in the table.
   bool listening = false;
 };
 
-/// Takes the answer from the handler's Responder and feeds it to RESTinio. Bytes written within one
-/// turn of the event loop, or while earlier bytes are on their way, leave in one write. The chunks
-/// between a stream's header and its end go to the socket directly, and through RESTinio only what
-/// the socket does not take at once: RESTinio's own path costs several times the system call.
+/// Passes the answer from the handler's Responder to RESTinio. Bytes written within one iteration
+/// of the event loop, or during an earlier write, are coalesced into one write. Chunks between a
+/// stream's header and its end are written directly to the socket; only the part that the socket
+/// does not accept at once goes through RESTinio, whose write path costs several times the system
+/// call.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(std::shared_ptr<ServerState> server, std::shared_ptr<Connection> connection,
@@ -49,14 +50,14 @@
   void finishStream();
   void abort();
   std::size_t pendingBytes() const { return buffer_.pendingBytes() + bytes_in_flight_; }
-  /// \return ServerState::checks at the last write of the handler.
+  /// \return the value of ServerState::checks at the handler's last write.
   std::uint64_t lastActivity() const { return last_activity_; }
   void onDrained(std::function<void()> callback) { on_drained_ = std::move(callback); }
   void onClosed(std::function<void()> callback) { on_closed_ = std::move(callback); }
 
-  /// The handler gave its Responder up; an open answer is ended.
+  /// Called when the handler released its Responder; ends an unfinished answer.
   void responderDropped();
-  /// The caller's connection ended.
+  /// Called when the caller's connection ended.
   void connectionClosed();
 
  private:
@@ -68,12 +69,12 @@
   restinio::response_builder_t<Output> makeBuilder(int status, const std::vector<Header>& headers);
   void scheduleFlush();
   void flush();
-  /// Gives the buffered bytes to the socket; RESTinio gets what is left over.
+  /// Writes the buffered bytes to the socket; any remainder is sent through RESTinio.
   void flushDirectly();
   void flushThroughRestinio();
   void notifyDrained();
-  void written(bool last);
-  /// The exchange is over; counts it and lets the connection forget it.
+  void onWritten(bool last);
+  /// Ends the exchange: updates the open-request count and removes it from the connection.
   void complete();
 
   std::shared_ptr<ServerState> server_;
--- a/src/cypresswall/http/listening_socket.cpp
+++ b/src/cypresswall/http/listening_socket.cpp
@@ -8,7 +8,7 @@
 
 namespace cypresswall::http {
 
-void refuseHandshakes(int listening_socket) {
+void dropNewHandshakes(int listening_socket) {
   constexpr unsigned kFlagsOffset = 13;  // within the TCP header
   constexpr unsigned kSyn = 0x02;
   constexpr unsigned kAck = 0x10;
@@ -25,7 +25,7 @@
   ::setsockopt(listening_socket, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter));
 }
 
-bool connectionsWait(int listening_socket) {
+bool hasPendingConnections(int listening_socket) {
   pollfd poll_entry{listening_socket, POLLIN, 0};
   return ::poll(&poll_entry, 1, 0) > 0;
 }
--- a/src/cypresswall/http/listening_socket.h
+++ b/src/cypresswall/http/listening_socket.h
@@ -1,14 +1,14 @@
-/// What a server needs of its listening socket to stop without resetting any connection.
+/// Operations on a listening socket that let a server stop without resetting connections.
 #pragma once
 
 namespace cypresswall::http {
 
-/// Lets the kernel drop whatever begins a new connection to the listening socket. Callers try again
-/// by themselves, and are refused once the socket is closed. Without effect where the kernel knows
-/// no socket filters.
-void refuseHandshakes(int listening_socket);
+/// Attaches a socket filter with which the kernel drops new connection attempts (SYN packets).
+/// Callers retransmit them, and are refused once the socket is closed. No effect on kernels without
+/// socket filters.
+void dropNewHandshakes(int listening_socket);
 
-/// \return true if connections wait to be accepted.
-bool connectionsWait(int listening_socket);
+/// \return true if established connections are waiting to be accepted.
+bool hasPendingConnections(int listening_socket);
 
 }  // namespace cypresswall::http
--- a/src/cypresswall/http/rejection.cpp
+++ b/src/cypresswall/http/rejection.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kConnectionPrefix = "[connection:";
 constexpr std::string_view kParserError = "parser error ";
 
-/// One kind of parser error, by the start of the parser's own name for it.
+/// Maps parser errors, by prefix of the parser's error name, to an HTTP status and reason.
 struct ParserErrorKind {
   std::string_view name;
   int status;
@@ -26,7 +26,7 @@
     {"HPE_HEADER_OVERFLOW", 431, "request header too large"},
 };
 
-LibraryFault parserFault(std::string_view error) {
+RestinioError parserRejection(std::string_view error) {
   for (const auto& kind : kParserErrorKinds) {
     if (error.starts_with(kind.name)) {
       return {0, kind.status, std::string(kind.reason)};
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-std::optional<LibraryFault> parseLibraryError(const std::string& message) {
+std::optional<RestinioError> parseRestinioError(const std::string& message) {
   const std::string_view view(message);
   if (!view.starts_with(kConnectionPrefix)) {
     return std::nullopt;
@@ -54,7 +54,7 @@
   if (!text.starts_with(kParserError)) {
     return std::nullopt;
   }
-  LibraryFault fault = parserFault(text.substr(kParserError.size()));
+  RestinioError fault = parserRejection(text.substr(kParserError.size()));
   fault.connection = connection;
   return fault;
 }
--- a/src/cypresswall/http/server.cpp
+++ b/src/cypresswall/http/server.cpp
@@ -17,23 +17,23 @@
 namespace cypresswall::http {
 namespace {
 
-/// Requests that one connection may have open at a time. With more than one, RESTinio reads on
-/// while a request runs, and so notices a caller that goes away.
+/// Maximum number of open requests per connection. It must be greater than one so that RESTinio
+/// continues to read while a request runs and thereby detects that the caller disconnects.
 constexpr std::size_t kPipelinedRequests = 2;
-/// Connections accepted in one turn of the event loop, so that callers don't wait for many turns
-/// while the loop is busy with streams.
-constexpr std::size_t kAcceptsPerTurn = 16;
+/// Connections accepted per iteration of the event loop. Limits how long callers wait to be
+/// accepted while the loop is busy with streams.
+constexpr std::size_t kAcceptsPerIteration = 16;
 constexpr std::size_t kMaximumHeaderFields = 128;
 constexpr std::size_t kReadBufferBytes = 4096;
-/// How often connections are checked for requests that arrive too slowly and silent handlers.
+/// Interval of the checks for requests that arrive too slowly and for idle handlers.
 constexpr std::chrono::seconds kCheckPeriod(1);
-/// How often a server that stops listening looks whether connections still wait to be accepted.
+/// Interval at which a stopping server polls for connections waiting to be accepted.
 constexpr std::chrono::milliseconds kBacklogCheckPeriod(1);
-/// RESTinio's own limit for a handler, far beyond ours: it does not see writes that go directly to
-/// the socket.
-constexpr std::chrono::hours kNoHandlerLimit(24 * 365);
+/// RESTinio's handler timeout, effectively disabled: RESTinio does not see the writes that go
+/// directly to the socket. ServerSettings::idle_time_limit applies instead.
+constexpr std::chrono::hours kHandlerTimeout(24 * 365);
 
-/// Gives the Responder interface to an Exchange, and tells it when the handler lets go.
+/// Implements Responder on top of an Exchange, and notifies it when the handler releases it.
 class ExchangeResponder final : public Responder {
  public:
   explicit ExchangeResponder(std::shared_ptr<Exchange> exchange) : exchange_(std::move(exchange)) {}
@@ -67,7 +67,7 @@
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-/// Turns RESTinio's request into ours. \throws std::exception on an undecodable target
+/// Converts RESTinio's request to a Request. \throws std::exception if the target can't be decoded
 Request convertRequest(const restinio::request_handle_t& source) {
   Request request;
   const auto& header = source->header();
@@ -96,8 +96,8 @@
   return bytes;
 }
 
-/// All connections of one server, and the way from RESTinio's events to the handler. Outlives the
-/// server as long as connections end.
+/// Holds all connections of a server and routes RESTinio's events to the handler. Outlives the
+/// server until all connections have ended.
 class ConnectionTable : public std::enable_shared_from_this<ConnectionTable> {
  public:
   ConnectionTable(asio::io_context& context, ServerSettings settings, Handler handler)
@@ -108,10 +108,10 @@
 
   const std::shared_ptr<ServerState>& state() const { return state_; }
   const ServerSettings& settings() const { return settings_; }
-  /// Sets the RESTinio server that each connection keeps alive.
+  /// Sets the RESTinio server, which each connection keeps alive.
   void setServer(std::weak_ptr<const void> server) { server_ = std::move(server); }
 
-  /// \return true if a request is on its way in, or still to come on a new connection.
+  /// \return true if a request is being received, or has yet to arrive on a new connection.
   bool awaitsRequest() const {
     return std::any_of(connections_.begin(), connections_.end(),
                        [](const auto& entry) { return entry.second.connection->awaitsRequest(); });
@@ -120,7 +120,7 @@
   void connectionAccepted(ConnectionId id, const restinio::endpoint_t& remote) {
     Entry entry{std::exchange(lastPreparedConnection(), nullptr), addressText(remote)};
     entry.connection->onTruncated([this, id] { requestTruncated(id); });
-    entry.connection->keepAlive(server_.lock());
+    entry.connection->retainServer(server_.lock());
     connections_[id] = std::move(entry);
     scheduleCheck();
   }
@@ -144,7 +144,7 @@
       return restinio::request_rejected();
     }
     const auto connection = found->second.connection;
-    connection->requestCompleted();
+    connection->onRequestCompleted();
     auto exchange = std::make_shared<Exchange>(
         state_, connection, std::move(restinio::impl::access_req_connection(*source)),
         source->request_id(), source->header().should_keep_alive());
@@ -153,9 +153,9 @@
     return restinio::request_accepted();
   }
 
-  /// An error that RESTinio logs directly before it closes the connection.
-  void libraryError(const std::string& message) {
-    const auto fault = parseLibraryError(message);
+  /// Handles an error that RESTinio logs immediately before it closes the connection.
+  void onRestinioError(const std::string& message) {
+    const auto fault = parseRestinioError(message);
     if (!fault) {
       return;
     }
@@ -195,20 +195,20 @@
                   const std::shared_ptr<Responder>& responder) {
     Request request;
     if (headerBytes(source->header()) > settings_.maximum_header_bytes) {
-      rejectThrough(*responder, source, 431, "request header too large");
+      respondWithRejection(*responder, source, 431, "request header too large");
       return;
     }
     try {
       request = convertRequest(source);
     } catch (const std::exception& error) {
-      rejectThrough(*responder, source, 400, std::string("request target: ") + error.what());
+      respondWithRejection(*responder, source, 400, std::string("request target: ") + error.what());
       return;
     }
     handler_(std::move(request), responder);
   }
 
-  void rejectThrough(Responder& responder, const restinio::request_handle_t& source, int status,
-                     const std::string& reason) {
+  void respondWithRejection(Responder& responder, const restinio::request_handle_t& source,
+                            int status, const std::string& reason) {
     auto headers = settings_.rejection_headers;
     headers.push_back({"Content-Type", "application/json"});
     responder.respond(status, headers, rejectionBody(reason));
@@ -217,7 +217,7 @@
 
   void reject(const Entry& entry, int status, const std::string& reason) {
     entry.connection->sendLastAnswer(rejectionAnswer(status, reason, settings_.rejection_headers));
-    entry.connection->requestCompleted();
+    entry.connection->onRequestCompleted();
     report({status, reason, entry.remote_address});
   }
 
@@ -244,13 +244,13 @@
   void check() {
     ++state_->checks;
     endSlowRequests();
-    endSilentHandlers();
+    endIdleHandlers();
     if (!connections_.empty()) {
       scheduleCheck();
     }
   }
 
-  void endSilentHandlers() {
+  void endIdleHandlers() {
     const auto limit = 1 + static_cast<std::uint64_t>(settings_.idle_time_limit / kCheckPeriod);
     for (const auto& [id, entry] : connections_) {
       const auto* exchange = entry.connection->firstExchange();
@@ -280,12 +280,12 @@
   std::unordered_map<ConnectionId, Entry> connections_;
 };
 
-/// Hears of connections that RESTinio accepts and closes.
+/// Notified by RESTinio when it accepts or closes a connection.
 class StateListener {
  public:
   explicit StateListener(std::shared_ptr<ConnectionTable> table) : table_(std::move(table)) {}
 
-  void state_changed(  // NOLINT: name given by RESTinio
+  void state_changed(  // NOLINT: name required by RESTinio
       const restinio::connection_state::notice_t& notice) noexcept {
     const auto cause = notice.cause();
     if (std::holds_alternative<restinio::connection_state::accepted_t>(cause)) {
@@ -299,7 +299,7 @@
   std::shared_ptr<ConnectionTable> table_;
 };
 
-/// RESTinio's logger: errors of connections become rejections, the rest is not formatted.
+/// Logger for RESTinio: converts connection errors to rejections; other messages are not formatted.
 class ErrorLogger {
  public:
   explicit ErrorLogger(std::shared_ptr<ConnectionTable> table) : table_(std::move(table)) {}
@@ -312,7 +312,7 @@
   void warn(MessageBuilder&&) const {}
   template <typename MessageBuilder>
   void error(MessageBuilder&& builder) const {
-    table_->libraryError(builder());
+    table_->onRestinioError(builder());
   }
 
  private:
@@ -322,7 +322,7 @@
 struct ServerTraits : restinio::traits_t<restinio::asio_timer_manager_t, ErrorLogger,
                                          restinio::details::autodetect_request_handler_type,
                                          restinio::noop_strand_t, ConnectionSocket> {
-  // The names are given by RESTinio.
+  // These names are required by RESTinio.
   using connection_state_listener_t = StateListener;          // NOLINT
   static constexpr bool use_connection_count_limiter = true;  // NOLINT
 };
@@ -369,8 +369,8 @@
 
   void stopListening() override {
     if (!std::exchange(table_->state()->stopping, true) && server_) {
-      refuseHandshakes(listening_socket_);
-      closeListenerWhenNobodyWaits();
+      dropNewHandshakes(listening_socket_);
+      closeListenerOnceBacklogIsEmpty();
     }
   }
 
@@ -390,15 +390,15 @@
  private:
   /// Closing the listening socket resets the connections that wait to be accepted there, with the
   /// requests that their callers have sent already.
-  void closeListenerWhenNobodyWaits() {
-    if (!connectionsWait(listening_socket_)) {
+  void closeListenerOnceBacklogIsEmpty() {
+    if (!hasPendingConnections(listening_socket_)) {
       closeListener();
       return;
     }
     backlog_timer_.expires_after(kBacklogCheckPeriod);
     backlog_timer_.async_wait([this, alive = std::weak_ptr(alive_)](const asio::error_code& error) {
       if (!error && !alive.expired()) {
-        closeListenerWhenNobodyWaits();
+        closeListenerOnceBacklogIsEmpty();
       }
     });
   }
@@ -408,7 +408,7 @@
       server_->close_sync();
     }
     listening_socket_ = -1;
-    // Accepted connections may still be on their way to the table, within this turn of the loop.
+    // Accepted connections may be added to the table later in this iteration of the event loop.
     asio::post(context_, [state = table_->state()] { state->listening = false; });
   }
 
@@ -421,9 +421,9 @@
         .buffer_size(kReadBufferBytes)
         .max_pipelined_requests(kPipelinedRequests)
         .max_parallel_connections(settings.maximum_connections)
-        .concurrent_accepts_count(kAcceptsPerTurn)
+        .concurrent_accepts_count(kAcceptsPerIteration)
         .read_next_http_message_timelimit(settings.idle_time_limit)
-        .handle_request_timeout(kNoHandlerLimit)
+        .handle_request_timeout(kHandlerTimeout)
         .write_http_response_timelimit(settings.write_time_limit)
         .incoming_http_msg_limits(messageLimits(settings))
         .logger(table_)
--- a/src/cypresswall/http/server.h
+++ b/src/cypresswall/http/server.h
@@ -1,5 +1,5 @@
-/// HTTP/1.1 server for the gateway, the operators' API and the stand-ins. The only header through
-/// which the project uses RESTinio, whose own headers are slow to compile.
+/// HTTP/1.1 server for the gateway, the operators' API and the stand-ins. Hides RESTinio, whose
+/// headers are slow to compile, from the rest of the project.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,7 +17,7 @@
 
 namespace cypresswall::http {
 
-/// An address can't be listened on.
+/// The server can't listen on the address.
 class ListenError : public common::Error {
  public:
   using common::Error::Error;
@@ -36,38 +36,38 @@
   std::string body;
   std::string remote_address;
 
-  /// \return the first header of that name (case ignored), or an empty string.
+  /// \return the value of the first header with this name (ignoring case), or an empty string.
   std::string header(const std::string& name) const;
 };
 
-/// Answers one request, whole or as a stream of chunks. If it is destroyed before it answered, the
-/// caller gets a 500.
+/// Answers one request, either completely or as a stream of chunks. If it is destroyed without an
+/// answer, the caller gets a 500.
 class Responder {
  public:
   virtual ~Responder() = default;
-  /// Gives the whole answer.
+  /// Sends the complete answer.
   virtual void respond(int status, const std::vector<Header>& headers, std::string body) = 0;
   /// Starts a chunked answer.
   virtual void startStream(int status, const std::vector<Header>& headers) = 0;
-  /// Queues bytes of a chunked answer. Never blocks; see pendingBytes().
+  /// Queues bytes of a chunked answer. Never blocks; see pendingBytes() for back-pressure.
   virtual void write(std::string_view chunk) = 0;
   virtual void finishStream() = 0;
-  /// Ends the connection in the middle, so that the caller sees a broken answer.
+  /// Closes the connection without completing the answer, so that the caller detects truncation.
   virtual void abort() = 0;
-  /// \return bytes queued and not yet taken by the socket.
+  /// \return the number of queued bytes that the socket has not accepted yet.
   virtual std::size_t pendingBytes() const = 0;
-  /// Calls `callback` whenever queued bytes were taken by the socket.
+  /// Calls `callback` whenever the socket accepted queued bytes.
   virtual void onDrained(std::function<void()> callback) = 0;
-  /// Calls `callback` once, on a later turn of the event loop, if the caller's connection ends
-  /// before the answer is complete. The connection counts as ended as soon as the caller closes its
-  /// side, also if it only closes it for sending.
+  /// Calls `callback` once, in a later iteration of the event loop, if the caller's connection ends
+  /// before the answer is complete. A connection also counts as ended if the caller only closes its
+  /// sending side.
   virtual void onClosed(std::function<void()> callback) = 0;
 };
 
 using Handler = std::function<void(Request request, std::shared_ptr<Responder> responder)>;
 
-/// A request that the server answered by itself with a 4xx because it was malformed, truncated or
-/// over a limit, or whose connection it had to end.
+/// A request that the server itself answered with a 4xx, or whose connection it closed, because it
+/// was malformed, truncated or exceeded a limit.
 struct Rejection {
   int status = 400;
   std::string reason;
@@ -75,43 +75,44 @@
 };
 
 struct ServerSettings {
-  /// "IP:port"; port 0 takes a free one.
+  /// "IP:port"; port 0 selects a free port.
   std::string address;
   std::size_t maximum_header_bytes = 32U << 10;
   std::size_t maximum_body_bytes = 16U << 20;
   std::size_t maximum_connections = 10000;
-  /// Time in which a request must arrive whole, from its first byte.
+  /// Time from a request's first byte within which it must arrive completely.
   common::Duration header_time_limit = std::chrono::seconds(10);
-  /// Longest silence of a kept-alive connection, and of a handler that writes nothing.
+  /// Idle timeout of kept-alive connections, and of handlers that write nothing.
   common::Duration idle_time_limit = std::chrono::minutes(5);
-  /// How long the socket may take none of the queued bytes before the connection is ended.
+  /// Time without write progress after which the connection is closed.
   common::Duration write_time_limit = std::chrono::seconds(30);
-  /// Headers of the server's own 4xx answers, besides Content-Type.
+  /// Additional headers of the server's own 4xx answers, besides Content-Type.
   std::vector<Header> rejection_headers = {};
-  /// Called once for each rejection, for the log and counters; may be empty.
+  /// Called once for each rejection, for logging and counters; may be empty.
   std::function<void(const Rejection&)> on_rejected = {};
 };
 
 class Server {
  public:
   virtual ~Server() = default;
-  /// Begins to listen. \throws ListenError
+  /// Starts listening. \throws ListenError
   virtual void start() = 0;
-  /// Takes no new connections; open requests go on. Connections that callers have made already are
-  /// accepted still, and each answer from now on ends its connection. See isIdle().
+  /// Stops accepting new connections; open requests continue. Connections that are already
+  /// established are still accepted, and each further answer closes its connection. See isIdle().
   virtual void stopListening() = 0;
-  /// Ends all connections.
+  /// Closes all connections.
   virtual void close() = 0;
-  /// \return the port in use, after start().
+  /// \return the port that the server listens on. \pre start() was called
   virtual std::uint16_t port() const = 0;
-  /// \return number of requests that are not fully answered.
+  /// \return the number of requests that are not completely answered.
   virtual std::size_t openRequests() const = 0;
-  /// \return true once the server has stopped listening and close() would cut no request: none is
-  ///   open, on its way in, or still to come on a connection that has carried none yet.
+  /// \return true once the server has stopped listening and close() would interrupt no request:
+  /// none
+  ///   is open, being received, or yet to arrive on a connection that has carried none so far.
   virtual bool isIdle() const = 0;
 };
 
-/// Makes a server whose handler runs on `context`'s one thread.
+/// Creates a server whose handler runs on the single thread of `context`.
 std::unique_ptr<Server> makeServer(asio::io_context& context, ServerSettings settings,
                                    Handler handler);
 
--- a/tests/http/chunk_buffer_test.cpp
+++ b/tests/http/chunk_buffer_test.cpp
@@ -9,11 +9,11 @@
 
 class ChunkBufferTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChunkBufferTest);
-  CPPUNIT_TEST(framesWhatWasAppended);
+  CPPUNIT_TEST(framesAppendedBytes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void framesWhatWasAppended() {
+  void framesAppendedBytes() {
     testing::requireProperty("frames", 500, [](const std::vector<std::string>& pieces) {
       ChunkBuffer buffer;
       for (int round = 0; round < 2; ++round) {
--- a/tests/http/http_client.h
+++ b/tests/http/http_client.h
@@ -1,4 +1,4 @@
-/// A raw TCP client on the same event loop as the server under test.
+/// A raw TCP client that runs on the same event loop as the server under test.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace cypresswall::http {
 
-/// Runs the loop until `condition` holds. \return false if it does not within a generous limit.
+/// Runs the event loop until `condition` holds. \return false if it does not hold within 20 s.
 inline bool runUntil(asio::io_context& context, const std::function<bool()>& condition) {
   constexpr std::chrono::seconds kLimit(20);
   const auto end = std::chrono::steady_clock::now() + kLimit;
@@ -34,7 +34,7 @@
     socket_.connect({asio::ip::make_address("127.0.0.1"), port});
   }
 
-  /// Sends from the event loop, so that large requests don't block the server.
+  /// Sends asynchronously, so that a large request doesn't block the server on the same loop.
   void send(std::string bytes) {
     auto held = std::make_shared<std::string>(std::move(bytes));
     asio::async_write(socket_, asio::buffer(*held),
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -10,12 +10,12 @@
 
 class ServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServerTest);
-  CPPUNIT_TEST(answersAndKeepsTheConnection);
+  CPPUNIT_TEST(answersAndKeepsConnectionOpen);
   CPPUNIT_TEST(streamsInChunks);
-  CPPUNIT_TEST(writesOfOneTurnLeaveTogether);
-  CPPUNIT_TEST(takenPortIsNamed);
-  CPPUNIT_TEST(badAddressIsNamed);
-  CPPUNIT_TEST(noticesACallerThatLeavesWithoutAnyWrite);
+  CPPUNIT_TEST(writesOfOneLoopIterationAreCoalesced);
+  CPPUNIT_TEST(portInUseErrorNamesAddress);
+  CPPUNIT_TEST(invalidAddressIsRejected);
+  CPPUNIT_TEST(detectsCallerDisconnectWithoutWriting);
   CPPUNIT_TEST(malformedRequestGets400);
   CPPUNIT_TEST(truncatedRequestGets400);
   CPPUNIT_TEST(oversizedBodyGets413);
@@ -23,21 +23,21 @@
   CPPUNIT_TEST(oversizedHeaderGets431);
   CPPUNIT_TEST(undecodableTargetGets400);
   CPPUNIT_TEST(slowRequestGets408);
-  CPPUNIT_TEST(callerThatWaitsForContinueGetsIt);
-  CPPUNIT_TEST(abortBreaksTheAnswer);
+  CPPUNIT_TEST(sends100ContinueWhenExpected);
+  CPPUNIT_TEST(abortTruncatesAnswer);
   CPPUNIT_TEST(droppedResponderGives500);
-  CPPUNIT_TEST(slowReaderIsSeenAndDrains);
-  CPPUNIT_TEST(slowReaderGetsEveryByteInOrder);
-  CPPUNIT_TEST(pipelinedAnswersStayApart);
-  CPPUNIT_TEST(stuckReaderIsEnded);
-  CPPUNIT_TEST(silentHandlerIsEnded);
+  CPPUNIT_TEST(slowReaderBackpressureIsReportedAndDrains);
+  CPPUNIT_TEST(slowReaderReceivesAllBytesInOrder);
+  CPPUNIT_TEST(pipelinedAnswersAreNotMixed);
+  CPPUNIT_TEST(stalledReaderIsDisconnected);
+  CPPUNIT_TEST(idleHandlerTimesOut);
   CPPUNIT_TEST(stopListeningFinishesOpenRequests);
-  CPPUNIT_TEST(connectionOutlivesItsServer);
-  CPPUNIT_TEST(stopListeningTakesWhatWaitsToBeAccepted);
+  CPPUNIT_TEST(connectionMayOutliveServer);
+  CPPUNIT_TEST(stopListeningAcceptsPendingConnections);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void answersAndKeepsTheConnection() {
+  void answersAndKeepsConnectionOpen() {
     startServer();
     RawClient client(context_, server_->port());
     client.startReading();
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT(runUntil(context_, [&] { return server_->openRequests() == 0; }));
   }
 
-  void writesOfOneTurnLeaveTogether() {
+  void writesOfOneLoopIterationAreCoalesced() {
     startServer();
     auto client = request("GET /s HTTP/1.1\r\n\r\n");
     responders_[0]->startStream(200, {});
@@ -86,7 +86,7 @@
     CPPUNIT_ASSERT(runUntil(context_, [&] { return responders_[0]->pendingBytes() == 0; }));
   }
 
-  void takenPortIsNamed() {
+  void portInUseErrorNamesAddress() {
     startServer();
     const auto address = "127.0.0.1:" + std::to_string(server_->port());
     const auto second = makeServer(context_, {.address = address}, {});
@@ -98,13 +98,13 @@
     }
   }
 
-  void badAddressIsNamed() {
+  void invalidAddressIsRejected() {
     for (const auto* address : {"", "host:80", "127.0.0.1", "127.0.0.1:99999", "127.0.0.1:8x"}) {
       CPPUNIT_ASSERT_THROW(makeServer(context_, {.address = address}, {})->start(), ListenError);
     }
   }
 
-  void noticesACallerThatLeavesWithoutAnyWrite() {
+  void detectsCallerDisconnectWithoutWriting() {
     startServer();
     auto client = request("GET /s HTTP/1.1\r\n\r\n");
     bool left = false;
@@ -153,7 +153,7 @@
     expectRejection("POST / HTTP/1.1\r\nContent-Length: 100\r\n\r\nabc", "408");
   }
 
-  void callerThatWaitsForContinueGetsIt() {
+  void sends100ContinueWhenExpected() {
     startServer();
     RawClient client(context_, server_->port());
     client.startReading();
@@ -164,7 +164,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("body"), requests_[0].body);
   }
 
-  void abortBreaksTheAnswer() {
+  void abortTruncatesAnswer() {
     startServer();
     auto client = request("GET /s HTTP/1.1\r\n\r\n");
     responders_[0]->startStream(200, {});
@@ -183,7 +183,7 @@
     CPPUNIT_ASSERT(client->waitFor("HTTP/1.1 500 "));
   }
 
-  void slowReaderIsSeenAndDrains() {
+  void slowReaderBackpressureIsReportedAndDrains() {
     startServer();
     auto client = std::make_unique<RawClient>(context_, server_->port());
     client->send("GET /s HTTP/1.1\r\n\r\n");
@@ -201,8 +201,9 @@
     CPPUNIT_ASSERT(drained > 0);
   }
 
-  /// More is written than the socket takes at once, in many turns of the event loop.
-  void slowReaderGetsEveryByteInOrder() {
+  /// Writes more than the socket accepts at once, over many iterations of the event loop. Guards
+  /// against bytes lost or reordered between direct socket writes and writes through RESTinio.
+  void slowReaderReceivesAllBytesInOrder() {
     startServer();
     auto client = std::make_unique<RawClient>(context_, server_->port());
     client->send("GET /s HTTP/1.1\r\nConnection: close\r\n\r\n");
@@ -228,7 +229,7 @@
     CPPUNIT_ASSERT(expected == unchunked(client->received));
   }
 
-  void pipelinedAnswersStayApart() {
+  void pipelinedAnswersAreNotMixed() {
     startServer();
     RawClient client(context_, server_->port());
     client.startReading();
@@ -249,14 +250,14 @@
     CPPUNIT_ASSERT_EQUAL(std::string("second-later"), unchunked(client.received.substr(second)));
   }
 
-  void silentHandlerIsEnded() {
+  void idleHandlerTimesOut() {
     settings_.idle_time_limit = std::chrono::milliseconds(1);
     startServer();
     auto client = request("GET /s HTTP/1.1\r\n\r\n");
     CPPUNIT_ASSERT(client->waitClosed());
   }
 
-  void stuckReaderIsEnded() {
+  void stalledReaderIsDisconnected() {
     settings_.write_time_limit = std::chrono::milliseconds(50);
     startServer();
     RawClient client(context_, server_->port());
@@ -281,9 +282,10 @@
     CPPUNIT_ASSERT(client->waitClosed());
   }
 
-  /// As when a daemon ends while a caller keeps its connection: the connection is destroyed with
-  /// the event loop, after the server. Fails under AddressSanitizer only.
-  void connectionOutlivesItsServer() {
+  /// Guards against a use-after-free when a daemon exits while a caller keeps its connection open:
+  /// the connection is then destroyed with the event loop, after the server. Only fails under
+  /// AddressSanitizer.
+  void connectionMayOutliveServer() {
     auto context = std::make_unique<asio::io_context>();
     bool asked = false;
     auto server = makeServer(*context, {.address = "127.0.0.1:0"},
@@ -304,8 +306,9 @@
     context.reset();
   }
 
-  /// Callers whose connection is made, but not yet accepted when the server stops listening.
-  void stopListeningTakesWhatWaitsToBeAccepted() {
+  /// Guards against resetting connections that are established but not yet accepted when the server
+  /// stops listening.
+  void stopListeningAcceptsPendingConnections() {
     startServer();
     const auto port = server_->port();
     std::vector<std::unique_ptr<RawClient>> clients;
@@ -359,7 +362,7 @@
     return client;
   }
 
-  /// \return the body of a whole chunked answer.
+  /// \return the decoded body of a complete chunked answer.
   static std::string unchunked(const std::string& answer) {
     std::string body;
     auto at = answer.find("\r\n\r\n") + 4;
@@ -382,7 +385,7 @@
     expectRejected(client, status);
   }
 
-  /// The caller gets one answer with the status; one rejection is reported; no handler is called.
+  /// Expects one answer with the status, one reported rejection and no call of the handler.
   void expectRejected(RawClient& client, const std::string& status) {
     CPPUNIT_ASSERT(client.waitFor("bad_request"));
     CPPUNIT_ASSERT(client.received.starts_with("HTTP/1.1 " + status + " "));
