--- a/src/cypresswall/engines/engine_client.h
+++ b/src/cypresswall/engines/engine_client.h
@@ -1,4 +1,5 @@
-/// Client of model engines. Implemented over HTTP (HttpEngineClient) and by the simulator.
+/// Client interface to model engines. Implemented over HTTP (HttpEngineClient) and by the
+/// simulator.
 #pragma once
 
 #include <cstdint>
@@ -12,37 +13,37 @@
 
 namespace cypresswall::engines {
 
-/// Receives what one attempt's stream gives. Exactly one of onFinished and onFailed is called, as
-/// the last call; nothing is called after the stream was cancelled. A client passes on the attempt
-/// number that each event carried, unchecked: the handler drops events of other attempts.
+/// Receives the events of one attempt's stream. The last call is exactly one of onFinished and
+/// onFailed; nothing is called once the stream is cancelled. Clients forward the attempt number of
+/// each event unchecked: the handler must ignore events of other attempts.
 class StreamHandler {
  public:
   virtual ~StreamHandler() = default;
-  /// Gives what the engine's answer, of whatever status, says of the requests that it takes: once,
-  /// before all other calls. Not called if no answer came.
+  /// Reports the rate limit announced by the engine's answer, whatever its status. Called once,
+  /// before all other calls; not called if the engine did not answer.
   virtual void onRateLimit(std::uint32_t /*attempt*/, const common::RateLimitNotice& /*notice*/) {}
-  /// Gives the head of an answer that is passed through, before its first token. Not called for
-  /// requests without StreamRequest::pass_through.
+  /// Delivers status and headers of a passed-through answer, before its first token. Only called
+  /// for requests with StreamRequest::pass_through.
   virtual void onHead(std::uint32_t /*attempt*/, const AnswerHead& /*head*/) {}
-  /// \param attempt number that the event carried
-  /// \param index position of the token in the whole answer, from 0
+  /// \param attempt attempt number from the event
+  /// \param index position of the token in the whole answer, starting at 0
   virtual void onToken(std::uint32_t attempt, std::uint32_t index, const std::string& text) = 0;
   virtual void onFinished(std::uint32_t attempt, const StreamUsage& usage) = 0;
   virtual void onFailed(StreamFailure failure, const std::string& message) = 0;
 };
 
-/// Holds a running stream; destroying it cancels the stream on the engine.
+/// Handle of a running stream; destroying it cancels the stream on the engine.
 class Stream {
  public:
   virtual ~Stream() = default;
-  /// Stops reading from the engine until resume(); used while the caller reads slowly.
+  /// Stops reading from the engine until resume(); applies back-pressure from a slow caller.
   virtual void pause() = 0;
   virtual void resume() = 0;
 };
 
 enum class EngineFailure {
-  kUnavailable,     ///< nothing reached the engine
-  kUnknownOutcome,  ///< the engine may have acted; send the same order again
+  kUnavailable,     ///< the request did not reach the engine
+  kUnknownOutcome,  ///< the engine may have acted; the same order should be sent again
   kMalformed,
 };
 
@@ -52,19 +53,18 @@
 class EngineClient {
  public:
   virtual ~EngineClient() = default;
-  /// Starts an attempt. `handler` must outlive the returned object; it is never called before the
-  /// call returns, and never after the returned object was destroyed.
+  /// Starts an attempt. `handler` must outlive the returned object. It is never called before this
+  /// function returns or after the returned object is destroyed.
   virtual std::unique_ptr<Stream> startStream(const EngineEndpoint& engine, StreamRequest request,
                                               StreamHandler& handler) = 0;
-  /// \return true if an attempt can go on behind a token of this text, by
-  /// StreamRequest::last_token.
-  ///   Only asked for requests that are passed through.
+  /// \return true if a later attempt can resume after a token with this text, passed as
+  ///   StreamRequest::last_token. Only called for passed-through requests.
   virtual bool marksPosition(const std::string& /*token*/) const { return true; }
-  /// Sends a fenced order. The callback is called exactly once, never before the call returns.
+  /// Sends a fenced order. The callback is called exactly once, never before this function returns.
   virtual void sendOrder(const EngineEndpoint& engine, const EngineOrder& order,
                          EngineCallback<OrderReply> callback) = 0;
   virtual void fetchLoad(const EngineEndpoint& engine, EngineCallback<EngineLoad> callback) = 0;
-  /// Reads cache events after sequence number `after`.
+  /// Fetches the cache events with sequence numbers greater than `after`.
   virtual void fetchCacheEvents(const EngineEndpoint& engine, std::uint64_t after,
                                 EngineCallback<CacheEvents> callback) = 0;
 };
--- a/src/cypresswall/engines/engine_json.cpp
+++ b/src/cypresswall/engines/engine_json.cpp
@@ -10,10 +10,10 @@
 
 constexpr int kHexBase = 16;
 
-/// Error texts quote at most so many bytes of an unreadable answer.
-constexpr std::size_t kQuotedBytes = 200;
+/// Limits how much of an unparseable answer is quoted in an error message.
+constexpr std::size_t kMaximumQuotedBytes = 200;
 
-std::string written(const Json& value) {
+std::string dumpJson(const Json& value) {
   return value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -163,9 +163,9 @@
   return load;
 }
 
-/// Parses `json` and converts it; every failure becomes an EngineProtocolError.
+/// Parses `json` and converts it; JSON errors are rethrown as EngineProtocolError.
 template <typename Convert>
-auto converted(std::string_view json, Convert convert) {
+auto parseAndConvert(std::string_view json, Convert convert) {
   try {
     return convert(Json::parse(json));
   } catch (const Json::exception& error) {
@@ -189,7 +189,7 @@
   if (request.phase == StreamPhase::kDecodeOnly) {
     value["kv_source"] = request.kv_source;
   }
-  return written(value);
+  return dumpJson(value);
 }
 
 std::string orderJson(const EngineOrder& order) {
@@ -197,14 +197,14 @@
       {"kind", kindName(order.content.kind)}, {"role", toString(order.content.role)},
       {"model", order.content.model},         {"version", order.content.version},
       {"adapter", order.content.adapter},     {"only_if_idle", order.content.only_if_idle}};
-  return written({{"epoch", epochJson(order.epoch)},
-                  {"sequence", order.sequence},
-                  {"engine_incarnation", order.engine_incarnation},
-                  {"content", content}});
+  return dumpJson({{"epoch", epochJson(order.epoch)},
+                   {"sequence", order.sequence},
+                   {"engine_incarnation", order.engine_incarnation},
+                   {"content", content}});
 }
 
 OrderReply parseOrderReply(std::string_view json) {
-  return converted(json, [](const Json& value) {
+  return parseAndConvert(json, [](const Json& value) {
     OrderReply reply;
     reply.verdict = verdictOf(value.at("verdict").get<std::string>());
     reply.highest_epoch = epochOf(value.at("highest_epoch"));
@@ -214,10 +214,10 @@
   });
 }
 
-EngineLoad parseEngineLoad(std::string_view json) { return converted(json, loadOf); }
+EngineLoad parseEngineLoad(std::string_view json) { return parseAndConvert(json, loadOf); }
 
 CacheEvents parseCacheEvents(std::string_view json) {
-  return converted(json, [](const Json& value) {
+  return parseAndConvert(json, [](const Json& value) {
     CacheEvents events;
     events.incarnation = value.at("incarnation").get<std::uint64_t>();
     events.last_sequence = value.at("last_sequence").get<std::uint64_t>();
@@ -230,7 +230,7 @@
 
 StreamRefusal parseStreamRefusal(std::string_view json) {
   StreamRefusal refusal;
-  refusal.error = std::string(json.substr(0, kQuotedBytes));
+  refusal.error = std::string(json.substr(0, kMaximumQuotedBytes));
   const Json value = Json::parse(json, nullptr, false);
   if (!value.is_object()) {
     return refusal;
--- a/src/cypresswall/engines/engine_json.h
+++ b/src/cypresswall/engines/engine_json.h
@@ -1,4 +1,4 @@
-/// JSON of the engine protocol (docs/protocols.md) other than the events of a stream.
+/// JSON encoding of the engine protocol (docs/protocols.md), except for stream events.
 #pragma once
 
 #include <string>
@@ -12,19 +12,19 @@
 std::string streamRequestJson(const StreamRequest& request);
 std::string orderJson(const EngineOrder& order);
 
-/// Each reads one answer. \throws EngineProtocolError
+/// Parse the answers of an engine. \throws EngineProtocolError
 OrderReply parseOrderReply(std::string_view json);
 EngineLoad parseEngineLoad(std::string_view json);
 CacheEvents parseCacheEvents(std::string_view json);
 
-/// An engine's refusal of a stream.
+/// An engine's rejection of a stream request.
 struct StreamRefusal {
-  /// True only if the engine said that it did not run the stream.
+  /// True only if the engine states that it did not run the stream.
   bool not_run = false;
   std::string error;
 };
 
-/// Reads the body of an answer that is no stream; anything unreadable is taken for "may have run".
+/// Parses the body of an error answer. If it can't be parsed, the stream may have run.
 StreamRefusal parseStreamRefusal(std::string_view json);
 
 }  // namespace cypresswall::engines
--- a/src/cypresswall/engines/engine_types.h
+++ b/src/cypresswall/engines/engine_types.h
@@ -1,5 +1,4 @@
-/// What the system says to model engines and hears from them, independent of the wire format
-/// (docs/protocols.md gives that).
+/// Data exchanged with model engines, independent of the wire format (see docs/protocols.md).
 #pragma once
 
 #include <cstdint>
@@ -15,29 +14,29 @@
 
 namespace cypresswall::engines {
 
-/// Which work an engine takes: whole requests, only the prompt, or only the output.
+/// Which phases an engine executes: both, only prefill (the prompt), or only decode (the output).
 enum class EngineRole : std::uint8_t { kMixed, kPrefill, kDecode };
 
 /// \return "mixed", "prefill" or "decode".
 const char* toString(EngineRole role);
-/// Reads what toString() writes. \return false if `text` names no role.
+/// Inverse of toString(). \return false if `text` is not a role.
 bool parseRole(const std::string& text, EngineRole& role);
 
 enum class EngineState : std::uint8_t {
   kReady,
-  kChanging,  ///< away for a change of role or a load of weights
+  kChanging,  ///< unavailable while it changes its role or loads weights
   kFailed,
 };
 
 enum class OrderKind : std::uint8_t {
-  kRaiseFence,  ///< changes nothing but the highest epoch that the engine obeys
+  kRaiseFence,  ///< only raises the fence: the highest epoch that the engine has seen
   kChangeRole,
   kLoadModel,
   kLoadAdapter,
   kUnloadAdapter,
 };
 
-/// \return a word for logs, such as "change-role".
+/// \return the name used in logs, such as "change-role".
 const char* toString(OrderKind kind);
 
 }  // namespace cypresswall::engines
@@ -48,32 +47,32 @@
 
 namespace cypresswall::engines {
 
-/// What an engine is told to do.
+/// The operation that an order requests.
 struct OrderContent {
   OrderKind kind = OrderKind::kRaiseFence;
   EngineRole role = EngineRole::kMixed;
   common::ModelName model;
   std::string version;
   std::string adapter;
-  /// The engine answers kBusy, and does nothing, if it has running or waiting streams.
+  /// The engine answers kBusy and does nothing if it has running or waiting streams.
   bool only_if_idle = true;
 
   bool operator==(const OrderContent&) const = default;
   MSGPACK_DEFINE(kind, role, model, version, adapter, only_if_idle)
 };
 
-/// A fenced order. Sent again with the same content it has no second effect.
+/// A fenced order. Orders are idempotent: sending one again with the same content has no effect.
 struct EngineOrder {
   common::Epoch epoch;
-  /// Position in the epoch's orders to this engine, from 1.
+  /// Sequence number among the orders of this epoch to this engine, starting at 1.
   std::uint64_t sequence = 0;
-  /// Incarnation of the engine process that the order is meant for. An engine forgets its fence
-  /// when it restarts; this keeps orders that were sent to its earlier life from taking effect.
+  /// Incarnation of the engine process that the order is addressed to. An engine loses its fence
+  /// when it restarts; this prevents orders to its previous incarnation from taking effect.
   std::uint64_t engine_incarnation = 0;
   OrderContent content;
-  /// Orders that the engine had taken, by its own count (EngineLoad::last_sequence), when this one
-  /// was decided. Engines that count by themselves refuse the order at any other count, so that one
-  /// which is carried out late has no effect after a newer one.
+  /// Number of orders that the engine had accepted by its own count (EngineLoad::last_sequence)
+  /// when this order was issued. Engines that keep their own count reject the order at any other
+  /// count, so that a delayed order has no effect after a newer one.
   std::uint64_t orders_taken = 0;
 
   bool operator==(const EngineOrder&) const = default;
@@ -82,11 +81,11 @@
 
 enum class OrderVerdict : std::uint8_t {
   kAccepted,
-  kDuplicate,         ///< same epoch, sequence and content as the last order: no second effect
-  kStaleEpoch,        ///< the engine obeys a higher epoch
-  kConflict,          ///< same epoch and sequence with other content, or a sequence already passed
-  kWrongIncarnation,  ///< meant for an earlier life of the engine
-  kBusy,  ///< an earlier order is still under way, or streams still run; nothing was done
+  kDuplicate,         ///< same epoch, sequence and content as the last order; not applied again
+  kStaleEpoch,        ///< the engine has seen a higher epoch
+  kConflict,          ///< same epoch and sequence with other content, or an outdated sequence
+  kWrongIncarnation,  ///< addressed to an earlier incarnation of the engine
+  kBusy,              ///< an earlier order is in progress or streams are running; not applied
 };
 
 /// An engine's answer to an order.
@@ -97,7 +96,7 @@
   bool in_progress = false;
 };
 
-/// An engine's report of itself; it describes a moment `age` before it was received.
+/// An engine's load report. It describes the state at `age` before it was received.
 struct EngineLoad {
   /// Changes whenever the engine process restarts.
   std::uint64_t incarnation = 0;
@@ -109,27 +108,28 @@
   std::uint32_t running_streams = 0;
   std::uint32_t waiting_streams = 0;
   std::uint32_t maximum_streams = 0;
-  /// Running streams that are well into their output, if the engine tells.
+  /// Running streams that are well into their output, if the engine reports this.
   std::optional<std::uint32_t> output_streams;
   /// Prompt tokens not yet computed, over waiting and running streams.
   std::uint64_t queued_prefill_tokens = 0;
-  /// Output tokens still to be generated by running and waiting streams, at most.
+  /// Upper bound of the output tokens still to be generated by running and waiting streams.
   std::uint64_t queued_decode_tokens = 0;
   std::uint32_t cache_pieces_used = 0;
   std::uint32_t cache_pieces_total = 0;
   common::Epoch highest_epoch;
   std::uint64_t last_sequence = 0;
   bool order_in_progress = false;
-  /// Declared speed: prompt tokens a second, and the time of one decode step as
+  /// Declared speed: prompt tokens per second, and the duration of one decode step as
   /// base + per_stream * running streams.
   double prefill_tokens_per_second = 0;
   common::Duration decode_step_base{0};
   common::Duration decode_step_per_stream{0};
-  /// Time that each prompt takes beside its tokens, and for each pair of a computed token with one
-  /// before it (attention grows with the square of the prompt); zero if not declared.
+  /// Fixed prefill time per prompt, and additional time for each pair of a computed token and a
+  /// token before it (the cost of attention is quadratic in the prompt length); zero if not
+  /// declared.
   common::Duration prefill_base{0};
   double prefill_seconds_per_pair = 0;
-  /// Time that the KV cache of one token takes to or from another engine; zero if not declared.
+  /// Time to transfer the KV cache of one token to or from another engine; zero if not declared.
   double kv_seconds_per_token = 0;
   common::Duration age{0};
 };
@@ -141,32 +141,33 @@
   std::uint64_t sequence = 0;
   CacheEventKind kind = CacheEventKind::kStored;
   common::PieceHash piece = 0;
-  /// Length of the piece; zero if not told.
+  /// Length of the piece; zero if not reported.
   std::uint32_t tokens = 0;
 };
 
 /// A batch of cache events.
 struct CacheEvents {
   std::uint64_t incarnation = 0;
-  /// Sequence number of the newest event that the engine has made.
+  /// Sequence number of the engine's newest event.
   std::uint64_t last_sequence = 0;
-  /// The events tell all that the engine held when it had made the event of `last_sequence`.
+  /// If set, the events list the complete cache content as of `last_sequence`.
   bool snapshot = false;
-  /// Set if the engine itself tells whether events before these are gone, so that the batch reaches
-  /// to `last_sequence` whatever it holds; otherwise a jump in the sequence numbers is a gap.
+  /// Whether events before this batch were lost, if the engine reports this itself; the batch then
+  /// extends to `last_sequence` whatever events it contains. If not set, a jump in the sequence
+  /// numbers is a gap.
   std::optional<bool> gap;
   std::vector<CacheEvent> events;
 };
 
-/// Which part of a request a stream is to run.
+/// Which phase of a request a stream executes.
 enum class StreamPhase : std::uint8_t {
   kWhole,
-  kPrefillOnly,  ///< computes the prompt's KV cache, keeps it for export, gives no token
-  kDecodeOnly,   ///< imports the KV cache named by kv_source first
+  kPrefillOnly,  ///< computes the prompt's KV cache and keeps it for export; emits no tokens
+  kDecodeOnly,   ///< first imports the KV cache from kv_source
 };
 
-/// A caller's request that an engine gets as it came: for platforms whose engines answer callers in
-/// the callers' own protocol, so that nothing of request or answer may be rewritten.
+/// A caller's request that is forwarded to the engine unchanged. Used on platforms whose engines
+/// speak the callers' protocol, where neither request nor answer may be rewritten.
 struct PassThroughRequest {
   std::string method;
   /// Raw request target, with the query.
@@ -175,7 +176,7 @@
   std::string body;
 };
 
-/// Status and header of an answer that is passed through.
+/// Status and headers of a passed-through answer.
 struct AnswerHead {
   int status = 0;
   std::vector<common::HeaderField> headers;
@@ -183,42 +184,42 @@
 
 /// One attempt at a model request on one engine.
 struct StreamRequest {
-  /// Identifies the request; the same for all its attempts.
+  /// Identifies the request; the same for all of its attempts.
   std::string stream_id;
-  /// Attempt number; answers carry it back. It rises over the attempts of a request and is not
-  /// used again by the same process, so that it also tells requests apart.
+  /// Attempt number, returned in the events. It increases with each attempt of a request and is
+  /// never reused by the process, so that it also distinguishes requests.
   std::uint32_t attempt = 1;
   common::ModelName model;
   std::string version;
   std::string adapter;
-  /// Higher goes first.
+  /// Requests with a higher value are served first.
   std::uint8_t priority = 0;
   std::string prompt;
   common::PromptShape shape;
   std::uint32_t maximum_tokens = 0;
-  /// Number of output tokens that the caller already has; the stream starts with the next.
+  /// Number of output tokens that the caller already received; the stream starts after these.
   std::uint32_t resume_from = 0;
-  /// Text of the last token given to the caller that marks a position in the answer; empty if there
-  /// was none, or if the request isn't passed through.
+  /// Text of the last token sent to the caller from which a stream can resume
+  /// (EngineClient::marksPosition); empty if there is none or the request is not passed through.
   std::string last_token;
   StreamPhase phase = StreamPhase::kWhole;
   /// For kDecodeOnly: address of the engine that holds the KV cache of this stream_id.
   common::Address kv_source;
-  /// Address of an engine from which cached pieces of the prompt are to be copied first; empty if
-  /// none, always so for platforms whose engines can't.
+  /// Address of an engine from which cached pieces of the prompt are copied first; empty if none,
+  /// or if the platform's engines don't support this.
   common::Address prefix_source;
-  /// Set if the caller's own request is handed on unchanged; `prompt` is then empty and the text of
-  /// each token is a whole event of the answer, byte for byte.
+  /// Set if the caller's request is forwarded unchanged. `prompt` is then empty, and the text of
+  /// each token is a complete event of the answer, byte for byte.
   std::shared_ptr<const PassThroughRequest> pass_through;
-  /// What is left of the caller's time; zero sets no limit.
+  /// Time left until the caller's deadline; zero means no limit.
   common::Duration time_limit{0};
 };
 
-/// How many tokens a finished stream used.
+/// Token usage of a finished stream.
 struct StreamUsage {
   std::uint32_t prompt_tokens = 0;
   std::uint32_t cached_prompt_tokens = 0;
-  /// Tokens of the whole answer, those before `resume_from` included.
+  /// Tokens of the whole answer, including those before `resume_from`.
   std::uint32_t output_tokens = 0;
   /// "stop" or "length".
   std::string finish_reason;
@@ -226,14 +227,14 @@
 
 /// Why an attempt failed.
 enum class StreamFailure : std::uint8_t {
-  kNotTried,  ///< given up before anything was sent: the engine takes no work by now
+  kNotTried,  ///< abandoned before sending because the engine no longer accepts work
   kNotSent,   ///< no byte reached the engine
-  kRefused,   ///< the engine said that it did not run the stream (busy, changing, wrong model)
+  kRefused,   ///< the engine stated that it did not run the stream (busy, changing, wrong model)
   kBroken,    ///< the connection ended or timed out after bytes were sent
-  kMalformed  ///< the engine's answer can't be understood
+  kMalformed  ///< the engine's answer violates the protocol
 };
 
-/// Where an engine is reached.
+/// Name and network address of an engine.
 struct EngineEndpoint {
   common::EngineName name;
   common::Address address;
--- a/src/cypresswall/engines/http_engine_client.cpp
+++ b/src/cypresswall/engines/http_engine_client.cpp
@@ -12,10 +12,10 @@
 using runtime::CurlResponse;
 
 constexpr int kStatusOk = 200;
-/// Receive buffer of a stream: many are open at once, and tokens are short.
+/// Receive buffer per stream; kept small since many streams are open at once and tokens are short.
 constexpr std::size_t kStreamBufferBytes = 4U << 10;
 
-/// Turns an answer into a Result, with `parse` for the body of a 200.
+/// Converts an answer to a Result; `parse` converts the body of an answer with status 200.
 template <typename Value, typename Parse>
 common::Result<Value, EngineFailure> resultOf(const CurlResponse& response, Parse parse) {
   using Failure = common::Failure<EngineFailure>;
--- a/src/cypresswall/engines/http_engine_client.h
+++ b/src/cypresswall/engines/http_engine_client.h
@@ -14,7 +14,7 @@
   common::Duration connect_time_limit = std::chrono::milliseconds(500);
   common::Duration order_time_limit = std::chrono::seconds(2);
   common::Duration report_time_limit = std::chrono::seconds(1);
-  /// A stream without a byte for so long is broken, whatever its owner waits for.
+  /// A stream that receives no byte for this long fails, whatever time limit its request has.
   common::Duration stream_idle_time_limit = std::chrono::seconds(120);
 };
 
--- a/src/cypresswall/engines/http_stream.cpp
+++ b/src/cypresswall/engines/http_stream.cpp
@@ -30,12 +30,12 @@
 
 void HttpStream::onHead(const runtime::CurlResponse& head) {
   if (handler_ != nullptr) {
-    tellRateLimit(head);
+    reportRateLimit(head);
   }
 }
 
-void HttpStream::tellRateLimit(const runtime::CurlResponse& head) {
-  if (std::exchange(rate_limit_told_, true) || head.status == 0) {
+void HttpStream::reportRateLimit(const runtime::CurlResponse& head) {
+  if (std::exchange(rate_limit_reported_, true) || head.status == 0) {
     return;
   }
   handler_->onRateLimit(attempt_, common::parseRateLimit(head.header(kRateLimitHeader)));
@@ -45,11 +45,12 @@
   if (handler_ == nullptr) {
     return;
   }
-  // The parser lives on the stack while it runs: the handler may destroy this object.
+  // Moved to the stack while it parses, since the handler may destroy this object.
   SseParser parser = std::move(parser_);
   const std::weak_ptr<bool> alive = alive_;
   try {
-    parser.feed(bytes, [&](std::string_view data) { return takeEvent(data) && !alive.expired(); });
+    parser.feed(bytes,
+                [&](std::string_view data) { return handleEvent(data) && !alive.expired(); });
     if (!alive.expired()) {
       parser_ = std::move(parser);
     }
@@ -58,29 +59,29 @@
   }
 }
 
-bool HttpStream::takeEvent(std::string_view data) {
+bool HttpStream::handleEvent(std::string_view data) {
   if (parseTokenEventFast(data, token_)) {
-    return takeToken(token_);
+    return handleToken(token_);
   }
   const StreamEvent event = parseStreamEvent(data);
   if (const auto* token = std::get_if<TokenEvent>(&event)) {
-    return takeToken(*token);
+    return handleToken(*token);
   }
-  return takeDone(std::get<DoneEvent>(event));
+  return handleDone(std::get<DoneEvent>(event));
 }
 
-bool HttpStream::takeToken(const TokenEvent& event) {
+bool HttpStream::handleToken(const TokenEvent& event) {
   counters_.tokens.add();
   const std::weak_ptr<bool> alive = alive_;
-  // A copy, since the handler may destroy this object.
+  // Copied, since the handler may destroy this object.
   const std::string text = event.text;
   handler_->onToken(event.attempt, event.index, text);
   return !alive.expired();
 }
 
-bool HttpStream::takeDone(const DoneEvent& event) {
+bool HttpStream::handleDone(const DoneEvent& event) {
   if (event.attempt == attempt_) {
-    // Given once the answer is complete, so that its connection can be used again.
+    // Reported only when the HTTP response is complete, so that its connection can be reused.
     usage_ = event.usage;
     return false;
   }
@@ -93,15 +94,15 @@
   if (handler_ == nullptr) {
     return;
   }
-  tellRateLimit(response);
+  reportRateLimit(response);
   if (usage_) {
     std::exchange(handler_, nullptr)->onFinished(attempt_, *usage_);
   } else {
-    failFrom(response);
+    failWithResponse(response);
   }
 }
 
-void HttpStream::failFrom(const runtime::CurlResponse& response) {
+void HttpStream::failWithResponse(const runtime::CurlResponse& response) {
   if (response.outcome == runtime::CurlOutcome::kNotSent) {
     fail(StreamFailure::kNotSent, response.error);
     return;
--- a/src/cypresswall/engines/http_stream.h
+++ b/src/cypresswall/engines/http_stream.h
@@ -1,4 +1,4 @@
-/// One attempt's stream from an engine over HTTP: turns server-sent events into tokens.
+/// The stream of one attempt over HTTP: converts server-sent events to tokens.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace cypresswall::engines {
 
-/// Counters of all streams of one client.
+/// Counters shared by all streams of a client.
 struct HttpStreamCounters {
   explicit HttpStreamCounters(common::CounterRegistry& registry);
 
@@ -21,8 +21,8 @@
   common::Counter& failed;
 };
 
-/// Gives each event as it comes, with the attempt number that it carried; the handler decides which
-/// of them belong to its answer. The last event of this attempt ends the stream.
+/// Delivers each event as it arrives, with the attempt number that it carries; the handler decides
+/// which events belong to its answer. The done event of this attempt ends the stream.
 class HttpStream final : public Stream, private runtime::CurlTransferHandler {
  public:
   HttpStream(runtime::CurlMulti& curl, runtime::CurlRequest request, std::uint32_t attempt,
@@ -35,26 +35,27 @@
   void onBody(std::string_view bytes) override;
   void onDone(runtime::CurlResponse response) override;
 
-  /// Tells the handler, at the first sight of the answer's head, which limit it names.
-  void tellRateLimit(const runtime::CurlResponse& head);
-  /// Both return false if nothing more is to be read: the stream ended or was destroyed.
-  bool takeEvent(std::string_view data);
-  bool takeToken(const TokenEvent& event);
-  bool takeDone(const DoneEvent& event);
-  void failFrom(const runtime::CurlResponse& response);
+  /// Reports the announced rate limit to the handler once, when the answer's head is first
+  /// available.
+  void reportRateLimit(const runtime::CurlResponse& head);
+  /// These return false if no more events are to be read: the stream ended or was destroyed.
+  bool handleEvent(std::string_view data);
+  bool handleToken(const TokenEvent& event);
+  bool handleDone(const DoneEvent& event);
+  void failWithResponse(const runtime::CurlResponse& response);
   void fail(StreamFailure failure, const std::string& message);
 
   std::uint32_t attempt_;
   HttpStreamCounters& counters_;
-  /// Null once the handler got its last call.
+  /// Null after the handler's last call.
   StreamHandler* handler_;
   SseParser parser_;
   TokenEvent token_;
   std::optional<StreamUsage> usage_;
-  bool rate_limit_told_ = false;
-  /// Expires with this object, since the handler may destroy it while it parses.
+  bool rate_limit_reported_ = false;
+  /// Expires with this object; detects that the handler destroyed it while events are parsed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  /// Last member: ends first.
+  /// Declared last so that it is destroyed first.
   std::unique_ptr<runtime::CurlTransfer> transfer_;
 };
 
--- a/src/cypresswall/engines/sse_parser.cpp
+++ b/src/cypresswall/engines/sse_parser.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::string_view kDataField = "data:";
 
-void requireRoom(std::size_t size) {
+void requireWithinLimit(std::size_t size) {
   if (size > SseParser::kMaximumEventBytes) {
     throw SseError("server-sent event is longer than " +
                    std::to_string(SseParser::kMaximumEventBytes) + " bytes");
@@ -15,11 +15,11 @@
 }  // namespace
 
 void SseParser::keepPartialLine(std::string_view bytes) {
-  requireRoom(partial_line_.size() + bytes.size());
+  requireWithinLimit(partial_line_.size() + bytes.size());
   partial_line_ += bytes;
 }
 
-void SseParser::takeField(std::string_view line) {
+void SseParser::handleField(std::string_view line) {
   if (!line.starts_with(kDataField)) {
     return;
   }
@@ -27,7 +27,7 @@
   if (line.starts_with(' ')) {
     line.remove_prefix(1);
   }
-  requireRoom(data_.size() + line.size());
+  requireWithinLimit(data_.size() + line.size());
   if (has_data_) {
     data_ += '\n';
   }
--- a/src/cypresswall/engines/sse_parser.h
+++ b/src/cypresswall/engines/sse_parser.h
@@ -1,4 +1,4 @@
-/// Incremental parser of server-sent events, as far as engines use them: the data of each event.
+/// Incremental parser for the subset of server-sent events that engines use: only "data" fields.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +10,20 @@
 
 namespace cypresswall::engines {
 
-/// An event that is longer than any engine sends.
+/// An event exceeds SseParser::kMaximumEventBytes.
 class SseError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// Takes the bytes of one answer in any split. Lines end with LF or CR LF; comments and fields
-/// other than "data" are skipped; an event without its blank line at the end is dropped.
+/// Accepts the bytes of one answer in chunks of any size. Lines end with LF or CR LF. Comments and
+/// fields other than "data" are ignored, as is an event without its terminating blank line.
 class SseParser {
  public:
   static constexpr std::size_t kMaximumEventBytes = 1U << 20;
 
-  /// Calls `on_data(std::string_view)` for each event that the bytes complete; it returns false to
-  /// stop parsing for good.
+  /// Calls `on_data(std::string_view)` for each event completed by `bytes`. If it returns false,
+  /// parsing stops permanently.
   /// \throws SseError, and whatever `on_data` throws
   template <typename OnData>
   void feed(std::string_view bytes, OnData&& on_data) {
@@ -33,30 +33,30 @@
         keepPartialLine(bytes);
         return;
       }
-      takeLine(bytes.substr(0, end), on_data);
+      handleLine(bytes.substr(0, end), on_data);
       bytes.remove_prefix(end + 1);
     }
   }
 
  private:
   template <typename OnData>
-  void takeLine(std::string_view line, OnData&& on_data) {
+  void handleLine(std::string_view line, OnData&& on_data) {
     if (!partial_line_.empty()) {
       keepPartialLine(line);
       const std::string whole = std::exchange(partial_line_, {});
-      takeWholeLine(whole, on_data);
+      handleCompleteLine(whole, on_data);
     } else {
-      takeWholeLine(line, on_data);
+      handleCompleteLine(line, on_data);
     }
   }
 
   template <typename OnData>
-  void takeWholeLine(std::string_view line, OnData&& on_data) {
+  void handleCompleteLine(std::string_view line, OnData&& on_data) {
     if (line.ends_with('\r')) {
       line.remove_suffix(1);
     }
     if (!line.empty()) {
-      takeField(line);
+      handleField(line);
     } else if (has_data_) {
       has_data_ = false;
       const std::string data = std::exchange(data_, {});
@@ -65,7 +65,7 @@
   }
 
   void keepPartialLine(std::string_view bytes);
-  void takeField(std::string_view line);
+  void handleField(std::string_view line);
 
   std::string partial_line_;
   std::string data_;
--- a/src/cypresswall/engines/stream_event.cpp
+++ b/src/cypresswall/engines/stream_event.cpp
@@ -36,7 +36,7 @@
   return doneEventOf(object);
 }
 
-/// Reads a flat JSON object from left to right.
+/// Scanner for flat JSON objects.
 class Scanner {
  public:
   explicit Scanner(std::string_view text) : rest_(text) {}
@@ -55,7 +55,7 @@
     return rest_.empty();
   }
 
-  /// A string without escapes and control characters, in valid UTF-8.
+  /// Reads a string of valid UTF-8 without escapes or control characters.
   bool takeString(std::string_view& value) {
     if (!take('"')) {
       return false;
@@ -76,7 +76,7 @@
     return true;
   }
 
-  /// A number of at most nine digits, without sign, fraction and exponent.
+  /// Reads a number of at most nine digits, without sign, fraction or exponent.
   bool takeNumber(std::uint32_t& value) {
     constexpr std::size_t kMaximumDigits = 9;
     skipBlanks();
@@ -111,8 +111,10 @@
     }
   }
 
-  /// \return bytes of the first character of `text`, zero if it may not stand in a plain string.
-  /// Rare characters at the edges of the UTF-8 ranges are left to the full parser.
+  /// \return the length in bytes of the first character of `text`, or zero if it is not allowed in
+  /// a
+  ///   plain string. Lead bytes that need further range checks and four-byte sequences also give
+  ///   zero, which leaves them to the full parser.
   static std::size_t characterSize(std::string_view text) {
     const auto first = static_cast<unsigned char>(text.front());
     if (first < 0x80) {
@@ -134,8 +136,8 @@
   std::string_view rest_;
 };
 
-/// Takes one member of a token event. \return false on an unknown or repeated key.
-bool takeMember(Scanner& scanner, TokenEvent& event, unsigned& seen) {
+/// Parses one member of a token event. \return false if it is malformed, unknown or repeated.
+bool parseMember(Scanner& scanner, TokenEvent& event, unsigned& seen) {
   constexpr unsigned kAttempt = 1;
   constexpr unsigned kIndex = 2;
   constexpr unsigned kToken = 4;
@@ -178,7 +180,7 @@
     return false;
   }
   do {
-    if (!takeMember(scanner, event, seen)) {
+    if (!parseMember(scanner, event, seen)) {
       return false;
     }
   } while (scanner.take(','));
--- a/src/cypresswall/engines/stream_event.h
+++ b/src/cypresswall/engines/stream_event.h
@@ -1,4 +1,4 @@
-/// Events of an engine's stream, and how they are read from JSON.
+/// Events of an engine's stream and their JSON parsers.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace cypresswall::engines {
 
-/// An answer of an engine that can't be understood.
+/// An engine's answer violates the protocol.
 class EngineProtocolError : public common::Error {
  public:
   using common::Error::Error;
@@ -32,13 +32,13 @@
 
 using StreamEvent = std::variant<TokenEvent, DoneEvent>;
 
-/// Reads any stream event. \throws EngineProtocolError
+/// Parses any stream event. \throws EngineProtocolError
 StreamEvent parseStreamEvent(std::string_view json);
 
-/// Reads the usual form of a token event without building a JSON tree: one flat object with
-/// "attempt", "index" and "token" in any order, whose text has no escapes. Everything that it
-/// accepts, parseStreamEvent() reads alike.
-/// \return false if `json` has another form; `event` is then unspecified.
+/// Parses the common form of a token event without building a JSON tree: a flat object with
+/// "attempt", "index" and "token" in any order, whose text has no escapes. For all input that it
+/// accepts, the result is the same as that of parseStreamEvent().
+/// \return false if `json` has any other form; `event` is then unspecified.
 bool parseTokenEventFast(std::string_view json, TokenEvent& event);
 
 }  // namespace cypresswall::engines
--- a/tests/engines/engine_standin_test.cpp
+++ b/tests/engines/engine_standin_test.cpp
@@ -1,4 +1,4 @@
-/// The HTTP client of engines against the engine stand-in's own front, over real sockets.
+/// Tests the HTTP engine client against the engine stand-in's HTTP front end over real sockets.
 #include <asio/io_context.hpp>
 #include <optional>
 #include <string>
@@ -40,10 +40,10 @@
 
 class EngineStandinTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineStandinTest);
-  CPPUNIT_TEST(givesTheExpectedAnswer);
-  CPPUNIT_TEST(resumesWhereABrokenStreamEnded);
-  CPPUNIT_TEST(destroyingAStreamCancelsIt);
-  CPPUNIT_TEST(refusalsAreProved);
+  CPPUNIT_TEST(streamsExpectedAnswer);
+  CPPUNIT_TEST(resumesBrokenStreamAtNextToken);
+  CPPUNIT_TEST(destroyingStreamCancelsIt);
+  CPPUNIT_TEST(refusalMeansNotRun);
   CPPUNIT_TEST(ordersAreFenced);
   CPPUNIT_TEST(readsLoadAndCacheEvents);
   CPPUNIT_TEST_SUITE_END();
@@ -51,7 +51,7 @@
  public:
   void setUp() override { server_->start(); }
 
-  void givesTheExpectedAnswer() {
+  void streamsExpectedAnswer() {
     TextHandler handler;
     const auto stream = client_.startStream(endpoint(), request(40), handler);
     CPPUNIT_ASSERT(runUntil(context_, [&] { return handler.ended(); }));
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT_EQUAL(40U, handler.usage->output_tokens);
   }
 
-  void resumesWhereABrokenStreamEnded() {
+  void resumesBrokenStreamAtNextToken() {
     emulation::EngineFaults faults;
     faults.break_stream_after_tokens = 5;
     engine_.setFaults(faults);
@@ -67,7 +67,7 @@
     const auto broken = client_.startStream(endpoint(), request(20), first);
     CPPUNIT_ASSERT(runUntil(context_, [&] { return first.ended(); }));
     CPPUNIT_ASSERT(first.failure == StreamFailure::kBroken);
-    // The break may overtake the last token on its way.
+    // The connection may break before the last tokens are delivered.
     CPPUNIT_ASSERT(first.tokens >= 1 && first.tokens <= 5);
     CPPUNIT_ASSERT_EQUAL(emulation::expectedAnswer(seed(), first.tokens), first.text);
     StreamRequest again = request(20);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(emulation::expectedAnswer(seed(), 20), first.text + second.text);
   }
 
-  void destroyingAStreamCancelsIt() {
+  void destroyingStreamCancelsIt() {
     TextHandler handler;
     auto stream = client_.startStream(endpoint(), request(4000), handler);
     CPPUNIT_ASSERT(runUntil(context_, [&] { return !handler.text.empty(); }));
@@ -88,7 +88,7 @@
     CPPUNIT_ASSERT(!handler.ended());
   }
 
-  void refusalsAreProved() {
+  void refusalMeansNotRun() {
     emulation::EngineFaults faults;
     faults.refuse = true;
     engine_.setFaults(faults);
--- a/tests/engines/http_engine_client_test.cpp
+++ b/tests/engines/http_engine_client_test.cpp
@@ -67,14 +67,14 @@
 class HttpEngineClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpEngineClientTest);
   CPPUNIT_TEST(streamsTokensToTheEnd);
-  CPPUNIT_TEST(passesEventsOfOtherAttemptsOn);
+  CPPUNIT_TEST(forwardsEventsOfOtherAttempts);
   CPPUNIT_TEST(failsOnMalformedEvents);
-  CPPUNIT_TEST(endWithoutLastEventIsBroken);
-  CPPUNIT_TEST(refusalIsProvedByTheEngine);
-  CPPUNIT_TEST(unreachableEngineIsNotSent);
-  CPPUNIT_TEST(destroyingTheStreamEndsTheConnection);
+  CPPUNIT_TEST(streamWithoutFinalEventIsBroken);
+  CPPUNIT_TEST(onlyRanFalseCountsAsRefusal);
+  CPPUNIT_TEST(unreachableEngineReportsNotSent);
+  CPPUNIT_TEST(destroyingStreamClosesConnection);
   CPPUNIT_TEST(sendsOrdersAndReadsVerdicts);
-  CPPUNIT_TEST(orderFailuresAreTold);
+  CPPUNIT_TEST(orderFailuresAreReported);
   CPPUNIT_TEST(readsReports);
   CPPUNIT_TEST_SUITE_END();
 
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(sent.starts_with("POST /v1/streams HTTP/1.1\r\n"));
     CPPUNIT_ASSERT(sent.find(R"("prompt":"café \"x\"")") != std::string::npos);
     CPPUNIT_ASSERT(sent.find("kv_source") == std::string::npos);
-    // A finished stream leaves its connection to the next one.
+    // The next stream reuses the connection of a finished one.
     server_.answer(kStreamHead + event(kDone) + kStreamEnd);
     handler_ = RecordingHandler();
     StreamRequest second = streamRequest();
@@ -103,7 +103,7 @@
                    std::string::npos);
   }
 
-  void passesEventsOfOtherAttemptsOn() {
+  void forwardsEventsOfOtherAttempts() {
     std::string foreign_done = kDone;
     foreign_done.replace(foreign_done.find('1'), 1, "2");
     server_.answer(kStreamHead + token(2, 0, "x") + event(foreign_done) + token(1, 0, "a") +
@@ -121,7 +121,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, handler_.tokens.size());
   }
 
-  void endWithoutLastEventIsBroken() {
+  void streamWithoutFinalEventIsBroken() {
     server_.answer(kStreamHead + token(1, 0, "a"), true);
     run(streamRequest());
     CPPUNIT_ASSERT(handler_.failure == StreamFailure::kBroken);
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT(handler_.failure == StreamFailure::kBroken);
   }
 
-  void refusalIsProvedByTheEngine() {
+  void onlyRanFalseCountsAsRefusal() {
     server_.answer(httpAnswer(409, R"({"error": "changing", "ran": false})"));
     run(streamRequest());
     CPPUNIT_ASSERT(handler_.failure == StreamFailure::kRefused);
@@ -141,13 +141,13 @@
     CPPUNIT_ASSERT(handler_.failure == StreamFailure::kMalformed);
   }
 
-  void unreachableEngineIsNotSent() {
+  void unreachableEngineReportsNotSent() {
     endpoint_.address = "127.0.0.1:1";
     run(streamRequest());
     CPPUNIT_ASSERT(handler_.failure == StreamFailure::kNotSent);
   }
 
-  void destroyingTheStreamEndsTheConnection() {
+  void destroyingStreamClosesConnection() {
     server_.answer(kStreamHead + token(1, 0, "a") + token(1, 1, "b"));
     handler_.destroy_on_token = true;
     handler_.stream = client_.startStream(endpoint_, streamRequest(), handler_);
@@ -176,7 +176,7 @@
     }
   }
 
-  void orderFailuresAreTold() {
+  void orderFailuresAreReported() {
     server_.answer("", true);
     CPPUNIT_ASSERT(sendOrder({}).failure().kind == EngineFailure::kUnknownOutcome);
     server_.answer(httpAnswer(200, "{}"));
--- a/tests/engines/stream_event_test.cpp
+++ b/tests/engines/stream_event_test.cpp
@@ -17,18 +17,18 @@
 
 class StreamEventTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StreamEventTest);
-  CPPUNIT_TEST(readsTokensFast);
-  CPPUNIT_TEST(leavesOtherFormsToTheFullParser);
-  CPPUNIT_TEST(fastAndFullParserAgree);
-  CPPUNIT_TEST(anyBytesAreReadOrRefused);
-  CPPUNIT_TEST(readsTheLastEvent);
-  CPPUNIT_TEST(eventsSurviveAnySplit);
-  CPPUNIT_TEST(boundsAnEvent);
-  CPPUNIT_TEST(refusesMalformedAnswers);
+  CPPUNIT_TEST(fastParserReadsPlainTokens);
+  CPPUNIT_TEST(fastParserRejectsOtherForms);
+  CPPUNIT_TEST(fastAndFullParsersAgree);
+  CPPUNIT_TEST(arbitraryBytesAreParsedOrRejected);
+  CPPUNIT_TEST(readsDoneEvent);
+  CPPUNIT_TEST(eventsSurviveArbitrarySplits);
+  CPPUNIT_TEST(limitsEventSize);
+  CPPUNIT_TEST(rejectsMalformedAnswers);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void readsTokensFast() {
+  void fastParserReadsPlainTokens() {
     TokenEvent event;
     for (const std::string text : {" plain", "", "\u5BAE\u5D0E", "na\u00EFve", "{\u20AC,}"}) {
       CPPUNIT_ASSERT(parseTokenEventFast(tokenJson(text), event));
@@ -38,7 +38,7 @@
     CPPUNIT_ASSERT(event == (TokenEvent{1, 0, "a"}));
   }
 
-  void leavesOtherFormsToTheFullParser() {
+  void fastParserRejectsOtherForms() {
     TokenEvent event;
     const std::vector<std::string> others = {
         "",
@@ -63,7 +63,7 @@
     }
   }
 
-  void fastAndFullParserAgree() {
+  void fastAndFullParsersAgree() {
     testing::requireProperty(
         "what the fast parser accepts, the full parser reads alike", 2000,
         [](std::uint32_t attempt, std::uint32_t index, const std::string& text, bool raw,
@@ -82,7 +82,7 @@
         });
   }
 
-  void anyBytesAreReadOrRefused() {
+  void arbitraryBytesAreParsedOrRejected() {
     testing::requireProperty(
         "no answer of an engine crashes a parser", 2000, [](const std::string& bytes) {
           for (const auto& parse : {+[](std::string_view json) { parseStreamEvent(json); },
@@ -95,7 +95,7 @@
         });
   }
 
-  void readsTheLastEvent() {
+  void readsDoneEvent() {
     const auto event = std::get<DoneEvent>(parseStreamEvent(
         R"({"attempt": 3, "done": true, "prompt_tokens": 10, "cached_prompt_tokens": 4,
             "output_tokens": 5, "finish_reason": "stop", "unknown": null})"));
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("stop"), event.usage.finish_reason);
   }
 
-  void eventsSurviveAnySplit() {
+  void eventsSurviveArbitrarySplits() {
     const std::string bytes =
         ": comment\r\n\r\ndata: one\r\n\r\nevent: x\ndata:two\ndata: lines\n\ndata: cut";
     testing::requireProperty(
@@ -128,7 +128,7 @@
         });
   }
 
-  void boundsAnEvent() {
+  void limitsEventSize() {
     SseParser parser;
     const std::string piece(64U << 10, 'x');
     const auto ignore = [](std::string_view) { return true; };
@@ -140,7 +140,7 @@
     CPPUNIT_ASSERT_THROW(feedForever(), SseError);
   }
 
-  void refusesMalformedAnswers() {
+  void rejectsMalformedAnswers() {
     CPPUNIT_ASSERT_THROW(parseOrderReply(R"({"verdict": "perhaps"})"), EngineProtocolError);
     CPPUNIT_ASSERT_THROW(parseCacheEvents(R"({"incarnation": 1, "last_sequence": 1, "events":
         [{"sequence": 1, "kind": "stored", "piece": "xyz"}]})"),
