--- a/src/cypresswall/services/http_service_client.cpp
+++ b/src/cypresswall/services/http_service_client.cpp
@@ -21,23 +21,23 @@
 constexpr const char* kOutcomeNotRun = "not-run";
 constexpr const char* kRequestIdHeader = "X-Request-Id";
 
-/// Headers that belong to one connection or that each side writes itself.
-constexpr std::array<const char*, 13> kConnectionHeaders = {"Connection",
-                                                            "Keep-Alive",
-                                                            "Proxy-Authenticate",
-                                                            "Proxy-Authorization",
-                                                            "Proxy-Connection",
-                                                            "TE",
-                                                            "Trailer",
-                                                            "Transfer-Encoding",
-                                                            "Upgrade",
-                                                            "Host",
-                                                            "Content-Length",
-                                                            "Expect",
-                                                            kOutcomeHeader};
-
-bool passedOn(const std::string& name) {
-  return std::none_of(kConnectionHeaders.begin(), kConnectionHeaders.end(),
+/// Connection-specific headers, and headers that are set separately for each connection.
+constexpr std::array<const char*, 13> kNotForwardedHeaders = {"Connection",
+                                                              "Keep-Alive",
+                                                              "Proxy-Authenticate",
+                                                              "Proxy-Authorization",
+                                                              "Proxy-Connection",
+                                                              "TE",
+                                                              "Trailer",
+                                                              "Transfer-Encoding",
+                                                              "Upgrade",
+                                                              "Host",
+                                                              "Content-Length",
+                                                              "Expect",
+                                                              kOutcomeHeader};
+
+bool isForwarded(const std::string& name) {
+  return std::none_of(kNotForwardedHeaders.begin(), kNotForwardedHeaders.end(),
                       [&](const char* own) { return common::sameHeaderName(name, own); });
 }
 
@@ -49,15 +49,15 @@
   std::vector<CurlHeader> headers = {{kRequestIdHeader, request.request_id}};
   for (const HttpHeader& header : request.headers) {
     const bool own = common::sameHeaderName(header.name, kRequestIdHeader);
-    if (!own && passedOn(header.name) && !hasLineBreak(header.name + header.value)) {
+    if (!own && isForwarded(header.name) && !hasLineBreak(header.name + header.value)) {
       headers.push_back({header.name, header.value});
     }
   }
   return headers;
 }
 
-/// \return true if the service itself said that it did not run the request.
-bool saidNotRun(const CurlResponse& response) {
+/// \return true if the service reports with the outcome header that it did not run the request.
+bool reportsNotRun(const CurlResponse& response) {
   const bool refusing =
       response.status == kStatusTooManyRequests || response.status >= kStatusServerError;
   return refusing && response.header(kOutcomeHeader) == kOutcomeNotRun;
@@ -72,7 +72,7 @@
     case CurlOutcome::kAnswered:
       break;
   }
-  return saidNotRun(response) ? ServiceOutcome::kRefused : ServiceOutcome::kAnswered;
+  return reportsNotRun(response) ? ServiceOutcome::kRefused : ServiceOutcome::kAnswered;
 }
 
 ServiceResponse serviceResponseOf(CurlResponse response) {
@@ -86,7 +86,7 @@
   result.rate_limit = common::parseRateLimit(response.header(kRateLimitHeader));
   result.body = std::move(response.body);
   for (CurlHeader& header : response.headers) {
-    if (passedOn(header.name)) {
+    if (isForwarded(header.name)) {
       result.headers.push_back({std::move(header.name), std::move(header.value)});
     }
   }
--- a/src/cypresswall/services/http_service_client.h
+++ b/src/cypresswall/services/http_service_client.h
@@ -13,9 +13,9 @@
   std::size_t maximum_answer_bytes = 16U << 20;
 };
 
-/// Passes the caller's headers on, except those of the connection, and adds X-Request-Id. Requests
-/// other than GET and HEAD go out on new connections, so that a reused connection which the service
-/// closes at that moment doesn't leave their outcome unknown.
+/// Forwards the caller's headers, except connection-specific ones, and adds X-Request-Id. Requests
+/// other than GET and HEAD use new connections: if the service closed a reused connection at the
+/// moment of sending, their outcome would be unknown.
 /// \pre `curl` outlives the client and its calls
 class HttpServiceClient final : public ServiceClient {
  public:
--- a/src/cypresswall/services/service_client.h
+++ b/src/cypresswall/services/service_client.h
@@ -1,5 +1,5 @@
-/// Client of plain HTTP services (tracking portal, booking). Implemented over HTTP and by the
-/// simulator.
+/// Client interface to plain HTTP services (tracking portal, booking). Implemented over HTTP and by
+/// the simulator.
 #pragma once
 
 #include <cstdint>
@@ -31,12 +31,13 @@
   common::Duration time_limit{0};
 };
 
-/// How far an attempt got; only kNotSent and kRefused prove that the service did not run it.
+/// Outcome of an attempt. Only kNotSent and kRefused prove that the service did not run the
+/// request.
 enum class ServiceOutcome : std::uint8_t {
   kAnswered,
   kNotSent,  ///< no byte reached the service
-  kRefused,  ///< the service itself said "not run" (outcome header)
-  kBroken,   ///< bytes were sent, no whole answer came
+  kRefused,  ///< the service reported "not-run" in its outcome header
+  kBroken,   ///< bytes were sent, but no complete answer was received
 };
 
 struct ServiceResponse {
@@ -45,11 +46,11 @@
   std::vector<HttpHeader> headers;
   std::string body;
   std::string error;
-  /// What the service says of the requests that it takes; empty if no answer of it came.
+  /// The rate limit announced in the answer; empty if the service did not answer.
   std::optional<common::RateLimitNotice> rate_limit;
 };
 
-/// Holds a running call; destroying it abandons the call, whose outcome is then unknown.
+/// Handle of a running call; destroying it abandons the call, whose outcome is then unknown.
 class ServiceCall {
  public:
   virtual ~ServiceCall() = default;
@@ -58,7 +59,7 @@
 class ServiceClient {
  public:
   virtual ~ServiceClient() = default;
-  /// \param callback called exactly once, never before the call returns, unless the returned
+  /// \param callback called exactly once, never before this function returns, unless the returned
   ///   object is destroyed first
   virtual std::unique_ptr<ServiceCall> call(const common::Address& address, ServiceRequest request,
                                             std::function<void(ServiceResponse)> callback) = 0;
--- a/tests/services/http_service_client_test.cpp
+++ b/tests/services/http_service_client_test.cpp
@@ -16,15 +16,15 @@
 
 class HttpServiceClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpServiceClientTest);
-  CPPUNIT_TEST(passesRequestAndAnswerOn);
-  CPPUNIT_TEST(onlyTheServiceItselfProvesNotRun);
-  CPPUNIT_TEST(tellsNotSentFromBroken);
-  CPPUNIT_TEST(writesTakeNewConnections);
-  CPPUNIT_TEST(destroyingTheCallEndsIt);
+  CPPUNIT_TEST(forwardsRequestAndAnswer);
+  CPPUNIT_TEST(onlyOutcomeHeaderOfRefusalMeansNotRun);
+  CPPUNIT_TEST(distinguishesNotSentFromBroken);
+  CPPUNIT_TEST(nonIdempotentRequestsUseNewConnections);
+  CPPUNIT_TEST(destroyingCallAbortsIt);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void passesRequestAndAnswerOn() {
+  void forwardsRequestAndAnswer() {
     server_.answer(httpAnswer(201, "made", "X-Slot: 7\r\nConnection: keep-alive\r\n"));
     ServiceRequest request = post();
     request.headers = {{"Idempotency-Key", "k1"}, {"Connection", "close"}, {"X-A", "b\r\nX-C: d"}};
@@ -43,7 +43,7 @@
     CPPUNIT_ASSERT(sent.find("X-C") == std::string::npos);
   }
 
-  void onlyTheServiceItselfProvesNotRun() {
+  void onlyOutcomeHeaderOfRefusalMeansNotRun() {
     server_.answer(httpAnswer(503, "", "X-Cypresswall-Outcome: not-run\r\n"));
     CPPUNIT_ASSERT(call(post()).outcome == ServiceOutcome::kRefused);
     server_.answer(httpAnswer(503, ""));
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT(call(post()).outcome == ServiceOutcome::kAnswered);
   }
 
-  void tellsNotSentFromBroken() {
+  void distinguishesNotSentFromBroken() {
     server_.answer("", true);
     CPPUNIT_ASSERT(call(post()).outcome == ServiceOutcome::kBroken);
     server_.answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", true);
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(call(post()).outcome == ServiceOutcome::kNotSent);
   }
 
-  void writesTakeNewConnections() {
+  void nonIdempotentRequestsUseNewConnections() {
     for (const char* method : {"GET", "GET", "POST"}) {
       server_.answer(httpAnswer(200, "x"));
       ServiceRequest request = post();
@@ -74,7 +74,7 @@
     CPPUNIT_ASSERT_EQUAL(2, server_.connections());
   }
 
-  void destroyingTheCallEndsIt() {
+  void destroyingCallAbortsIt() {
     bool called = false;
     auto running = client_.call(address_, post(), [&](const ServiceResponse&) { called = true; });
     CPPUNIT_ASSERT(runUntil(context_, [&] { return server_.requests().size() == 1; }));
--- a/tests/services/service_standin_test.cpp
+++ b/tests/services/service_standin_test.cpp
@@ -1,4 +1,4 @@
-/// The HTTP client of services against the service stand-in's own front, over real sockets.
+/// Tests the HTTP service client against the service stand-in's HTTP front end over real sockets.
 #include <asio/io_context.hpp>
 #include <optional>
 #include <string>
@@ -16,11 +16,11 @@
 
 class ServiceStandinTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ServiceStandinTest);
-  CPPUNIT_TEST(outcomesAgreeWithTheLedger);
+  CPPUNIT_TEST(outcomesMatchServiceLedger);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void outcomesAgreeWithTheLedger() {
+  void outcomesMatchServiceLedger() {
     server_->start();
     CPPUNIT_ASSERT(call("r1") == ServiceOutcome::kAnswered);
     CPPUNIT_ASSERT_EQUAL(1U, service_.executionsOfRequest("r1"));
