--- a/src/cypresswall/api/envelope.h
+++ b/src/cypresswall/api/envelope.h
@@ -1,6 +1,6 @@
-/// Messages between daemons: an envelope with sender, intended receiver and type, and a msgpack
-/// body. Each subsystem defines its own message structs in its folder; a struct names its type by
-/// `static constexpr MessageType kType` and its fields by MSGPACK_DEFINE.
+/// Messages between daemons: an envelope with sender, receiver and type, and a msgpack body. Each
+/// subsystem defines its message structs in its own folder; a struct declares its type as
+/// `static constexpr MessageType kType` and its fields with MSGPACK_DEFINE.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 namespace cypresswall::api {
 
-/// Version of the internal protocol. A peer with another version is not talked to.
+/// Version of the peer protocol. Messages with any other version are rejected.
 inline constexpr std::uint16_t kProtocolVersion = 1;
-/// The messages that this build handles. Rises with each change that adds one; nodes tell it with
-/// their membership, so that a node of a later build sends a message only to those that handle it,
-/// and asks only these to do what others can't. A fleet is mixed while its nodes are replaced.
+/// The set of messages that a build handles, increased with each change that adds messages. Nodes
+/// announce it in their membership record, so that during a rolling upgrade, when builds are mixed,
+/// a newer node sends a message, or assigns work that depends on it, only to nodes that handle it.
 enum class MessageSet : std::uint8_t {
-  kFirst = 1,       ///< also of builds that don't tell
-  kQuarantine = 2,  ///< and those of `quarantine`
-  kUsage = 3,       ///< and those of `duties`
-  kRateLimits = 4,  ///< and those of `fleet_limits`
+  kFirst = 1,       ///< also assumed for builds that don't announce a set
+  kQuarantine = 2,  ///< adds the messages of `quarantine`
+  kUsage = 3,       ///< adds the messages of `duties`
+  kRateLimits = 4,  ///< adds the messages of `fleet_limits`
 };
 inline constexpr MessageSet kHandledMessages = MessageSet::kRateLimits;
 /// Largest encoded envelope that a transport accepts, in bytes.
 inline constexpr std::size_t kMaximumEnvelopeBytes = 4U << 20;
 
-/// Types of all messages, in a block of a hundred for each subsystem.
+/// First message type of each subsystem; each subsystem has a block of one hundred types.
 enum class MessageType : std::uint16_t {
   kMembershipFirst = 100,
   kLeaseFirst = 200,
@@ -52,17 +52,17 @@
   return static_cast<MessageType>(static_cast<std::uint16_t>(first) + offset);
 }
 
-/// A body that can't be decoded, or a type that nobody handles.
+/// The body can't be decoded, or the message type has no handler.
 class MessageError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// One message on its way between two daemons.
+/// One message between two daemons.
 struct Envelope {
   common::NodeId sender;
-  /// Incarnation zero means whichever process has the address now; otherwise a process with
-  /// another incarnation drops the message.
+  /// With incarnation zero, any process at the address accepts the message; otherwise a process
+  /// with another incarnation drops it.
   common::NodeId receiver;
   MessageType type{};
   std::string body;
@@ -90,10 +90,10 @@
 
 /// Encodes a whole envelope, without length framing, for a byte transport.
 std::string encodeEnvelope(const Envelope& envelope);
-/// Decodes what encodeEnvelope() wrote. \throws MessageError on garbage or on another version.
+/// Inverse of encodeEnvelope(). \throws MessageError on malformed data or another protocol version.
 Envelope decodeEnvelope(const char* data, std::size_t size);
 
-/// Sends messages to other daemons. Delivery is not certain, may be late, doubled or reordered.
+/// Sends messages to other daemons. Messages may be lost, delayed, duplicated or reordered.
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
@@ -101,10 +101,10 @@
   virtual void send(Envelope envelope) = 0;
 };
 
-/// Hands received envelopes to the handler of their type.
+/// Dispatches received envelopes to the handler of their message type.
 class MessageDispatcher {
  public:
-  /// Registers the one handler of a message type; a later one replaces it.
+  /// Registers the handler of a message type, replacing any earlier one.
   template <typename Message>
   void handle(std::function<void(const common::NodeId& sender, const Message& message)> handler) {
     handlers_[static_cast<std::uint16_t>(Message::kType)] =
--- a/src/cypresswall/api/process_context.h
+++ b/src/cypresswall/api/process_context.h
@@ -1,5 +1,5 @@
-/// What every deciding module of one daemon process is built from. All of it is injected: the Asio
-/// runtime fills it in the daemon, the simulator in tests and experiments.
+/// Dependencies of the modules of one daemon process. All are injected: by the Asio runtime in the
+/// daemon, by the simulator in tests and experiments.
 #pragma once
 
 #include <vector>
@@ -13,8 +13,8 @@
 
 namespace cypresswall::api {
 
-/// References stay valid for the life of the process. Modules run on one thread; they may capture
-/// `this` in timers and in callbacks of clients, since the process drops all pending callbacks
+/// References stay valid for the lifetime of the process. Modules run on one thread. They may
+/// capture `this` in timers and client callbacks, since the process discards all pending callbacks
 /// before it destroys its modules.
 struct ProcessContext {
   common::NodeId self;
@@ -27,7 +27,7 @@
   PeerTransport& transport;
   MessageDispatcher& dispatcher;
 
-  /// Sends `message` to one life of a peer.
+  /// Sends `message` to one incarnation of a peer.
   template <typename Message>
   void sendTo(const common::NodeId& peer, const Message& message) const {
     transport.send(Envelope::make(self, peer, message));
@@ -41,7 +41,7 @@
       transport.send(envelope);
     }
   }
-  /// Sends `message` to whichever process listens at `address`.
+  /// Sends `message` to `address`, whatever the incarnation of the process that listens there.
   template <typename Message>
   void sendToAddress(const common::Address& address, const Message& message) const {
     transport.send(Envelope::make(self, common::NodeId{address, 0}, message));
--- a/src/cypresswall/common/counters.h
+++ b/src/cypresswall/common/counters.h
@@ -1,5 +1,6 @@
-/// Named counters and gauges. Modules count every drop, refusal and retry; the daemon exports the
-/// registry in the Prometheus text format, the simulator and tests read it directly.
+/// Named counters and gauges. Modules count every dropped message, rejected request and retry. The
+/// daemon exports the registry in the Prometheus text format; the simulator and tests read it
+/// directly.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +10,11 @@
 
 namespace cypresswall::common {
 
-/// A value that is only used on the process's one thread.
+/// A numeric metric. Not thread-safe: a process updates its metrics from a single thread.
 class Counter {
  public:
   void add(std::uint64_t amount = 1) { value_ += static_cast<double>(amount); }
-  /// For gauges.
+  /// Used for gauges only.
   void set(double value) { value_ = value; }
   double value() const { return value_; }
 
@@ -23,20 +24,21 @@
 
 enum class CounterKind : std::uint8_t { kCounter, kGauge };
 
-/// All counters of one process, by name. Names follow Prometheus usage
-/// ("cypresswall_lease_acquired_total"); label values that vary are part of the name's key.
+/// All counters and gauges of one process. Names follow the Prometheus conventions
+/// ("cypresswall_lease_acquired_total"). A metric has at most one label, with one counter for each
+/// label value.
 class CounterRegistry {
  public:
   struct Entry {
     CounterKind kind = CounterKind::kCounter;
     std::string help;
-    /// By label value; the empty label stands for a counter without label.
+    /// Keyed by label value; the key is empty for a metric without a label.
     std::map<std::string, std::unique_ptr<Counter>> by_label;
-    /// Name of the one label, empty if there is none.
+    /// Empty if the metric has no label.
     std::string label_name;
   };
 
-  /// \return the counter, created on first use; valid as long as the registry.
+  /// \return the counter, created on first use; the reference is valid for the registry's lifetime.
   Counter& counter(const std::string& name, const std::string& help,
                    const std::string& label_name = "", const std::string& label_value = "") {
     return find(CounterKind::kCounter, name, help, label_name, label_value);
--- a/src/cypresswall/common/errors.h
+++ b/src/cypresswall/common/errors.h
@@ -1,5 +1,5 @@
-/// Base of every exception that cypresswall throws. Each layer derives its own type from it and
-/// turns the errors of the layer below into its own.
+/// Base class of all exceptions thrown by cypresswall. Each layer derives its own exception type
+/// and translates the exceptions of the layer below.
 #pragma once
 
 #include <stdexcept>
--- a/src/cypresswall/common/event_log.h
+++ b/src/cypresswall/common/event_log.h
@@ -1,5 +1,5 @@
-/// Structured logs: one line of key=value pairs per event, written through log4cplus. Values are
-/// quoted where they hold blanks, quotes, equals signs or control characters.
+/// Structured logging: one line of key=value pairs per event, written through log4cplus. Values
+/// that contain blanks, quotes, equals signs, backslashes or control characters are quoted.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-/// Where finished lines go. The daemon's sink is log4cplus; tests and the simulator keep lines or
-/// drop them.
+/// Destination of log lines. The daemon writes to log4cplus; tests and the simulator record or
+/// discard lines.
 class LogSink {
  public:
   virtual ~LogSink() = default;
   virtual bool enabled(LogLevel level) const = 0;
-  /// \param line the pairs of one event without level and time, which the sink adds
+  /// \param line the key=value pairs of one event; the sink adds level and timestamp
   virtual void write(LogLevel level, const std::string& line) = 0;
 };
 
-/// A sink that drops everything.
+/// A sink that discards all lines.
 LogSink& nullLogSink();
 
 /// One event under construction; the line is written when the object goes out of scope.
@@ -56,7 +56,7 @@
   std::string line_;
 };
 
-/// \return `value` as it is, or quoted and escaped if it would not read back as one word.
+/// \return `value` unchanged if it is a single plain word, otherwise quoted and escaped.
 std::string quoteLogValue(std::string_view value);
 
 }  // namespace cypresswall::common
--- a/src/cypresswall/common/header_field.h
+++ b/src/cypresswall/common/header_field.h
@@ -1,4 +1,4 @@
-/// One field of an HTTP header, as every layer that speaks HTTP passes it on.
+/// An HTTP header field, shared by all layers that handle HTTP.
 #pragma once
 
 #include <string>
--- a/src/cypresswall/common/header_names.h
+++ b/src/cypresswall/common/header_names.h
@@ -1,4 +1,4 @@
-/// Comparison of HTTP header names, which don't depend on letter case (RFC 9110, section 5.1).
+/// Comparison of HTTP header names, which are case-insensitive (RFC 9110, section 5.1).
 #pragma once
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace cypresswall::common {
 
-/// \return true if both name the same header field.
+/// \return true if the names are equal, ignoring case.
 inline bool sameHeaderName(std::string_view left, std::string_view right) {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(), [](char a, char b) {
     return std::tolower(static_cast<unsigned char>(a)) ==
--- a/src/cypresswall/common/identifiers.h
+++ b/src/cypresswall/common/identifiers.h
@@ -1,4 +1,4 @@
-/// Identifiers that several subsystems share.
+/// Identifiers shared by several subsystems.
 #pragma once
 
 #include <compare>
@@ -9,9 +9,9 @@
 
 namespace cypresswall::common {
 
-/// Name of a zone (one hall), as the operators declare it.
+/// Name of a zone (one data-centre hall), as declared by the operators.
 using ZoneName = std::string;
-/// Name of an engine (a runner of a model), unique in the fleet.
+/// Name of an engine (a process that runs a model), unique in the fleet.
 using EngineName = std::string;
 /// Name of a model, unique in the fleet.
 using ModelName = std::string;
@@ -19,13 +19,13 @@
 using ServiceName = std::string;
 /// Name of a tenant, unique in the fleet.
 using TenantName = std::string;
-/// Name of a machine as the platform's machine list gives it.
+/// Name of a machine in the platform's machine list.
 using MachineName = std::string;
 /// "IP:port" of a TCP endpoint.
 using Address = std::string;
 
-/// One life of one daemon process. A restarted process on the same address has another
-/// incarnation and is another node: nothing that the earlier life promised binds it.
+/// One incarnation of a daemon process. A process that is restarted on the same address has a new
+/// incarnation and counts as a different node: it is not bound by promises of the earlier one.
 struct NodeId {
   Address address;
   std::uint64_t incarnation = 0;
@@ -38,8 +38,8 @@
   MSGPACK_DEFINE(address, incarnation)
 };
 
-/// Authority over one zone's engines. Ordered by generation, then term; a higher epoch always
-/// belongs to a later holder of the zone's lease.
+/// Fencing epoch of the authority over a zone's engines. Ordered by generation, then term; a later
+/// holder of the zone's lease always has a higher epoch.
 struct Epoch {
   std::uint32_t generation = 0;
   std::uint32_t term = 0;
--- a/src/cypresswall/common/prompt.h
+++ b/src/cypresswall/common/prompt.h
@@ -1,5 +1,5 @@
-/// Prompts as routing and engines see them: a length in tokens and the chained hashes of the
-/// pieces in which engines hold the KV cache.
+/// Prompts as seen by routing and engines: the length in tokens and the chained hashes of the
+/// KV-cache pieces (fixed-size blocks of the prompt that engines cache).
 #pragma once
 
 #include <cstdint>
@@ -8,38 +8,39 @@
 
 namespace cypresswall::common {
 
-/// Tokens in one piece of an engine's KV cache. The users say "pieces of about 2,000"; read as
-/// tokens per piece (docs/glossary.md).
+/// Tokens in one piece of an engine's KV cache. The requirements say "pieces of about 2,000", which
+/// is taken to mean tokens (docs/glossary.md).
 inline constexpr std::uint32_t kTokensPerCachePiece = 2000;
-/// Bytes of text counted as one token. No tokenizer is part of the system; the estimate only has
-/// to be the same in the router and in the emulated engine.
+/// Bytes of text counted as one token. The system has no tokenizer; the estimate only has to be the
+/// same in the router and in the emulated engine.
 inline constexpr std::uint32_t kBytesPerToken = 4;
 
-/// Hash of one cache piece, chained with all pieces before it: equal hashes mean equal prefixes.
+/// Hash of a cache piece, chained with all preceding pieces: equal hashes mean equal prefixes.
 using PieceHash = std::uint64_t;
 
-/// What has to be known of a prompt to route it and to emulate its execution.
+/// The properties of a prompt that routing and emulated execution need.
 struct PromptShape {
   std::uint32_t tokens = 0;
-  /// One hash for each whole piece, in order; a last part of a piece is not cached.
+  /// One hash per complete piece, in order; a trailing partial piece is not cached.
   std::vector<PieceHash> pieces;
-  /// Tokens of the prompt up to the end of each piece, rising; empty if each piece has
-  /// kTokensPerCachePiece. Filled where callers name the parts of their prompts themselves.
+  /// Cumulative token count at the end of each piece, increasing; empty if every piece has
+  /// kTokensPerCachePiece tokens. Set if the caller divides its prompt into pieces itself.
   std::vector<std::uint32_t> piece_ends;
-  /// Hash of the whole text; decides the emulated answer.
+  /// Hash of the whole text; determines the emulated answer.
   std::uint64_t content_hash = 0;
 
   /// \return the tokens of the first `count` pieces
   std::uint32_t tokensOfPieces(std::size_t count) const;
-  /// \return the number of pieces that end before the prompt does: others may share these
+  /// \return the number of pieces that end before the prompt does; only these can be shared with
+  /// other prompts
   std::size_t sharedPieces() const;
 };
 
-/// Measures `text` for a model. `salt` keeps the pieces of different models, versions and adapters
-/// apart ("model/version/adapter").
+/// Computes the shape of `text` for a model. `salt` ("model/version/adapter") gives different
+/// models, versions and adapters different piece hashes.
 PromptShape shapeOfPrompt(std::string_view text, std::string_view salt);
 
-/// \return xxHash64 of `data` with `seed`; the project's one hash for rendezvous and digests.
+/// \return xxHash64 of `data` with `seed`; used for rendezvous hashing and digests.
 std::uint64_t hash64(std::string_view data, std::uint64_t seed = 0);
 
 }  // namespace cypresswall::common
--- a/src/cypresswall/common/random.h
+++ b/src/cypresswall/common/random.h
@@ -1,4 +1,4 @@
-/// Random numbers, injected so that one seed replays a run.
+/// Random numbers, injected so that a run can be reproduced from its seed.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 };
 
-/// Mersenne Twister with a given seed.
+/// Mersenne Twister with a fixed seed.
 class SeededRandom final : public RandomSource {
  public:
   explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
--- a/src/cypresswall/common/rate_limit_notice.cpp
+++ b/src/cypresswall/common/rate_limit_notice.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::common {
 namespace {
 
-std::string_view withoutBlanks(std::string_view text) {
+std::string_view trimBlanks(std::string_view text) {
   constexpr std::string_view kBlanks = " \t";
   const auto first = text.find_first_not_of(kBlanks);
   if (first == std::string_view::npos) {
@@ -23,7 +23,7 @@
   if (text.empty()) {
     return {};
   }
-  const std::string_view digits = withoutBlanks(text);
+  const std::string_view digits = trimBlanks(text);
   const char* const end = digits.data() + digits.size();
   double value = 0;
   const auto read = std::from_chars(digits.data(), end, value, std::chars_format::fixed);
--- a/src/cypresswall/common/rate_limit_notice.h
+++ b/src/cypresswall/common/rate_limit_notice.h
@@ -1,4 +1,4 @@
-/// The limit on requests that a server names in its answers.
+/// The request rate limit that a server announces in its answers.
 #pragma once
 
 #include <optional>
@@ -6,28 +6,28 @@
 
 namespace cypresswall::common {
 
-/// What one answer says of the requests that its server takes from the whole fleet.
+/// What one answer says about the request rate that its server accepts from the whole fleet.
 struct RateLimitNotice {
   enum class Kind {
-    kNone,        ///< the answer names no limit
-    kNamed,       ///< it names `requests_per_second`
-    kUnreadable,  ///< it names something that is no limit, so that nothing is learnt from it
+    kNone,        ///< the answer announces no limit
+    kNamed,       ///< the answer announces a limit of `requests_per_second`
+    kUnreadable,  ///< the announced value is not a valid limit and is ignored
   };
   Kind kind = Kind::kNone;
-  /// Finite, zero or more.
+  /// Finite and not negative.
   double requests_per_second = 0;
 
   bool operator==(const RateLimitNotice&) const = default;
 };
 
-/// \return the notice of a server that names such a limit, or none
+/// \return a notice with kind kNamed if `requests_per_second` is set, otherwise kNone
 inline RateLimitNotice namedRateLimit(const std::optional<double>& requests_per_second) {
   return requests_per_second ? RateLimitNotice{RateLimitNotice::Kind::kNamed, *requests_per_second}
                              : RateLimitNotice{};
 }
 
-/// Reads the value of a header field: a decimal number of requests a second.
-/// \param text empty if the answer has no such field
+/// Parses the value of the rate limit header: a decimal number of requests per second.
+/// \param text empty if the answer has no such header
 RateLimitNotice parseRateLimit(const std::string& text);
 
 }  // namespace cypresswall::common
--- a/src/cypresswall/common/request_fingerprint.h
+++ b/src/cypresswall/common/request_fingerprint.h
@@ -1,5 +1,5 @@
-/// By what a request is known again when its caller sends it anew, under another identifier and to
-/// another node.
+/// Identifies a request that its caller sends again, possibly with another request identifier and
+/// to another node.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 namespace cypresswall::common {
 
-/// A hash over tenant, method, target and body. Zero means that none was worked out.
+/// A hash over tenant, method, target and body. Zero means that it was not computed.
 using RequestFingerprint = std::uint64_t;
 
-/// The same on every node and in every build: nodes tell each other of requests by it.
+/// Must not differ between nodes and builds, since nodes exchange fingerprints.
 /// \param target host and path with the query, or the name of a service
 RequestFingerprint fingerprintOf(std::string_view tenant, std::string_view method,
                                  std::string_view target, std::string_view body);
--- a/src/cypresswall/common/result.h
+++ b/src/cypresswall/common/result.h
@@ -1,4 +1,4 @@
-/// The answer of an asynchronous call: a value, or a typed failure with a message for people.
+/// Result of an asynchronous call: a value, or a typed failure with a human-readable message.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace cypresswall::common {
 
-/// What went wrong in an asynchronous call. `Kind` is the layer's own enumeration.
+/// Failure of an asynchronous call. `Kind` is an enumeration of the layer that reports it.
 template <typename Kind>
 struct Failure {
   Kind kind;
@@ -32,7 +32,7 @@
   std::variant<Value, Failure<Kind>> content_;
 };
 
-/// The value of a call that gives nothing back.
+/// Value type of a call that returns no value.
 struct Done {};
 
 }  // namespace cypresswall::common
--- a/src/cypresswall/common/socket_address.cpp
+++ b/src/cypresswall/common/socket_address.cpp
@@ -22,7 +22,7 @@
   return port;
 }
 
-/// Removes the brackets of an IPv6 number.
+/// Removes the brackets of an IPv6 address.
 std::string withoutBrackets(const std::string& host, const Address& whole) {
   if (host.size() < 2 || host.front() != '[' || host.back() != ']') {
     throw AddressError("'" + whole + "' is no IP:port; IPv6 numbers stand in brackets");
--- a/src/cypresswall/common/socket_address.h
+++ b/src/cypresswall/common/socket_address.h
@@ -1,4 +1,4 @@
-/// Parsing of "IP:port" addresses. The system uses IP numbers only; names are refused.
+/// Parsing of "IP:port" addresses. Only numeric IP addresses are accepted, no host names.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace cypresswall::common {
 
-/// A text that is no "IP:port" (IPv4) or "[IP]:port" (IPv6).
+/// The text is not an "IP:port" (IPv4) or "[IP]:port" (IPv6) address.
 class AddressError : public Error {
  public:
   using Error::Error;
@@ -17,18 +17,18 @@
 
 /// The parts of an Address.
 struct SocketAddress {
-  /// IP number without brackets.
+  /// Numeric IP address without brackets.
   std::string ip;
   std::uint16_t port = 0;
 
   bool operator==(const SocketAddress&) const = default;
 };
 
-/// \throws AddressError if `text` is no IP number with a port from 0 to 65535
+/// \throws AddressError if `text` is not a numeric IP address with a port from 0 to 65535
 SocketAddress parseSocketAddress(const Address& text);
-/// Writes what parseSocketAddress() reads.
+/// Inverse of parseSocketAddress().
 Address formatSocketAddress(const SocketAddress& address);
-/// \return true if `text` is an IP number, without port or brackets.
+/// \return true if `text` is a numeric IP address, without port or brackets.
 bool isIpNumber(const std::string& text);
 
 }  // namespace cypresswall::common
--- a/src/cypresswall/common/time.h
+++ b/src/cypresswall/common/time.h
@@ -1,5 +1,5 @@
-/// Time as every subsystem sees it: a monotonic clock and timers, both injected, so that the same
-/// code runs under the Asio runtime and under the simulator's virtual time.
+/// Clock and timer interfaces. Both are injected, so that the same code runs on the Asio runtime
+/// and in the simulator's virtual time.
 #pragma once
 
 #include <chrono>
@@ -20,32 +20,33 @@
   static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): standard name
 };
 
-/// A reading of one process's own monotonic clock. Readings of two processes can't be compared.
+/// Time point of a process's monotonic clock. Not comparable between processes.
 using MonotonicTime = MonotonicTimeline::time_point;
 
 /// Source of the current time.
 class Clock {
  public:
   virtual ~Clock() = default;
-  /// \return the present reading; it never goes back within a process.
+  /// \return the current time; it never decreases within a process.
   virtual MonotonicTime now() const = 0;
 };
 
-/// Reads the machine's time of day: microseconds since the start of 1970. Machines may disagree on
-/// it, and it may jump either way.
+/// Returns the machine's wall-clock time: microseconds since the Unix epoch. It may differ between
+/// machines and may jump forwards or backwards.
 using TimeOfDay = std::function<Duration()>;
 
-/// Names one scheduled callback; zero is never given out.
+/// Identifies a scheduled callback; zero is never used.
 using TimerId = std::uint64_t;
 
-/// Runs callbacks later on the thread that runs everything else of the process.
+/// Runs callbacks later, on the single thread that runs the process's modules.
 class Scheduler {
  public:
   virtual ~Scheduler() = default;
-  /// Runs `callback` once, `delay` from now (at once on the next turn if not positive).
+  /// Runs `callback` once after `delay`, or in the next iteration of the event loop if `delay` is
+  /// not positive.
   /// \return an identifier for cancel()
   virtual TimerId schedule(Duration delay, std::function<void()> callback) = 0;
-  /// Forgets a scheduled callback; unknown or already run identifiers are ignored.
+  /// Cancels a scheduled callback. Ignored if it is unknown or has already run.
   virtual void cancel(TimerId timer) = 0;
 };
 
--- a/tests/common/event_log_test.cpp
+++ b/tests/common/event_log_test.cpp
@@ -17,13 +17,13 @@
 
 class EventLogTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventLogTest);
-  CPPUNIT_TEST(writesOneLineOfPairs);
+  CPPUNIT_TEST(writesOneLineOfKeyValuePairs);
   CPPUNIT_TEST(dropsDisabledLevels);
   CPPUNIT_TEST(quotedValuesStayOnOneLine);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void writesOneLineOfPairs() {
+  void writesOneLineOfKeyValuePairs() {
     RecordingSink sink;
     LogEvent(sink, LogLevel::kInfo, "lease_acquired").field("zone", "hall a").field("term", 3);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, sink.lines.size());
--- a/tests/common/rate_limit_notice_test.cpp
+++ b/tests/common/rate_limit_notice_test.cpp
@@ -8,8 +8,8 @@
 class RateLimitNoticeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RateLimitNoticeTest);
   CPPUNIT_TEST(readsDecimalNumbers);
-  CPPUNIT_TEST(missingFieldNamesNothing);
-  CPPUNIT_TEST(whatIsNoLimitIsUnreadable);
+  CPPUNIT_TEST(missingFieldMeansNoLimit);
+  CPPUNIT_TEST(invalidLimitsAreUnreadable);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -19,8 +19,8 @@
     CPPUNIT_ASSERT(namedRateLimit(12) == parseRateLimit(" 12\t"));
     CPPUNIT_ASSERT(namedRateLimit(100000000) == parseRateLimit("100000000.0"));
   }
-  void missingFieldNamesNothing() { CPPUNIT_ASSERT(RateLimitNotice{} == parseRateLimit("")); }
-  void whatIsNoLimitIsUnreadable() {
+  void missingFieldMeansNoLimit() { CPPUNIT_ASSERT(RateLimitNotice{} == parseRateLimit("")); }
+  void invalidLimitsAreUnreadable() {
     for (const char* text :
          {"-1", "nan", "inf", "much", "1,5", "1.2/s", "0x10", " ", "5 5", "+5"}) {
       CPPUNIT_ASSERT_MESSAGE(text, parseRateLimit(text).kind == RateLimitNotice::Kind::kUnreadable);
