--- a/src/cypresswall/common/time.h
+++ b/src/cypresswall/common/time.h
@@ -8,10 +8,10 @@
 
 namespace cypresswall::common {
 
-/// All durations inside the system are in microseconds.
+/// Durations are represented in microseconds throughout the system.
 using Duration = std::chrono::microseconds;
 
-/// Tag clock: it can't be asked for the time, which comes only from an injected Clock.
+/// Clock type for time points only. It has no now(): the time comes from an injected Clock.
 struct MonotonicTimeline {
   using duration = Duration;
   using rep = duration::rep;
--- a/src/cypresswall/engines/engine_client.h
+++ b/src/cypresswall/engines/engine_client.h
@@ -1,4 +1,4 @@
-/// Client interface to model engines. Implemented over HTTP (HttpEngineClient) and by the
+/// Client interface to model engines, implemented over HTTP (HttpEngineClient) and by the
 /// simulator.
 #pragma once
 
--- a/src/cypresswall/engines/stream_event.cpp
+++ b/src/cypresswall/engines/stream_event.cpp
@@ -111,10 +111,9 @@
     }
   }
 
-  /// \return the length in bytes of the first character of `text`, or zero if it is not allowed in
-  /// a
-  ///   plain string. Lead bytes that need further range checks and four-byte sequences also give
-  ///   zero, which leaves them to the full parser.
+  /// \return the length in bytes of the first character of `text`, or zero if a plain string may
+  ///   not contain it. Zero also for four-byte sequences and for lead bytes that need further UTF-8
+  ///   range checks: these are left to the full parser.
   static std::size_t characterSize(std::string_view text) {
     const auto first = static_cast<unsigned char>(text.front());
     if (first < 0x80) {
--- a/src/cypresswall/gateway/service_session.h
+++ b/src/cypresswall/gateway/service_session.h
@@ -44,8 +44,7 @@
 };
 
 /// \throws RequestError if `request` names no service, or if its path contains "." or ".."
-/// segments,
-///   which could address a different operation than the declared one
+///   segments, which could address a different operation than the declared one
 ServiceTarget serviceTargetOf(const http::Request& request);
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/http/connection.h
+++ b/src/cypresswall/http/connection.h
@@ -52,9 +52,8 @@
     receiving_since_.reset();
     request_received_ = true;
   }
-  /// \return true if a request is being received, is waiting in the socket, or has yet to arrive on
-  /// a
-  ///   new connection.
+  /// \return true if a request is being received, is waiting in the socket, or has yet to arrive
+  ///   on a new connection.
   bool awaitsRequest() const;
   /// \return the time at which the current request began to arrive; empty if there is none.
   std::optional<std::chrono::steady_clock::time_point> receivingSince() const {
--- a/src/cypresswall/http/exchange.h
+++ b/src/cypresswall/http/exchange.h
@@ -33,8 +33,8 @@
 /// Passes the answer from the handler's Responder to RESTinio. Bytes written within one iteration
 /// of the event loop, or during an earlier write, are coalesced into one write. Chunks between a
 /// stream's header and its end are written directly to the socket; only the part that the socket
-/// does not accept at once goes through RESTinio, whose write path costs several times the system
-/// call.
+/// does not accept at once goes through RESTinio, whose write path is several times as expensive as
+/// the system call.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(std::shared_ptr<ServerState> server, std::shared_ptr<Connection> connection,
--- a/src/cypresswall/http/server.cpp
+++ b/src/cypresswall/http/server.cpp
@@ -62,7 +62,7 @@
   std::shared_ptr<Exchange> exchange_;
 };
 
-/// \return "IP:port" of a peer, or "unknown".
+/// \return "IP:port" of a peer.
 std::string addressText(const restinio::endpoint_t& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
--- a/src/cypresswall/http/server.h
+++ b/src/cypresswall/http/server.h
@@ -107,8 +107,7 @@
   /// \return the number of requests that are not completely answered.
   virtual std::size_t openRequests() const = 0;
   /// \return true once the server has stopped listening and close() would interrupt no request:
-  /// none
-  ///   is open, being received, or yet to arrive on a connection that has carried none so far.
+  ///   none is open, being received, or yet to arrive on a connection that has carried none so far.
   virtual bool isIdle() const = 0;
 };
 
