--- a/src/cypresswall/settings/daemon_settings.h
+++ b/src/cypresswall/settings/daemon_settings.h
@@ -1,5 +1,5 @@
-/// Settings of cypresswalld, put together from the settings of its parts. Defaults are those of the
-/// parts; docs/settings.md lists every key.
+/// Settings of cypresswalld, composed of the settings of its components, which define the defaults.
+/// docs/settings.md lists every key.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,10 @@
 
 namespace cypresswall::settings {
 
-/// Which protocol the platform around the daemon speaks.
+/// Protocol of the platform that the daemon runs on.
 enum class PlatformProtocol : std::uint8_t {
-  kCypresswall,  ///< the project's own (docs/protocols.md)
-  kObjects,      ///< that of the folder platform/
+  kCypresswall,  ///< this project's protocol (docs/protocols.md)
+  kObjects,      ///< the protocol implemented in platform/
 };
 
 struct DaemonSettings {
@@ -31,15 +31,16 @@
   common::LogLevel log_level = common::LogLevel::kInfo;
   node::NodeSettings node;
   PlatformProtocol platform_protocol = PlatformProtocol::kCypresswall;
-  /// Policy of planning where the platform declares the fleet, but no policy.
+  /// Planning policy if the platform declares the fleet without one.
   configuration::PlanningPolicy planning;
-  /// The planner of roles where engines have only the roles "prefill" and "decode".
+  /// Role planner for engines that have only the roles "prefill" and "decode".
   planning::DisaggregatedPlannerSettings disaggregated_planner;
-  /// Cached prefixes are copied where the platform's engines can do that.
+  /// Copy cached prefixes between engines, if the platform's engines support it.
   bool copied_prefixes = true;
-  /// Where the daemon serves its own paths; empty serves them with the callers'.
+  /// Address of the daemon's own paths, such as /readyz; empty serves them at the gateway address.
   common::Address readiness_address;
-  /// A planned stop takes requests for so long after the node has said that it isn't ready.
+  /// On a planned stop, requests are still accepted for this long after the node reports that it is
+  /// not ready.
   common::Duration stop_lame_duck{0};
   runtime::TransportSettings transport;
   http::ServerSettings server;
@@ -48,10 +49,9 @@
   services::HttpServiceSettings services;
   object_store::HttpObjectStoreSettings object_store;
   object_store::HttpMachineListSettings machine_list;
-  /// Where the platform takes the calls that are the duty of one node of the fleet; empty if it has
-  /// none.
+  /// Platform API for calls that a single node makes for the whole fleet; empty if there is none.
   common::Address duty_api;
-  /// Used only in builds with fault switches.
+  /// Used only in builds with fault injection.
   runtime::BlockedPeers blocked_peers;
 };
 
--- a/src/cypresswall/settings/key_table.cpp
+++ b/src/cypresswall/settings/key_table.cpp
@@ -27,7 +27,7 @@
   key.range = "debug, info, warning, error";
   key.default_text = runtime::toString(DaemonSettings().log_level);
   key.meaning = "Least level of events that are logged. Read again on SIGHUP.";
-  key.apply = [](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [](DaemonSettings& settings, const RawValue& value) {
     try {
       settings.log_level = runtime::parseLogLevel(singleText(value));
     } catch (const runtime::LogLevelError& error) {
@@ -46,10 +46,10 @@
   key.meaning =
       "Protocol of the platform: the project's own, or that of the folder platform/, where the "
       "platform also declares the fleet and callers come by the platform's routes.";
-  key.apply = [](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [](DaemonSettings& settings, const RawValue& value) {
     const std::string& text = singleText(value);
     if (text != "cypresswall" && text != "objects") {
-      throw ValueError("'" + text + "' is no protocol; write cypresswall or objects");
+      throw ValueError("'" + text + "' is not a protocol; use cypresswall or objects");
     }
     settings.platform_protocol =
         text == "objects" ? PlatformProtocol::kObjects : PlatformProtocol::kCypresswall;
@@ -65,7 +65,7 @@
     return;
   }
   if (known->region != seed.region) {
-    throw ValueError("zone '" + seed.zone + "' stands in two regions");
+    throw ValueError("zone '" + seed.zone + "' is given two regions");
   }
   known->addresses.push_back(seed.address);
 }
@@ -80,7 +80,7 @@
       "Nodes to begin with: IP:port in the own zone, zone/region@IP:port in another one. A few of "
       "each zone are enough; the own address may be among them.";
   key.is_list = true;
-  key.apply = [](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [](DaemonSettings& settings, const RawValue& value) {
     membership::MembershipSettings& membership = settings.node.membership;
     membership.seeds.clear();
     membership.other_zones.clear();
@@ -105,7 +105,7 @@
   key.default_text = "[]";
   key.meaning = std::move(meaning);
   key.is_list = true;
-  key.apply = [field](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [field](DaemonSettings& settings, const RawValue& value) {
     field(settings) = value.items;
   };
   return key;
--- a/src/cypresswall/settings/key_table.h
+++ b/src/cypresswall/settings/key_table.h
@@ -1,4 +1,4 @@
-/// All keys of the daemon's settings.
+/// Table of all settings keys of the daemon.
 #pragma once
 
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace cypresswall::settings {
 
-/// \return the keys in the order in which documents list them.
+/// \return the keys in documentation order.
 const std::vector<SettingKey>& settingKeys();
-/// \return the key of that name, or null.
+/// \return the key with that name, or null.
 const SettingKey* findKey(const std::string& name);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/policy_keys.cpp
+++ b/src/cypresswall/settings/policy_keys.cpp
@@ -22,14 +22,14 @@
       "Regions of all nodes of the fleet; those of each region divide the same part of "
       "retries.fleet_burst. Empty for one region.";
   key.is_list = true;
-  key.apply = [](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [](DaemonSettings& settings, const RawValue& value) {
     const std::set<std::string> regions(value.items.begin(), value.items.end());
     settings.node.fleet_part.regions = std::max<std::size_t>(1, regions.size());
   };
   return key;
 }
 
-/// Names of duties as platforms give them.
+/// Names of fleet-wide duties, as used by platforms.
 constexpr const char* kUsageDuty = "usage_report";
 constexpr const char* kAutoscalingDuty = "autoscale";
 
@@ -47,11 +47,11 @@
   key.meaning =
       "How many engines are ordered where the platform lets the system choose: none are, so many, "
       "as many as keep utilisation below a limit, or as many as are worth their price.";
-  key.apply = [](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [](DaemonSettings& settings, const RawValue& value) {
     const auto policy = kPolicies.find(singleText(value));
     if (policy == kPolicies.end()) {
       throw ValueError("'" + singleText(value) +
-                       "' is no policy; write none, fixed, threshold or worth");
+                       "' is not a policy; use none, fixed, threshold or worth");
     }
     settings.node.autoscaling.policy = policy->second;
   };
@@ -66,7 +66,7 @@
   key.default_text = "[]";
   key.meaning = "What the platform asks of the fleet: to report usage, to order engines.";
   key.is_list = true;
-  key.apply = [](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [](DaemonSettings& settings, const RawValue& value) {
     const std::set<std::string> names(value.items.begin(), value.items.end());
     settings.node.duties.usage.reports = names.contains(kUsageDuty);
     settings.node.autoscaling.available = names.contains(kAutoscalingDuty);
@@ -159,15 +159,15 @@
 }
 
 std::vector<SettingKey> autoscalingKeys() {
-  constexpr std::size_t kMostEngines = 10000;
+  constexpr std::size_t kMaximumEngines = 10000;
   return {
       autoscalingPolicyKey(),
       countKey(
-          "autoscaling.fixed_lasting", 0, kMostEngines,
+          "autoscaling.fixed_lasting", 0, kMaximumEngines,
           [](auto& s) -> auto& { return s.node.autoscaling.fixed_lasting; },
           "Lasting engines in each location, with the policy fixed."),
       countKey(
-          "autoscaling.fixed_preemptible", 0, kMostEngines,
+          "autoscaling.fixed_preemptible", 0, kMaximumEngines,
           [](auto& s) -> auto& { return s.node.autoscaling.fixed_preemptible; },
           "Preemptible engines in each location, with the policy fixed."),
       numberKey(
--- a/src/cypresswall/settings/policy_keys.h
+++ b/src/cypresswall/settings/policy_keys.h
@@ -1,4 +1,4 @@
-/// Keys of the settings by which operators choose how the system decides.
+/// Settings keys of the system's policies.
 #pragma once
 
 #include <vector>
@@ -7,17 +7,17 @@
 
 namespace cypresswall::settings {
 
-/// \return how roles of engines are planned
+/// \return keys of role planning
 std::vector<SettingKey> planningKeys();
-/// \return how often requests may be repeated
+/// \return keys of the retry budget
 std::vector<SettingKey> retryKeys();
-/// \return when requests are kept from engines
+/// \return keys of the quarantine of requests that crash engines
 std::vector<SettingKey> quarantineKeys();
-/// \return what one node does for the whole fleet
+/// \return keys of the duties that one node performs for the whole fleet
 std::vector<SettingKey> dutyKeys();
-/// \return how the number of engines follows the work
+/// \return keys of autoscaling
 std::vector<SettingKey> autoscalingKeys();
-/// \return each mechanism by which the system copes with overload, to be switched off by itself
+/// \return keys that switch individual overload mechanisms off
 std::vector<SettingKey> mechanismKeys();
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/setting_key.cpp
+++ b/src/cypresswall/settings/setting_key.cpp
@@ -9,8 +9,8 @@
 
 using configuration::formatDuration;
 
-std::string rangeText(const std::string& least, const std::string& most) {
-  return least + " to " + most;
+std::string rangeText(const std::string& minimum, const std::string& maximum) {
+  return minimum + " to " + maximum;
 }
 
 [[noreturn]] void throwOutOfRange(const std::string& text, const std::string& range) {
@@ -19,7 +19,7 @@
 
 using SizeParser = std::uint64_t (*)(const std::string&);
 
-/// \return a key without `apply`
+/// \return a key whose `apply` is not set
 SettingKey describe(std::string name, std::string unit, std::string range, std::string default_text,
                     std::string meaning) {
   SettingKey key;
@@ -31,13 +31,13 @@
   return key;
 }
 
-/// Reads a number within a range into `field`.
-auto sizeSetter(SizeParser parse, std::size_t least, std::size_t most, std::string range,
+/// \return a function that parses a number, checks its range and stores it in `field`.
+auto sizeSetter(SizeParser parse, std::size_t minimum, std::size_t maximum, std::string range,
                 SettingField<std::size_t> field) {
-  return [=, range = std::move(range)](DaemonSettings& settings, const GivenValue& value) {
+  return [=, range = std::move(range)](DaemonSettings& settings, const RawValue& value) {
     const std::string& text = singleText(value);
     const std::uint64_t number = parse(text);
-    if (number < least || number > most) {
+    if (number < minimum || number > maximum) {
       throwOutOfRange(text, range);
     }
     field(settings) = number;
@@ -46,23 +46,23 @@
 
 }  // namespace
 
-const std::string& singleText(const GivenValue& value) {
+const std::string& singleText(const RawValue& value) {
   if (value.is_list || value.items.size() != 1) {
-    throw ValueError("a single value is wanted, not a list");
+    throw ValueError("a single value is expected, not a list");
   }
   return value.items.front();
 }
 
-SettingKey durationKey(std::string name, common::Duration least, common::Duration most,
+SettingKey durationKey(std::string name, common::Duration minimum, common::Duration maximum,
                        SettingField<common::Duration> field, std::string meaning) {
   DaemonSettings defaults;
-  SettingKey key =
-      describe(std::move(name), "duration", rangeText(formatDuration(least), formatDuration(most)),
-               formatDuration(field(defaults)), std::move(meaning));
-  key.apply = [=, range = key.range](DaemonSettings& settings, const GivenValue& value) {
+  SettingKey key = describe(std::move(name), "duration",
+                            rangeText(formatDuration(minimum), formatDuration(maximum)),
+                            formatDuration(field(defaults)), std::move(meaning));
+  key.apply = [=, range = key.range](DaemonSettings& settings, const RawValue& value) {
     const std::string& text = singleText(value);
     const common::Duration duration = parseDurationValue(text);
-    if (duration < least || duration > most) {
+    if (duration < minimum || duration > maximum) {
       throwOutOfRange(text, range);
     }
     field(settings) = duration;
@@ -70,36 +70,36 @@
   return key;
 }
 
-SettingKey bytesKey(std::string name, std::size_t least, std::size_t most,
+SettingKey bytesKey(std::string name, std::size_t minimum, std::size_t maximum,
                     SettingField<std::size_t> field, std::string meaning) {
   DaemonSettings defaults;
   SettingKey key =
-      describe(std::move(name), "bytes", rangeText(formatBytes(least), formatBytes(most)),
+      describe(std::move(name), "bytes", rangeText(formatBytes(minimum), formatBytes(maximum)),
                formatBytes(field(defaults)), std::move(meaning));
-  key.apply = sizeSetter(parseBytes, least, most, key.range, field);
+  key.apply = sizeSetter(parseBytes, minimum, maximum, key.range, field);
   return key;
 }
 
-SettingKey countKey(std::string name, std::size_t least, std::size_t most,
+SettingKey countKey(std::string name, std::size_t minimum, std::size_t maximum,
                     SettingField<std::size_t> field, std::string meaning) {
   DaemonSettings defaults;
-  SettingKey key =
-      describe(std::move(name), "count", rangeText(std::to_string(least), std::to_string(most)),
-               std::to_string(field(defaults)), std::move(meaning));
-  key.apply = sizeSetter(parseCount, least, most, key.range, field);
+  SettingKey key = describe(std::move(name), "count",
+                            rangeText(std::to_string(minimum), std::to_string(maximum)),
+                            std::to_string(field(defaults)), std::move(meaning));
+  key.apply = sizeSetter(parseCount, minimum, maximum, key.range, field);
   return key;
 }
 
-SettingKey numberKey(std::string name, double least, double most, SettingField<double> field,
+SettingKey numberKey(std::string name, double minimum, double maximum, SettingField<double> field,
                      std::string meaning) {
   DaemonSettings defaults;
   SettingKey key =
-      describe(std::move(name), "number", rangeText(formatNumber(least), formatNumber(most)),
+      describe(std::move(name), "number", rangeText(formatNumber(minimum), formatNumber(maximum)),
                formatNumber(field(defaults)), std::move(meaning));
-  key.apply = [=, range = key.range](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [=, range = key.range](DaemonSettings& settings, const RawValue& value) {
     const std::string& text = singleText(value);
     const double number = parseNumber(text);
-    if (!(number >= least && number <= most)) {
+    if (!(number >= minimum && number <= maximum)) {
       throwOutOfRange(text, range);
     }
     field(settings) = number;
@@ -111,10 +111,10 @@
   DaemonSettings defaults;
   SettingKey key = describe(std::move(name), "switch", "on, off", field(defaults) ? "on" : "off",
                             std::move(meaning));
-  key.apply = [field](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [field](DaemonSettings& settings, const RawValue& value) {
     const std::string& text = singleText(value);
     if (text != "on" && text != "off") {
-      throw ValueError("'" + text + "' is no switch; write on or off");
+      throw ValueError("'" + text + "' is not a switch; use on or off");
     }
     field(settings) = text == "on";
   };
@@ -125,7 +125,7 @@
   SettingKey key = describe(std::move(name), "name", "1 to 64 letters, digits, '-', '_', '.'", "",
                             std::move(meaning));
   key.required = true;
-  key.apply = [field](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [field](DaemonSettings& settings, const RawValue& value) {
     field(settings) = parseName(singleText(value));
   };
   return key;
@@ -136,7 +136,7 @@
   SettingKey key = describe(std::move(name), "IP:port", "an IP number, port 1 to 65535",
                             std::move(default_text), std::move(meaning));
   key.required = key.default_text.empty();
-  key.apply = [field](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [field](DaemonSettings& settings, const RawValue& value) {
     field(settings) = parseReachableAddress(singleText(value));
   };
   return key;
@@ -147,7 +147,7 @@
   constexpr const char* kNone = "none";
   SettingKey key = addressKey(std::move(name), kNone, field, std::move(meaning));
   key.range = "an IP number, port 1 to 65535, or none";
-  key.apply = [field, with_address = key.apply](DaemonSettings& settings, const GivenValue& value) {
+  key.apply = [field, with_address = key.apply](DaemonSettings& settings, const RawValue& value) {
     if (singleText(value) == kNone) {
       field(settings).clear();
     } else {
--- a/src/cypresswall/settings/setting_key.h
+++ b/src/cypresswall/settings/setting_key.h
@@ -1,4 +1,4 @@
-/// Description of one key of the settings: name, type, range, meaning, and where its value goes.
+/// Description of a settings key: name, type, range, meaning, and the field that stores its value.
 #pragma once
 
 #include <cstdint>
@@ -11,50 +11,50 @@
 
 namespace cypresswall::settings {
 
-/// A value as given: one text, or the items of a list.
-struct GivenValue {
+/// An unparsed value: a single text, or the items of a list.
+struct RawValue {
   std::vector<std::string> items;
   bool is_list = false;
 };
 
 struct SettingKey {
-  /// "section.name", or one word for a key at the top.
+  /// "section.name", or a single word for a top-level key.
   std::string name;
-  /// Unit or type, for the documentation.
+  /// Unit or type, as shown in the documentation.
   std::string unit;
   std::string range;
-  /// As written in a file; empty if the key must be given.
+  /// As written in a file; empty if the key is required.
   std::string default_text;
   std::string meaning;
   bool required = false;
   bool is_list = false;
-  /// Stores a value. \throws ValueError
-  std::function<void(DaemonSettings&, const GivenValue&)> apply;
+  /// Parses and stores a value. \throws ValueError
+  std::function<void(DaemonSettings&, const RawValue&)> apply;
 };
 
 template <typename Value>
 using SettingField = Value& (*)(DaemonSettings&);
 
-/// Each makes the description of a key whose value is stored in `field`.
-SettingKey durationKey(std::string name, common::Duration least, common::Duration most,
+/// Each function describes a key whose value is stored in `field`.
+SettingKey durationKey(std::string name, common::Duration minimum, common::Duration maximum,
                        SettingField<common::Duration> field, std::string meaning);
-SettingKey bytesKey(std::string name, std::size_t least, std::size_t most,
+SettingKey bytesKey(std::string name, std::size_t minimum, std::size_t maximum,
                     SettingField<std::size_t> field, std::string meaning);
-SettingKey countKey(std::string name, std::size_t least, std::size_t most,
+SettingKey countKey(std::string name, std::size_t minimum, std::size_t maximum,
                     SettingField<std::size_t> field, std::string meaning);
-SettingKey numberKey(std::string name, double least, double most, SettingField<double> field,
+SettingKey numberKey(std::string name, double minimum, double maximum, SettingField<double> field,
                      std::string meaning);
-/// A key that is "on" or "off".
+/// A key with the value "on" or "off".
 SettingKey switchKey(std::string name, SettingField<bool> field, std::string meaning);
 SettingKey nameKey(std::string name, SettingField<std::string> field, std::string meaning);
-/// \param default_text empty if the key must be given
+/// \param default_text empty if the key is required
 SettingKey addressKey(std::string name, std::string default_text,
                       SettingField<common::Address> field, std::string meaning);
-/// A key that is an address or "none".
+/// A key whose value is an address or "none".
 SettingKey optionalAddressKey(std::string name, SettingField<common::Address> field,
                               std::string meaning);
 
-/// \return the one text of a value that may not be a list. \throws ValueError
-const std::string& singleText(const GivenValue& value);
+/// \return the text of a value that must not be a list. \throws ValueError
+const std::string& singleText(const RawValue& value);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/settings_documents.cpp
+++ b/src/cypresswall/settings/settings_documents.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::settings {
 namespace {
 
-/// \return the section of a key, empty for a key at the top.
+/// \return the section of a key, empty for a top-level key.
 std::string sectionOf(const std::string& name) {
   const auto dot = name.find('.');
   return dot == std::string::npos ? "" : name.substr(0, dot);
--- a/src/cypresswall/settings/settings_documents.h
+++ b/src/cypresswall/settings/settings_documents.h
@@ -1,4 +1,4 @@
-/// Documents made from the table of keys: the default settings as a file, and the rows of
+/// Documentation generated from the key table: a default settings file, and the rows of
 /// docs/settings.md.
 #pragma once
 
@@ -8,10 +8,9 @@
 
 namespace cypresswall::settings {
 
-/// \return a settings file with every key at its default; keys that must be given are commented
-/// out.
+/// \return a settings file with every key at its default; required keys are commented out.
 std::string defaultSettingsText();
-/// \return the row of docs/settings.md for one key.
+/// \return the row of a key in docs/settings.md.
 std::string documentRow(const SettingKey& key);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/settings_flags.cpp
+++ b/src/cypresswall/settings/settings_flags.cpp
@@ -11,7 +11,7 @@
 namespace cypresswall::settings {
 namespace {
 
-/// Strings that gflags keeps pointers to.
+/// Storage of a flag; gflags keeps pointers to these strings.
 struct Flag {
   std::string name;
   std::string help;
@@ -59,12 +59,12 @@
     if (!gflags::GetCommandLineFlagInfo(name.c_str(), &info) || info.is_default) {
       continue;
     }
-    PlacedValue placed;
-    placed.place = "--" + name;
-    placed.value.is_list = key.is_list;
-    placed.value.items = key.is_list ? splitAtCommas(info.current_value)
-                                     : std::vector<std::string>{info.current_value};
-    values.emplace(key.name, std::move(placed));
+    LocatedValue located;
+    located.location = "--" + name;
+    located.value.is_list = key.is_list;
+    located.value.items = key.is_list ? splitAtCommas(info.current_value)
+                                      : std::vector<std::string>{info.current_value};
+    values.emplace(key.name, std::move(located));
   }
   return values;
 }
--- a/src/cypresswall/settings/settings_flags.h
+++ b/src/cypresswall/settings/settings_flags.h
@@ -1,4 +1,4 @@
-/// Every key of the settings as a command-line flag: "--node_zone" for the key "node.zone".
+/// Command-line flags for all settings keys: "--node_zone" for the key "node.zone".
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 
 namespace cypresswall::settings {
 
-/// \return the name of the flag of a key, without dashes.
+/// \return the name of a key's flag, without dashes.
 std::string flagName(const std::string& key);
-/// Registers the flags with gflags. Call it once, before gflags reads the command line.
+/// Registers the flags with gflags. Must be called once, before gflags parses the command line.
 void registerSettingFlags();
-/// \return the values of the flags that were given. Items of lists are separated by commas.
+/// \return the values of the flags that were set. List items are separated by commas.
 SourceValues settingFlagValues();
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/settings_loader.cpp
+++ b/src/cypresswall/settings/settings_loader.cpp
@@ -7,10 +7,11 @@
 namespace cypresswall::settings {
 namespace {
 
-/// Twice the limit: an attempt given up earlier has its prompt read again elsewhere for nothing.
-constexpr double kSilenceShareOfCountingPlatform = 2;
+/// Twice the first-token limit: abandoning a silent attempt earlier only makes another engine
+/// repeat the prefill.
+constexpr double kObjectsPlatformStallShare = 2;
 
-/// Applies values and collects problems.
+/// Applies values to the defaults and collects all problems.
 class Loader {
  public:
   explicit Loader(const SourceValues& values) : values_(values) {}
@@ -20,7 +21,7 @@
       applyKey(key);
     }
     if (problems_.empty()) {
-      checkTogether();
+      checkConsistency();
     }
     if (!problems_.empty()) {
       throw SettingsError(problems_);
@@ -46,8 +47,8 @@
     }
   }
 
-  /// Checks what no key can check alone.
-  void checkTogether() {
+  /// Checks constraints that involve several keys.
+  void checkConsistency() {
     const auto& membership = settings_.node.membership;
     const auto& lease = settings_.node.lease;
     require(settings_.transport.listen_address != settings_.server.address, "node.gateway_address",
@@ -88,8 +89,8 @@
 
   void report(const std::string& key, const std::string& problem) {
     const auto given = values_.find(key);
-    const std::string place = given == values_.end() ? "default" : given->second.place;
-    problems_.push_back(place + ": " + key + ": " + problem);
+    const std::string location = given == values_.end() ? "default" : given->second.location;
+    problems_.push_back(location + ": " + key + ": " + problem);
   }
 
   const SourceValues& values_;
@@ -102,12 +103,12 @@
 DaemonSettings makeSettings(const SourceValues& values) {
   DaemonSettings settings = Loader(values).load();
   if (settings.platform_protocol == PlatformProtocol::kObjects) {
-    // That platform counts every request that arrives at a back end, refused or not, over all nodes
-    // together, whatever happened to them meanwhile.
+    // This platform counts every request that reaches a back end, even a refused one, across all
+    // nodes and their restarts.
     settings.node.execution.charge_refused_attempts = true;
     settings.node.fleet_part.withhold_after_start = true;
     settings.node.router.copies_prefixes = settings.copied_prefixes;
-    settings.node.execution.first_token_stall_share = kSilenceShareOfCountingPlatform;
+    settings.node.execution.first_token_stall_share = kObjectsPlatformStallShare;
     // Its engines have only the roles "prefill" and "decode", and its store outlives the nodes.
     settings.node.lease_in_store = true;
     settings.node.controller.order.engines_finish_streams = true;
--- a/src/cypresswall/settings/settings_loader.h
+++ b/src/cypresswall/settings/settings_loader.h
@@ -1,4 +1,4 @@
-/// Makes checked settings of the daemon from the values of a file and of flags.
+/// Builds validated daemon settings from the values of the settings file and the flags.
 #pragma once
 
 #include "cypresswall/settings/daemon_settings.h"
@@ -6,11 +6,11 @@
 
 namespace cypresswall::settings {
 
-/// Applies `values` over the defaults and checks everything.
+/// Applies `values` to the defaults and validates the result.
 /// \throws SettingsError with all problems found
 DaemonSettings makeSettings(const SourceValues& values);
 
-/// \return `lower` with the values of `upper` put over it.
+/// \return `lower` overridden by the values of `upper`.
 SourceValues merged(SourceValues lower, const SourceValues& upper);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/settings_source.cpp
+++ b/src/cypresswall/settings/settings_source.cpp
@@ -27,7 +27,7 @@
   return false;
 }
 
-/// Reads one document and collects its problems.
+/// Parses one document and collects its problems.
 class FileReader {
  public:
   explicit FileReader(std::string name) : name_(std::move(name)) {}
@@ -41,7 +41,7 @@
         report(root, "the settings must be a map of sections");
       }
     } catch (const YAML::Exception& error) {
-      problems_.push_back(placeOf(error.mark) + ": not readable as YAML: " + error.msg);
+      problems_.push_back(locationOf(error.mark) + ": not readable as YAML: " + error.msg);
     }
     if (!problems_.empty()) {
       throw SettingsError(problems_);
@@ -55,7 +55,7 @@
       if (entry.first.IsScalar()) {
         readEntry(entry.first, entry.second, prefix + entry.first.Scalar());
       } else {
-        report(entry.first, "a key must be a word");
+        report(entry.first, "a key must be a scalar");
       }
     }
   }
@@ -68,16 +68,16 @@
     } else if (value.IsMap()) {
       readMap(value, name + ".");
     } else if (!value.IsNull()) {
-      report(key_node, name + ": a section with keys is wanted");
+      report(key_node, name + ": a section with keys is expected");
     }
   }
 
   void readValue(const YAML::Node& key_node, const YAML::Node& value, const std::string& name) {
-    PlacedValue placed;
-    placed.place = placeOf(key_node.Mark());
-    placed.value.is_list = value.IsSequence();
+    LocatedValue located;
+    located.location = locationOf(key_node.Mark());
+    located.value.is_list = value.IsSequence();
     if (value.IsScalar()) {
-      placed.value.items.push_back(value.Scalar());
+      located.value.items.push_back(value.Scalar());
     } else if (!value.IsSequence()) {
       report(key_node, name + ": a value is missing");
       return;
@@ -87,19 +87,19 @@
         report(item, name + ": an item must be a single value");
         return;
       }
-      placed.value.items.push_back(item.Scalar());
+      located.value.items.push_back(item.Scalar());
     }
-    if (!values_.emplace(name, std::move(placed)).second) {
+    if (!values_.emplace(name, std::move(located)).second) {
       report(key_node, name + ": given twice");
     }
   }
 
-  std::string placeOf(const YAML::Mark& mark) const {
+  std::string locationOf(const YAML::Mark& mark) const {
     return mark.is_null() ? name_ : name_ + ":" + std::to_string(mark.line + 1);
   }
 
   void report(const YAML::Node& node, const std::string& problem) {
-    problems_.push_back(placeOf(node.Mark()) + ": " + problem);
+    problems_.push_back(locationOf(node.Mark()) + ": " + problem);
   }
 
   std::string name_;
--- a/src/cypresswall/settings/settings_source.h
+++ b/src/cypresswall/settings/settings_source.h
@@ -1,4 +1,4 @@
-/// Values of settings with the place that they were given in, from files and from flags.
+/// Unparsed settings values with their source location, from files and flags.
 #pragma once
 
 #include <map>
@@ -10,26 +10,25 @@
 
 namespace cypresswall::settings {
 
-/// Everything that is wrong with the settings, one line for each problem, each naming its place and
-/// key.
+/// All problems of the settings, one line each, with source location and key.
 class SettingsError : public common::Error {
  public:
   explicit SettingsError(const std::vector<std::string>& problems);
 };
 
-/// A value and where it stands, for error messages ("node.yaml:12" or "--log_level").
-struct PlacedValue {
-  GivenValue value;
-  std::string place;
+/// A value and its source location for error messages ("node.yaml:12" or "--log_level").
+struct LocatedValue {
+  RawValue value;
+  std::string location;
 };
 
 /// Values by key name.
-using SourceValues = std::map<std::string, PlacedValue>;
+using SourceValues = std::map<std::string, LocatedValue>;
 
-/// Reads a YAML file: sections with keys, as settingKeys() names them.
-/// \throws SettingsError on unreadable files, unknown and doubled keys, and values of wrong shape
+/// Reads a YAML file of sections with the keys of settingKeys().
+/// \throws SettingsError on unreadable files, unknown or duplicate keys, and malformed values
 SourceValues readSettingsFile(const std::string& path);
-/// The same for a text; `name` stands in error messages for the file.
+/// Same for a text; error messages use `name` as the file name.
 SourceValues readSettingsText(const std::string& text, const std::string& name);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/value_text.cpp
+++ b/src/cypresswall/settings/value_text.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::size_t kMaximumNameBytes = 64;
-/// More than the shortest exact text of any double takes.
+/// Large enough for the shortest exact text of any double.
 constexpr std::size_t kMaximumNumberBytes = 32;
 
 using ByteUnit = std::pair<std::string_view, unsigned>;
-/// Units of bytes with their power of two, largest first.
+/// Byte units and their powers of two, largest first.
 constexpr std::array<ByteUnit, 3> kByteUnits = {{{"GiB", 30}, {"MiB", 20}, {"KiB", 10}}};
 
 bool isNameCharacter(char c) {
@@ -33,7 +33,7 @@
   const char* const end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, value);
   if (text.empty() || result.ec != std::errc() || result.ptr != end) {
-    throw ValueError("'" + text + "' is no whole number");
+    throw ValueError("'" + text + "' is not a whole number");
   }
   return value;
 }
@@ -57,7 +57,7 @@
   const char* const end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, value);
   if (text.empty() || result.ec != std::errc() || result.ptr != end || !std::isfinite(value)) {
-    throw ValueError("'" + text + "' is no number");
+    throw ValueError("'" + text + "' is not a number");
   }
   return value;
 }
@@ -65,7 +65,8 @@
 common::Duration parseDurationValue(const std::string& text) {
   const auto duration = configuration::parseDuration(text);
   if (!duration) {
-    throw ValueError("'" + text + "' is no duration; write a number with us, ms, s, m or h");
+    throw ValueError("'" + text +
+                     "' is not a duration; use a number with the unit us, ms, s, m or h");
   }
   return *duration;
 }
@@ -73,7 +74,7 @@
 std::string parseName(const std::string& text) {
   const bool fits = !text.empty() && text.size() <= kMaximumNameBytes;
   if (!fits || !std::all_of(text.begin(), text.end(), isNameCharacter)) {
-    throw ValueError("'" + text + "' is no name of 1 to " + std::to_string(kMaximumNameBytes) +
+    throw ValueError("'" + text + "' is not a name of 1 to " + std::to_string(kMaximumNameBytes) +
                      " letters, digits, '-', '_' or '.'");
   }
   return text;
@@ -86,7 +87,7 @@
       throw ValueError("'" + text + "' has port 0; a fixed port is needed");
     }
     if (address.ip == "0.0.0.0" || address.ip == "::") {
-      throw ValueError("'" + text + "' stands for any address; peers need one that they can reach");
+      throw ValueError("'" + text + "' is a wildcard address; peers need one that they can reach");
     }
     return common::formatSocketAddress(address);
   } catch (const common::AddressError& error) {
@@ -101,13 +102,13 @@
     seed.address = parseReachableAddress(text);
     return seed;
   }
-  const std::string place = text.substr(0, at);
-  const auto slash = place.find('/');
+  const std::string zone_and_region = text.substr(0, at);
+  const auto slash = zone_and_region.find('/');
   if (slash == std::string::npos) {
-    throw ValueError("'" + text + "' is no seed; write IP:port or zone/region@IP:port");
+    throw ValueError("'" + text + "' is not a seed; use IP:port or zone/region@IP:port");
   }
-  seed.zone = parseName(place.substr(0, slash));
-  seed.region = parseName(place.substr(slash + 1));
+  seed.zone = parseName(zone_and_region.substr(0, slash));
+  seed.region = parseName(zone_and_region.substr(slash + 1));
   seed.address = parseReachableAddress(text.substr(at + 1));
   return seed;
 }
--- a/src/cypresswall/settings/value_text.h
+++ b/src/cypresswall/settings/value_text.h
@@ -1,4 +1,4 @@
-/// Values of settings as text: how each type is read, and written again for documents.
+/// Parsing of settings values, and formatting for documentation.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,14 @@
 
 namespace cypresswall::settings {
 
-/// A text that is no value of the wanted type or outside the key's range. The message says what was
-/// wanted, without naming the key.
+/// A text that is not a value of the expected type or outside the key's range. The message says
+/// what is expected, without naming the key.
 class ValueError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// \throws ValueError, each of these
+/// Each of the following throws ValueError.
 std::uint64_t parseCount(const std::string& text);
 /// A count of bytes, or one directly followed by KiB, MiB or GiB.
 std::uint64_t parseBytes(const std::string& text);
@@ -27,21 +27,21 @@
 common::Duration parseDurationValue(const std::string& text);
 /// A name of letters, digits, '-', '_' and '.', of 1 to 64 characters.
 std::string parseName(const std::string& text);
-/// An address that peers can reach: an IP number that is not "any", with a port that is not zero.
+/// An address that peers can reach: a numeric IP address, not the wildcard, and a non-zero port.
 common::Address parseReachableAddress(const std::string& text);
 
-/// A node to begin with: "IP:port" in the own zone, "zone/region@IP:port" in another one.
+/// A seed node: "IP:port" in the local zone, "zone/region@IP:port" in another one.
 struct Seed {
-  /// Empty for the own zone.
+  /// Empty for the local zone.
   common::ZoneName zone;
   membership::RegionName region;
   common::Address address;
 };
 Seed parseSeed(const std::string& text);
 
-/// Writes what parseBytes() reads, in the largest unit that gives a whole number.
+/// Inverse of parseBytes(), in the largest unit that gives a whole number.
 std::string formatBytes(std::uint64_t bytes);
-/// Writes what parseNumber() reads, in the fewest digits.
+/// Inverse of parseNumber(), in the fewest digits.
 std::string formatNumber(double number);
 
 }  // namespace cypresswall::settings
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -14,7 +14,7 @@
 namespace cypresswall::settings {
 namespace {
 
-const std::string kLeast = R"(node:
+const std::string kMinimalSettings = R"(node:
   peer_address: 127.0.1.1:7000
   gateway_address: 127.0.1.1:8080
   zone: constanta
@@ -29,7 +29,7 @@
   return makeSettings(readSettingsText(text, "node.yaml"));
 }
 
-/// \return the message of the error that loading `text` gives, empty if there is none.
+/// \return the error message from loading `text`, or an empty text if it loads.
 std::string problemsOf(const std::string& text) {
   try {
     load(text);
@@ -44,31 +44,31 @@
   return text;
 }
 
-/// \return the least settings with one switch of a mechanism
+/// \return the minimal settings with one mechanism switched on or off
 std::string withMechanism(const std::string& name, const std::string& value) {
-  std::string text = kLeast;
+  std::string text = kMinimalSettings;
   return text.append("mechanisms: {").append(name).append(": ").append(value).append("}");
 }
 
 class SettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsTest);
-  CPPUNIT_TEST(leastSettingsTakeAllDefaults);
-  CPPUNIT_TEST(readsEveryKind);
+  CPPUNIT_TEST(minimalSettingsTakeAllDefaults);
+  CPPUNIT_TEST(readsEveryValueType);
   CPPUNIT_TEST(errorsNameFileLineAndKey);
   CPPUNIT_TEST(reportsAllProblemsAtOnce);
-  CPPUNIT_TEST(checksKeysTogether);
-  CPPUNIT_TEST(eachMechanismIsSwitchedByItself);
-  CPPUNIT_TEST(copiesNeedEnginesThatCanAndTheSwitch);
-  CPPUNIT_TEST(thePlannerOfRolesGetsItsSwitch);
-  CPPUNIT_TEST(flagsGoOverTheFile);
-  CPPUNIT_TEST(defaultsReadBack);
-  CPPUNIT_TEST(pageListsEveryKey);
-  CPPUNIT_TEST(anyTextIsReadOrRefused);
+  CPPUNIT_TEST(checksConsistencyBetweenKeys);
+  CPPUNIT_TEST(eachMechanismHasItsOwnSwitch);
+  CPPUNIT_TEST(prefixCopiesNeedPlatformSupportAndTheSwitch);
+  CPPUNIT_TEST(leastRoleShareSwitchReachesThePlanner);
+  CPPUNIT_TEST(flagsOverrideTheFile);
+  CPPUNIT_TEST(defaultsRoundTrip);
+  CPPUNIT_TEST(settingsPageListsEveryKey);
+  CPPUNIT_TEST(arbitraryTextIsReadOrRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void leastSettingsTakeAllDefaults() {
-    const DaemonSettings settings = load(kLeast);
+  void minimalSettingsTakeAllDefaults() {
+    const DaemonSettings settings = load(kMinimalSettings);
     CPPUNIT_ASSERT_EQUAL(std::string("constanta"), settings.zone);
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.1.1:7000"), settings.transport.listen_address);
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.1.1:8080"), settings.node.membership.gateway_address);
@@ -77,8 +77,8 @@
     CPPUNIT_ASSERT(settings.readiness_address.empty());
   }
 
-  void readsEveryKind() {
-    const DaemonSettings settings = load(kLeast + R"(
+  void readsEveryValueType() {
+    const DaemonSettings settings = load(kMinimalSettings + R"(
 seeds: [127.0.1.2:7000, navodari/dobrogea@127.0.2.1:7000, navodari/dobrogea@127.0.2.2:7000]
 log: {level: debug}
 limits:
@@ -99,26 +99,37 @@
 
   void errorsNameFileLineAndKey() {
     const std::vector<std::pair<std::string, std::string>> cases = {
-        {kLeast + "limits: {conections: 1}", "node.yaml:10: limits.conections: unknown key"},
-        {kLeast + "colour: red", "node.yaml:10: colour: unknown key"},
-        {kLeast + "limits: 5", "node.yaml:10: limits: a section"},
-        {kLeast + "limits: {connections: many}", "node.yaml:10: limits.connections: 'many'"},
-        {kLeast + "limits: {connections: 0}", "node.yaml:10: limits.connections: '0' is outside"},
-        {kLeast + "limits: {connections: [1]}", "node.yaml:10: limits.connections: a single"},
-        {kLeast + "limits: {connections: }", "node.yaml:10: limits.connections: a value"},
-        {kLeast + "limits: {body_bytes: 99999999999GiB}", "node.yaml:10: limits.body_bytes:"},
-        {kLeast + "log: {level: loud}", "node.yaml:10: log.level: 'loud'"},
-        {kLeast + "log: {level: info}\nlog: {level: info}", "node.yaml:11: log.level: given twice"},
-        {kLeast + "timings: {idle_limit: 5}", "node.yaml:10: timings.idle_limit: '5'"},
-        {kLeast + "timings: {idle_limit: -5s}", "node.yaml:10: timings.idle_limit: '-5s'"},
-        {kLeast + "  protocol: other", "node.yaml:10: platform.protocol: 'other'"},
-        {kLeast + "seeds: [localhost:1]", "node.yaml:10: seeds: 'localhost:1'"},
-        {kLeast + "seeds: [{a: b}]", "node.yaml:10: seeds: an item"},
-        {kLeast + "seeds: [a/x@127.0.0.1:1, a/y@127.0.0.1:2]", "node.yaml:10: seeds: zone 'a'"},
-        {replaced(kLeast, "127.0.1.1:7000", "0.0.0.0:7000"), "node.yaml:2: node.peer_address:"},
-        {replaced(kLeast, "127.0.1.1:7000", "127.0.1.1:0"), "node.yaml:2: node.peer_address:"},
-        {replaced(kLeast, "127.0.1.1:7000", "node-1:7000"), "node.yaml:2: node.peer_address:"},
-        {replaced(kLeast, "constanta", "'a b'"), "node.yaml:4: node.zone: 'a b'"},
+        {kMinimalSettings + "limits: {conections: 1}",
+         "node.yaml:10: limits.conections: unknown key"},
+        {kMinimalSettings + "colour: red", "node.yaml:10: colour: unknown key"},
+        {kMinimalSettings + "limits: 5", "node.yaml:10: limits: a section"},
+        {kMinimalSettings + "limits: {connections: many}",
+         "node.yaml:10: limits.connections: 'many'"},
+        {kMinimalSettings + "limits: {connections: 0}",
+         "node.yaml:10: limits.connections: '0' is outside"},
+        {kMinimalSettings + "limits: {connections: [1]}",
+         "node.yaml:10: limits.connections: a single"},
+        {kMinimalSettings + "limits: {connections: }", "node.yaml:10: limits.connections: a value"},
+        {kMinimalSettings + "limits: {body_bytes: 99999999999GiB}",
+         "node.yaml:10: limits.body_bytes:"},
+        {kMinimalSettings + "log: {level: loud}", "node.yaml:10: log.level: 'loud'"},
+        {kMinimalSettings + "log: {level: info}\nlog: {level: info}",
+         "node.yaml:11: log.level: given twice"},
+        {kMinimalSettings + "timings: {idle_limit: 5}", "node.yaml:10: timings.idle_limit: '5'"},
+        {kMinimalSettings + "timings: {idle_limit: -5s}",
+         "node.yaml:10: timings.idle_limit: '-5s'"},
+        {kMinimalSettings + "  protocol: other", "node.yaml:10: platform.protocol: 'other'"},
+        {kMinimalSettings + "seeds: [localhost:1]", "node.yaml:10: seeds: 'localhost:1'"},
+        {kMinimalSettings + "seeds: [{a: b}]", "node.yaml:10: seeds: an item"},
+        {kMinimalSettings + "seeds: [a/x@127.0.0.1:1, a/y@127.0.0.1:2]",
+         "node.yaml:10: seeds: zone 'a'"},
+        {replaced(kMinimalSettings, "127.0.1.1:7000", "0.0.0.0:7000"),
+         "node.yaml:2: node.peer_address:"},
+        {replaced(kMinimalSettings, "127.0.1.1:7000", "127.0.1.1:0"),
+         "node.yaml:2: node.peer_address:"},
+        {replaced(kMinimalSettings, "127.0.1.1:7000", "node-1:7000"),
+         "node.yaml:2: node.peer_address:"},
+        {replaced(kMinimalSettings, "constanta", "'a b'"), "node.yaml:4: node.zone: 'a b'"},
         {"- a", "node.yaml:1: the settings must be a map"},
         {"a: [", "not readable as YAML"},
         {"", "node.zone: must be given"}};
@@ -134,12 +145,12 @@
 
   void reportsAllProblemsAtOnce() {
     const std::string problems =
-        problemsOf(kLeast + "limits: {connections: 0}\ntimings: {idle_limit: x}");
+        problemsOf(kMinimalSettings + "limits: {connections: 0}\ntimings: {idle_limit: x}");
     CPPUNIT_ASSERT(problems.find("limits.connections") != std::string::npos);
     CPPUNIT_ASSERT(problems.find("timings.idle_limit") != std::string::npos);
   }
 
-  void checksKeysTogether() {
+  void checksConsistencyBetweenKeys() {
     const std::vector<std::pair<std::string, std::string>> cases = {
         {"timings: {heartbeat_interval: 3s}", "timings.suspect_after"},
         {"timings: {dead_after: 30ms}", "timings.dead_after"},
@@ -153,16 +164,17 @@
         {"quarantine: {memory: 1s}", "quarantine.memory"},
         {"seeds: [constanta/dobrogea@127.0.0.1:1]", "seeds: zone 'constanta' is the own"}};
     for (const auto& [text, key] : cases) {
-      CPPUNIT_ASSERT_MESSAGE(key, problemsOf(kLeast + text).find(key) != std::string::npos);
+      CPPUNIT_ASSERT_MESSAGE(key,
+                             problemsOf(kMinimalSettings + text).find(key) != std::string::npos);
     }
-    const std::string same = replaced(kLeast, "127.0.1.1:8080", "127.0.1.1:7000");
+    const std::string same = replaced(kMinimalSettings, "127.0.1.1:8080", "127.0.1.1:7000");
     CPPUNIT_ASSERT(problemsOf(same).find("node.gateway_address") != std::string::npos);
     const std::string both =
-        replaced(kLeast, "  zone:", "  readiness_address: 127.0.1.1:8080\n  zone:");
+        replaced(kMinimalSettings, "  zone:", "  readiness_address: 127.0.1.1:8080\n  zone:");
     CPPUNIT_ASSERT(problemsOf(both).find("node.readiness_address") != std::string::npos);
   }
 
-  void eachMechanismIsSwitchedByItself() {
+  void eachMechanismHasItsOwnSwitch() {
     const std::map<std::string, std::function<bool(const DaemonSettings&)>> mechanisms = {
         {"learnt_prompt_speeds", [](const auto& s) { return s.node.router.prompt_speed.learns; }},
         {"learnt_output_speeds",
@@ -191,45 +203,45 @@
       const DaemonSettings settings = load(withMechanism(off, "off"));
       for (const auto& [name, is_on] : mechanisms) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(name, name != off, is_on(settings));
-        CPPUNIT_ASSERT_MESSAGE(name, is_on(load(kLeast)));
+        CPPUNIT_ASSERT_MESSAGE(name, is_on(load(kMinimalSettings)));
       }
       const std::string problems = problemsOf(withMechanism(off, "perhaps"));
       CPPUNIT_ASSERT(problems.find("node.yaml:10: mechanisms." + off) != std::string::npos);
     }
   }
 
-  void copiesNeedEnginesThatCanAndTheSwitch() {
-    const std::string objects = kLeast + "  protocol: objects\n";
+  void prefixCopiesNeedPlatformSupportAndTheSwitch() {
+    const std::string objects = kMinimalSettings + "  protocol: objects\n";
     const std::string off = "mechanisms: {copied_prefixes: off}";
     CPPUNIT_ASSERT(load(objects).node.router.copies_prefixes);
     CPPUNIT_ASSERT(!load(objects + off).node.router.copies_prefixes);
-    CPPUNIT_ASSERT(!load(kLeast).node.router.copies_prefixes);
+    CPPUNIT_ASSERT(!load(kMinimalSettings).node.router.copies_prefixes);
   }
 
-  void thePlannerOfRolesGetsItsSwitch() {
-    const std::string objects = kLeast + "  protocol: objects\n";
+  void leastRoleShareSwitchReachesThePlanner() {
+    const std::string objects = kMinimalSettings + "  protocol: objects\n";
     const std::string off = "mechanisms: {least_role_share: off}";
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, changesPlannedBy(load(objects)));
-    CPPUNIT_ASSERT(changesPlannedBy(load(objects + off)) > 0);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, plannedRoleChanges(load(objects)));
+    CPPUNIT_ASSERT(plannedRoleChanges(load(objects + off)) > 0);
   }
 
-  void flagsGoOverTheFile() {
+  void flagsOverrideTheFile() {
     SourceValues flags;
     flags["node.zone"] = {{{"mangalia"}, false}, "--node_zone"};
-    const SourceValues file = readSettingsText(kLeast, "node.yaml");
+    const SourceValues file = readSettingsText(kMinimalSettings, "node.yaml");
     CPPUNIT_ASSERT_EQUAL(std::string("mangalia"), makeSettings(merged(file, flags)).zone);
     flags["node.zone"].value.items = {"a b"};
     try {
       makeSettings(merged(file, flags));
-      CPPUNIT_FAIL("a wrong flag was taken");
+      CPPUNIT_FAIL("an invalid flag was accepted");
     } catch (const SettingsError& error) {
       CPPUNIT_ASSERT(std::string(error.what()).starts_with("--node_zone: node.zone:"));
     }
   }
 
-  void defaultsReadBack() {
+  void defaultsRoundTrip() {
     const SourceValues defaults = readSettingsText(defaultSettingsText(), "defaults");
-    const SourceValues least = readSettingsText(kLeast, "node.yaml");
+    const SourceValues least = readSettingsText(kMinimalSettings, "node.yaml");
     const DaemonSettings settings = makeSettings(merged(defaults, least));
     CPPUNIT_ASSERT(settings.node.lease.renew_interval == lease::LeaseSettings().renew_interval);
     for (const SettingKey& key : settingKeys()) {
@@ -237,7 +249,7 @@
     }
   }
 
-  void pageListsEveryKey() {
+  void settingsPageListsEveryKey() {
     std::ifstream file(CYPRESSWALL_SOURCE_DIR "/docs/settings.md");
     std::ostringstream page;
     page << file.rdbuf();
@@ -247,11 +259,11 @@
     }
   }
 
-  void anyTextIsReadOrRefused() {
+  void arbitraryTextIsReadOrRejected() {
     testing::requireProperty("no settings text crashes the loader", 1000,
                              [](const std::string& text, bool after) {
                                try {
-                                 load(after ? kLeast + text : text);
+                                 load(after ? kMinimalSettings + text : text);
                                } catch (const SettingsError& error) {
                                  RC_ASSERT(!std::string(error.what()).empty());
                                }
@@ -259,9 +271,9 @@
   }
 
  private:
-  /// \return changes of role while prompts ask for more than all engines, 3 of 10 of which are left
-  ///   for output
-  static std::size_t changesPlannedBy(const DaemonSettings& settings) {
+  /// \return number of role changes planned while prefill demand exceeds the capacity of all 10
+  ///   engines and 3 of these are in the decode role
+  static std::size_t plannedRoleChanges(const DaemonSettings& settings) {
     using engines::EngineRole;
     planning::PlanningInput input =
         testing::plannedZone({}, {{EngineRole::kPrefill, 7}, {EngineRole::kDecode, 3}});
