--- a/src/cypresswall/surroundings/gateway_context.h
+++ b/src/cypresswall/surroundings/gateway_context.h
@@ -1,4 +1,4 @@
-/// What a gateway needs of a daemon's node and process.
+/// Builds the context of a gateway from a daemon's process and node.
 #pragma once
 
 #include "cypresswall/api/process_context.h"
@@ -7,7 +7,7 @@
 
 namespace cypresswall::surroundings {
 
-/// \return the context of a gateway before `node`; both must outlive it.
+/// \return the context of a gateway in front of `node`; `process` and `node` must outlive it.
 gateway::GatewayContext gatewayContext(const api::ProcessContext& process, node::Node& node);
 
 }  // namespace cypresswall::surroundings
--- a/src/cypresswall/surroundings/http_platform_adapter.h
+++ b/src/cypresswall/surroundings/http_platform_adapter.h
@@ -1,5 +1,5 @@
-/// The surroundings that speak the project's own protocols (docs/protocols.md), with the gateway
-/// for callers.
+/// The platform adapter for this project's own protocols (docs/protocols.md), with the HTTP gateway
+/// as its frontend.
 #pragma once
 
 #include <memory>
--- a/src/cypresswall/surroundings/platform_adapter.h
+++ b/src/cypresswall/surroundings/platform_adapter.h
@@ -1,6 +1,6 @@
-/// What a daemon has around it: the clients of the platform, of engines and of services on one
-/// side, and what answers callers on the other. One implementation for each protocol that a
-/// platform may speak; the daemon is the same with all of them.
+/// Adapter between the daemon and a platform: the clients of the platform, engines and services,
+/// and the frontend that serves callers. There is one implementation for each platform protocol;
+/// the rest of the daemon is independent of it.
 #pragma once
 
 #include <cstddef>
@@ -17,38 +17,38 @@
 
 namespace cypresswall::surroundings {
 
-/// What surroundings are built from; everything referred to outlives them.
+/// Inputs of a platform adapter; all referenced objects must outlive it.
 struct PlatformAdapterContext {
   const settings::DaemonSettings& settings;
   api::ProcessContext process;
   runtime::CurlMulti& curl;
 };
 
-/// Answers callers. Outlives the HTTP server that calls it; the node outlives it.
+/// Serves callers. Must outlive the HTTP server that calls it, and must not outlive the node.
 class Frontend {
  public:
   virtual ~Frontend() = default;
 
-  /// Takes all paths of `routes` that nobody else takes.
+  /// Registers handlers for all paths of `routes` without another handler.
   virtual void mount(gateway::HttpRoutes& routes) = 0;
-  /// \return the header of answers by which the HTTP server refuses requests by itself.
+  /// \return the headers of responses with which the HTTP server itself rejects requests.
   virtual std::vector<http::Header> rejectionHeaders() const = 0;
-  /// Takes note of a request that the HTTP server refused by itself.
+  /// Records a request that the HTTP server itself rejected.
   virtual void reportRejection(const http::Rejection& rejection) = 0;
-  /// \return number of requests under way.
+  /// \return the number of requests in flight.
   virtual std::size_t openRequests() const = 0;
 };
 
-/// Outlives the node.
+/// Must outlive the node.
 class PlatformAdapter {
  public:
   virtual ~PlatformAdapter() = default;
 
-  /// \return the clients for the node, valid as long as this.
+  /// \return the node's clients, valid as long as this object.
   virtual node::NodeClients clients() = 0;
-  /// Makes what answers callers with the node that was built from clients().
+  /// Creates the frontend for the node that was built with clients().
   virtual std::unique_ptr<Frontend> makeFrontend(node::Node& node) = 0;
-  /// Begins to follow the platform. Called once, after makeFrontend().
+  /// Starts following the platform's state. Called once, after makeFrontend().
   virtual void start() = 0;
 };
 
