--- a/tests/configuration/change_log_test.cpp
+++ b/tests/configuration/change_log_test.cpp
@@ -1,3 +1,5 @@
+/// A replica's log must not go back to an older snapshot or accept an altered change or one of a
+/// diverging history, and a corrupt stored text must not crash it.
 #include "cypresswall/configuration/change_log.h"
 
 #include "cypresswall/configuration/change_encoding.h"
--- a/tests/configuration/change_test.cpp
+++ b/tests/configuration/change_test.cpp
@@ -1,3 +1,5 @@
+/// Invalid fleet files and changes (unknown fields, dangling references, duplicate addresses,
+/// out-of-range values) must be rejected with the location of the error and must not crash.
 #include "cypresswall/configuration/change.h"
 
 #include "cypresswall/configuration/duration_text.h"
--- a/tests/configuration/replica_test.cpp
+++ b/tests/configuration/replica_test.cpp
@@ -1,3 +1,5 @@
+/// An accepted change must not be lost or reverted by a store outage, a lost answer, a restored
+/// store, a partition or a replaced node, and must reach every zone in time.
 #include "tests/configuration/replica_fleet.h"
 #include "tests/support/property.h"
 
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,3 +1,5 @@
+/// Invalid settings must be reported with file, line and key instead of crashing the daemon or
+/// being ignored, and docs/settings.md must match the key table.
 #include <fstream>
 #include <functional>
 #include <map>
