--- a/src/cypresswall/membership/machine_registry.cpp
+++ b/src/cypresswall/membership/machine_registry.cpp
@@ -45,7 +45,7 @@
 
 void MachineRegistry::poll() {
   context_.scheduler.schedule(settings_.machine_poll_interval, [this] { poll(); });
-  const auto rank = list_.costsNothing() ? 0 : static_cast<std::int64_t>(zone_peers_.rank());
+  const auto rank = list_.isLocal() ? 0 : static_cast<std::int64_t>(zone_peers_.rank());
   const auto now = context_.clock.now();
   const bool stale = now - last_fresh_read_ >= settings_.machine_read_timeout * rank;
   const bool due = now - last_poll_ >= settings_.machine_poll_interval * rank;
@@ -74,7 +74,7 @@
   }
   const MachinesUpdate update{version_, version_ + 1, changes};
   apply(update.version, update.machines);
-  if (list_.costsNothing()) {
+  if (list_.isLocal()) {
     return;
   }
   for (const auto& peer : zone_peers_.peers()) {
@@ -82,7 +82,7 @@
   }
 }
 
-std::uint64_t MachineRegistry::version() const { return list_.costsNothing() ? 0 : version_; }
+std::uint64_t MachineRegistry::version() const { return list_.isLocal() ? 0 : version_; }
 
 std::vector<MachineEntry> MachineRegistry::changesFrom(
     const std::vector<object_store::Machine>& machines) const {
--- a/src/cypresswall/object_store/machine_list.h
+++ b/src/cypresswall/object_store/machine_list.h
@@ -32,7 +32,7 @@
   /// returns.
   virtual void fetch(const common::ZoneName& zone, MachineListCallback callback) = 0;
   /// \return true if the list is at hand on each node, so that reading it calls nobody.
-  virtual bool costsNothing() const { return false; }
+  virtual bool isLocal() const { return false; }
 };
 
 }  // namespace cypresswall::object_store
--- a/tests/membership/large_zone_test.cpp
+++ b/tests/membership/large_zone_test.cpp
@@ -25,7 +25,7 @@
 class EmptyMachineList final : public object_store::MachineList {
  public:
   void fetch(const common::ZoneName&, object_store::MachineListCallback) override {}
-  bool costsNothing() const override { return true; }
+  bool isLocal() const override { return true; }
 };
 
 class LargeZone {
