--- a/src/cypresswall/store_relay/change_packer.cpp
+++ b/src/cypresswall/store_relay/change_packer.cpp
@@ -76,7 +76,7 @@
   return change;
 }
 
-StoreChange ChangePacker::packGone(const std::string& name, std::uint64_t revision) {
+StoreChange ChangePacker::packRemoval(const std::string& name, std::uint64_t revision) {
   large_.erase(name);
   small_.erase(name);
   return StoreChange{name, revision, true, ""};
--- a/src/cypresswall/store_relay/change_packer.h
+++ b/src/cypresswall/store_relay/change_packer.h
@@ -35,7 +35,7 @@
   void note(const std::string& name, std::uint64_t revision, const Json& content);
   /// Packs an object that was put, and notes its content.
   StoreChange packPut(const std::string& name, std::uint64_t revision, const Json& content);
-  StoreChange packGone(const std::string& name, std::uint64_t revision);
+  StoreChange packRemoval(const std::string& name, std::uint64_t revision);
   /// \return every object held, packed without a base
   std::vector<StoreChange> packAll() const;
   /// \return false if the change builds on a version that is not held here, and neither is a later
