--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -166,7 +166,7 @@
   bool asking() const override { return true; }
   void askStore() override {}
   std::vector<store_relay::StoreChange> everything() const override { return {}; }
-  bool takeChanges(const std::vector<store_relay::StoreChange>&, std::uint64_t) override {
+  bool applyPeerChanges(const std::vector<store_relay::StoreChange>&, std::uint64_t) override {
     return true;
   }
 };
--- a/src/cypresswall/store_relay/store_copy.h
+++ b/src/cypresswall/store_relay/store_copy.h
@@ -22,7 +22,8 @@
   virtual std::vector<StoreChange> everything() const = 0;
   /// Takes what a peer read: all changes after revision() up to `revision`.
   /// \return false if nothing was taken: a change builds on a version that is not held here
-  virtual bool takeChanges(const std::vector<StoreChange>& changes, std::uint64_t revision) = 0;
+  virtual bool applyPeerChanges(const std::vector<StoreChange>& changes,
+                                std::uint64_t revision) = 0;
 };
 
 }  // namespace cypresswall::store_relay
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -285,7 +285,7 @@
 bool StoreRelay::take(Followed& followed, std::vector<StoreChange> changes,
                       std::uint64_t revision) {
   const bool first = followed.copy.revision() == 0;
-  if (!followed.copy.takeChanges(changes, revision)) {
+  if (!followed.copy.applyPeerChanges(changes, revision)) {
     return false;
   }
   if (first) {
--- a/tests/objects_platform/relayed_watch_test.cpp
+++ b/tests/objects_platform/relayed_watch_test.cpp
@@ -73,7 +73,7 @@
 
   void unreadableContentIsNoRunner() {
     begin();
-    other_->watch.takeChanges({{"i-2", 8, false, "{"}, {"i-3", 9, false, kRunner}}, 9);
+    other_->watch.applyPeerChanges({{"i-2", 8, false, "{"}, {"i-3", 9, false, kRunner}}, 9);
     CPPUNIT_ASSERT(other_->runners.findById("i-2") == nullptr);
     CPPUNIT_ASSERT(other_->runners.findById("i-3") != nullptr);
   }
@@ -106,21 +106,21 @@
     const auto version = [](int number) {
       return wire::Json{{"version", number}, {"filler", std::string(5000, 'x')}};
     };
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 9, version(1))}, 9));
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 11, version(2))}, 11));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 9, version(1))}, 9));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 11, version(2))}, 11));
     other_->store.answer(200, eventsJson(9, {{objectJson("main", 9, version(1).dump()), false}}));
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 13, version(3))}, 13));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 13, version(3))}, 13));
   }
 
   void aDifferenceThatCannotBeAppliedIsNotTaken() {
     begin();
     store_relay::ChangePacker peer;
     const wire::Json content = {{"filler", std::string(5000, 'x')}};
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 9, content)}, 9));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 9, content)}, 9));
     store_relay::StoreChange broken{"main", 11, false, "?"};
     broken.encoding = store_relay::ContentEncoding::kPackedDifference;
     broken.base_revision = 9;
-    CPPUNIT_ASSERT(!other_->watch.takeChanges({broken}, 11));
+    CPPUNIT_ASSERT(!other_->watch.applyPeerChanges({broken}, 11));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other_->watch.revision());
   }
 
--- a/tests/store_relay/relay_zone.h
+++ b/tests/store_relay/relay_zone.h
@@ -83,7 +83,7 @@
     }
     return all;
   }
-  bool takeChanges(const std::vector<StoreChange>& changes, std::uint64_t revision) override {
+  bool applyPeerChanges(const std::vector<StoreChange>& changes, std::uint64_t revision) override {
     if (revision < revision_) {
       return true;
     }
@@ -146,7 +146,7 @@
       const auto changes = store_.since(revision_);
       if (!silent && (!changes.empty() || left <= kStep)) {
         const std::uint64_t at = store_.revision();
-        takeChanges(changes, at);
+        applyPeerChanges(changes, at);
         relay_.read(kTopic, changes, at);
         follow();
       } else if (left <= kStep) {
