--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -164,7 +164,7 @@
  public:
   std::uint64_t revision() const override { return 1; }
   bool asking() const override { return true; }
-  void askStore() override {}
+  void fetchFromStore() override {}
   std::vector<store_relay::StoreChange> everything() const override { return {}; }
   bool applyPeerChanges(const std::vector<store_relay::StoreChange>&, std::uint64_t) override {
     return true;
--- a/src/cypresswall/store_relay/store_copy.h
+++ b/src/cypresswall/store_relay/store_copy.h
@@ -17,7 +17,7 @@
   virtual bool asking() const = 0;
   /// Asks the store at once for what changed, in place of a call that waits there; for everything
   /// if nothing is known yet.
-  virtual void askStore() = 0;
+  virtual void fetchFromStore() = 0;
   /// \return all objects as of revision(), for a node that has none
   virtual std::vector<StoreChange> everything() const = 0;
   /// Takes what a peer read: all changes after revision() up to `revision`.
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -82,7 +82,7 @@
   followed.begun_time = since;
   const auto source = copySource(topic);
   if (reader(topic) || !source || now - since >= settings_.copy_patience) {
-    followed.copy.askStore();
+    followed.copy.fetchFromStore();
   } else if (first) {
     pull(topic, *source);
   }
@@ -118,7 +118,7 @@
   const bool relying = !reads && hearsReaders(followed);
   noteReliance(topic, followed, relying, reads);
   if (!relying && !followed.copy.asking()) {
-    followed.copy.askStore();
+    followed.copy.fetchFromStore();
   }
 }
 
@@ -323,7 +323,7 @@
     unanswered_pulls_.add();
   } else if (behind(followed)) {
     unanswered_pulls_.add();
-    askStore(followed);
+    fetchFromStore(followed);
   }
 }
 
@@ -373,17 +373,17 @@
     pull(static_cast<Topic>(reply.topic), sender);
   } else {
     unavailable_.add();
-    askStore(*followed);
+    fetchFromStore(*followed);
   }
 }
 
-void StoreRelay::askStore(Followed& followed) {
+void StoreRelay::fetchFromStore(Followed& followed) {
   const common::Duration limit = settings_.store_patience + transferTime(followed);
   if (followed.copy.asking() && withinLimit(followed.asked_time, limit)) {
     return;
   }
   followed.asked_time = context_.clock.now();
-  followed.copy.askStore();
+  followed.copy.fetchFromStore();
 }
 
 std::optional<common::Duration> StoreRelay::outdatedFor(Topic topic) const {
--- a/src/cypresswall/store_relay/store_relay.h
+++ b/src/cypresswall/store_relay/store_relay.h
@@ -154,7 +154,7 @@
   /// \return what the bytes of the announced change may take over a busy link
   common::Duration transferTime(const Followed& followed) const;
   /// Asks the store for what is announced, unless such a call is under way.
-  void askStore(Followed& followed);
+  void fetchFromStore(Followed& followed);
   static bool behind(const Followed& followed) {
     return followed.copy.revision() < followed.announced;
   }
--- a/tests/objects_platform/relayed_watch_test.cpp
+++ b/tests/objects_platform/relayed_watch_test.cpp
@@ -101,7 +101,7 @@
   /// An own call may have been answered by the store before the change that a peer gave meanwhile.
   void anOlderAnswerOfTheStoreLeavesTheBaseOfDifferences() {
     begin();
-    other_->watch.askStore();
+    other_->watch.fetchFromStore();
     store_relay::ChangePacker peer;
     const auto version = [](int number) {
       return wire::Json{{"version", number}, {"filler", std::string(5000, 'x')}};
@@ -165,7 +165,7 @@
         {second_.process.id(), "", membership::MemberState::kAlive, ""}};
     for (RelayNode* const node : {&first_, &second_}) {
       node->membership.setMembers(members);
-      node->watch.askStore();
+      node->watch.fetchFromStore();
       node->store.answer(200, pageJson(7, {}));
       node->relay.start();
     }
--- a/tests/store_relay/relay_zone.h
+++ b/tests/store_relay/relay_zone.h
@@ -69,7 +69,7 @@
 
   std::uint64_t revision() const override { return revision_; }
   bool asking() const override { return asking_; }
-  void askStore() override {
+  void fetchFromStore() override {
     if (revision_ == 0) {
       list();
     } else {
