--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -165,7 +165,7 @@
   std::uint64_t revision() const override { return 1; }
   bool asking() const override { return true; }
   void fetchFromStore() override {}
-  std::vector<store_relay::StoreChange> everything() const override { return {}; }
+  std::vector<store_relay::StoreChange> allObjects() const override { return {}; }
   bool applyPeerChanges(const std::vector<store_relay::StoreChange>&, std::uint64_t) override {
     return true;
   }
--- a/src/cypresswall/store_relay/store_copy.h
+++ b/src/cypresswall/store_relay/store_copy.h
@@ -19,7 +19,7 @@
   /// if nothing is known yet.
   virtual void fetchFromStore() = 0;
   /// \return all objects as of revision(), for a node that has none
-  virtual std::vector<StoreChange> everything() const = 0;
+  virtual std::vector<StoreChange> allObjects() const = 0;
   /// Takes what a peer read: all changes after revision() up to `revision`.
   /// \return false if nothing was taken: a change builds on a version that is not held here
   virtual bool applyPeerChanges(const std::vector<StoreChange>& changes,
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -339,7 +339,7 @@
     reply.available = reply.revision != 0;
     if (reply.available) {
       copies_.add();
-      reply.changes = followed->copy.everything();
+      reply.changes = followed->copy.allObjects();
     }
     context_.sendTo(sender, reply);
     return;
--- a/tests/store_relay/relay_zone.h
+++ b/tests/store_relay/relay_zone.h
@@ -76,7 +76,7 @@
       ask(relay_.pollTime(kTopic).value_or(std::chrono::seconds(3)));
     }
   }
-  std::vector<StoreChange> everything() const override {
+  std::vector<StoreChange> allObjects() const override {
     std::vector<StoreChange> all;
     for (const auto& [name, content] : objects) {
       all.push_back({name, revision_, false, content});
