--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -163,7 +163,7 @@
 class QuietCopy final : public store_relay::StoreCopy {
  public:
   std::uint64_t revision() const override { return 1; }
-  bool asking() const override { return true; }
+  bool callPending() const override { return true; }
   void fetchFromStore() override {}
   std::vector<store_relay::StoreChange> allObjects() const override { return {}; }
   bool applyPeerChanges(const std::vector<store_relay::StoreChange>&, std::uint64_t) override {
--- a/src/cypresswall/store_relay/store_copy.h
+++ b/src/cypresswall/store_relay/store_copy.h
@@ -14,7 +14,7 @@
   /// \return revision up to which everything is known; zero before the first listing
   virtual std::uint64_t revision() const = 0;
   /// \return true while a call to the store is under way or will follow by itself
-  virtual bool asking() const = 0;
+  virtual bool callPending() const = 0;
   /// Asks the store at once for what changed, in place of a call that waits there; for everything
   /// if nothing is known yet.
   virtual void fetchFromStore() = 0;
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -73,7 +73,7 @@
 }
 
 void StoreRelay::beginCopy(Topic topic, Followed& followed) {
-  if (followed.copy.asking() || membership_.joining()) {
+  if (followed.copy.callPending() || membership_.joining()) {
     return;
   }
   const auto now = context_.clock.now();
@@ -117,7 +117,7 @@
   }
   const bool relying = !reads && hearsReaders(followed);
   noteReliance(topic, followed, relying, reads);
-  if (!relying && !followed.copy.asking()) {
+  if (!relying && !followed.copy.callPending()) {
     followed.copy.fetchFromStore();
   }
 }
@@ -247,7 +247,7 @@
   const auto known_topic = static_cast<Topic>(announcement.topic);
   if (followed->copy.revision() == 0) {
     followed->announced = std::max(followed->announced, announcement.changed);
-    if (followed->pull_timer == 0 && !followed->copy.asking()) {
+    if (followed->pull_timer == 0 && !followed->copy.callPending()) {
       pull(known_topic, sender);
     }
     return;
@@ -274,7 +274,7 @@
     return;
   }
   const auto topic = static_cast<Topic>(announcement.topic);
-  if (!followed->copy.asking()) {
+  if (!followed->copy.callPending()) {
     pull(topic, sender);
     return;
   }
@@ -379,7 +379,7 @@
 
 void StoreRelay::fetchFromStore(Followed& followed) {
   const common::Duration limit = settings_.store_patience + transferTime(followed);
-  if (followed.copy.asking() && withinLimit(followed.asked_time, limit)) {
+  if (followed.copy.callPending() && withinLimit(followed.asked_time, limit)) {
     return;
   }
   followed.asked_time = context_.clock.now();
--- a/tests/objects_platform/relayed_watch_test.cpp
+++ b/tests/objects_platform/relayed_watch_test.cpp
@@ -175,7 +175,7 @@
     other_ = first_reads ? &second_ : &first_;
     simulation_.time().runFor(milliseconds(400));
     other_->store.answer(200, eventsJson(7, {}));
-    CPPUNIT_ASSERT(!other_->watch.asking());
+    CPPUNIT_ASSERT(!other_->watch.callPending());
   }
 
   common::SeededRandom random_{7};
--- a/tests/store_relay/relay_zone.h
+++ b/tests/store_relay/relay_zone.h
@@ -68,7 +68,7 @@
       : store_(store), process_(process), relay_(relay) {}
 
   std::uint64_t revision() const override { return revision_; }
-  bool asking() const override { return asking_; }
+  bool callPending() const override { return asking_; }
   void fetchFromStore() override {
     if (revision_ == 0) {
       list();
