--- a/src/cypresswall/idempotency/claim_table.cpp
+++ b/src/cypresswall/idempotency/claim_table.cpp
@@ -141,7 +141,7 @@
 void ClaimTable::claim(const ClaimRequest& request, const ClaimAnswered& answered) {
   ClaimReply reply;
   reply.claim = request.claim;
-  if (!mayJudge(request)) {
+  if (!mayDecide(request)) {
     answered(reply);
     return;
   }
@@ -165,7 +165,7 @@
 
 /// A holder that knows an older set of zones than the claimer, or than an earlier holder, must not
 /// judge: the key may belong to another zone meanwhile.
-bool ClaimTable::mayJudge(const ClaimRequest& request) const {
+bool ClaimTable::mayDecide(const ClaimRequest& request) const {
   if (!authority_.heldEpoch()) {
     return false;
   }
@@ -230,7 +230,7 @@
   return reply;
 }
 
-void ClaimTable::report(const ClaimReport& report, const ReportTaken& taken) {
+void ClaimTable::report(const ClaimReport& report, const ReportStored& stored) {
   if (!authority_.heldEpoch()) {
     return;
   }
@@ -242,15 +242,16 @@
   const bool open = known && entry->second.record.state == ClaimState::kInProgress;
   const bool lost = entry == entries_.end() && report.completed;
   if (!open && !lost) {
-    taken();
+    stored();
     return;
   }
   const auto state = report.completed ? ClaimState::kCompleted : ClaimState::kReleased;
   put(report.key,
-      ClaimRecord{state, report.digest, report.claim, keepable(report.answer), report.zone}, taken);
+      ClaimRecord{state, report.digest, report.claim, storableAnswer(report.answer), report.zone},
+      stored);
 }
 
-std::string ClaimTable::keepable(const std::string& answer) const {
+std::string ClaimTable::storableAnswer(const std::string& answer) const {
   const bool fits = answer.size() <= settings_.maximum_answer_bytes &&
                     answer_bytes_ + answer.size() <= settings_.maximum_total_answer_bytes;
   if (!fits) {
--- a/src/cypresswall/idempotency/claim_table.h
+++ b/src/cypresswall/idempotency/claim_table.h
@@ -40,7 +40,7 @@
 class ClaimTable {
  public:
   using ClaimAnswered = std::function<void(const ClaimReply&)>;
-  using ReportTaken = std::function<void()>;
+  using ReportStored = std::function<void()>;
 
   ClaimTable(const ClaimSettings& settings, const api::ProcessContext& context,
              lease::AuthorityView& authority, lease::QuorumLog& log,
@@ -49,8 +49,8 @@
   void start();
   /// Judges a claim. `answered` may be called later, or never if the lease is lost meanwhile.
   void claim(const ClaimRequest& request, const ClaimAnswered& answered);
-  /// Takes a report. `taken` is called once a majority of the voters keeps it.
-  void report(const ClaimReport& report, const ReportTaken& taken);
+  /// Takes a report. `stored` is called once a majority of the voters keeps it.
+  void report(const ClaimReport& report, const ReportStored& stored);
 
  private:
   struct Entry {
@@ -65,13 +65,13 @@
   void sweep();
   void settleOwnership();
   common::MonotonicTime ownershipSettlesAt() const;
-  bool mayJudge(const ClaimRequest& request) const;
+  bool mayDecide(const ClaimRequest& request) const;
   void grantNew(const ClaimRequest& request, const ClaimAnswered& answered);
   ClaimReply judge(const ClaimRequest& request, const Entry& entry) const;
   void put(const std::string& key, ClaimRecord record, std::function<void()> committed);
   void forget(const std::string& key);
   bool claimerMayReport(const ClaimRecord& record) const;
-  std::string keepable(const std::string& answer) const;
+  std::string storableAnswer(const std::string& answer) const;
 
   ClaimSettings settings_;
   api::ProcessContext context_;
--- a/src/cypresswall/idempotency/quorum_key_claims.cpp
+++ b/src/cypresswall/idempotency/quorum_key_claims.cpp
@@ -42,7 +42,7 @@
                                              "Claims and reports sent again")),
       late_count_(context.counters.counter("cypresswall_claims_late_answers_total",
                                            "Answers to claims that were not waited for")),
-      passed_on_count_(context.counters.counter("cypresswall_claims_passed_on_total",
+      forwarded_count_(context.counters.counter("cypresswall_claims_passed_on_total",
                                                 "Claims and reports of other zones passed on to "
                                                 "the lease holder")),
       report_lost_count_(context.counters.counter("cypresswall_claim_reports_lost_total",
@@ -89,13 +89,13 @@
 /// \return true if this node does not hold the lease and the message, which came from another zone,
 ///   was left to the holder.
 template <typename Message>
-bool QuorumKeyClaims::passOn(const Message& message) {
+bool QuorumKeyClaims::forwardToHolder(const Message& message) {
   if (message.forwarded || message.zone == context_.zone || authority_.heldEpoch()) {
     return false;
   }
   const auto holder = authority_.believedHolder();
   if (!holder.empty() && holder != context_.self) {
-    passed_on_count_.add();
+    forwarded_count_.add();
     Message forwarded = message;
     forwarded.forwarded = true;
     context_.sendTo(holder, forwarded);
@@ -149,7 +149,7 @@
 }
 
 void QuorumKeyClaims::handle(const common::NodeId&, const ClaimRequest& request) {
-  if (passOn(request)) {
+  if (forwardToHolder(request)) {
     return;
   }
   table_.claim(request, [this, claimer = request.claim.node](const ClaimReply& reply) {
@@ -161,7 +161,7 @@
   const auto waiting = waiting_.find(reply.claim.number);
   if (reply.claim.node != context_.self || waiting == waiting_.end()) {
     late_count_.add();
-    giveBackAbandoned(reply);
+    releaseAbandoned(reply);
     return;
   }
   if (reply.verdict == HolderVerdict::kNotHolder) {
@@ -176,7 +176,7 @@
                      common::Duration(static_cast<std::int64_t>(reply.retry_after_us))});
 }
 
-void QuorumKeyClaims::giveBackAbandoned(const ClaimReply& reply) {
+void QuorumKeyClaims::releaseAbandoned(const ClaimReply& reply) {
   const auto abandoned = abandoned_.find(reply.claim.number);
   const bool granted = reply.verdict == HolderVerdict::kGranted;
   if (!granted || reply.claim.node != context_.self || abandoned == abandoned_.end()) {
@@ -235,7 +235,7 @@
 }
 
 void QuorumKeyClaims::handle(const common::NodeId&, const ClaimReport& report) {
-  if (passOn(report)) {
+  if (forwardToHolder(report)) {
     return;
   }
   table_.report(report,
--- a/src/cypresswall/idempotency/quorum_key_claims.h
+++ b/src/cypresswall/idempotency/quorum_key_claims.h
@@ -76,7 +76,7 @@
   template <typename Message>
   void sendToOwner(const common::ZoneName& owner, const Message& message, std::size_t attempt);
   template <typename Message>
-  bool passOn(const Message& message);
+  bool forwardToHolder(const Message& message);
   void handle(const common::NodeId& sender, const ClaimRequest& request);
   void handle(const common::NodeId& sender, const ClaimReply& reply);
   void handle(const common::NodeId& sender, const ClaimReport& report);
@@ -87,7 +87,7 @@
   void rememberAbandoned(Abandoned abandoned);
   void finish(std::uint64_t number, ClaimAnswer answer);
   void end(const std::string& key, bool completed, std::string answer);
-  void giveBackAbandoned(const ClaimReply& reply);
+  void releaseAbandoned(const ClaimReply& reply);
 
   ClaimSettings settings_;
   api::ProcessContext context_;
@@ -103,7 +103,7 @@
   common::Counter& unavailable_count_;
   common::Counter& resent_count_;
   common::Counter& late_count_;
-  common::Counter& passed_on_count_;
+  common::Counter& forwarded_count_;
   common::Counter& report_lost_count_;
 };
 
--- a/src/cypresswall/lease/generation_keeper.cpp
+++ b/src/cypresswall/lease/generation_manager.cpp
@@ -1,4 +1,4 @@
-#include "cypresswall/lease/generation_keeper.h"
+#include "cypresswall/lease/generation_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -19,18 +19,18 @@
 
 }  // namespace
 
-GenerationKeeper::GenerationKeeper(const LeaseSettings& settings,
-                                   const api::ProcessContext& context,
-                                   membership::MembershipView& membership,
-                                   object_store::ObjectStore& store, Authority authority)
+GenerationManager::GenerationManager(const LeaseSettings& settings,
+                                     const api::ProcessContext& context,
+                                     membership::MembershipView& membership,
+                                     object_store::ObjectStore& store, Authority authority)
     : settings_(settings),
       context_(context),
       membership_(membership),
       store_(store),
       authority_(std::move(authority)),
       start_time_(context.clock.now()),
-      next_look_(context.clock.now()),
-      next_noting_(context.clock.now()),
+      next_store_check_(context.clock.now()),
+      next_recording_(context.clock.now()),
       conflict_count_(context.counters.counter("cypresswall_authority_conflicts_total",
                                                "Writes of the zone's authority that lost a race")),
       unavailable_count_(
@@ -42,14 +42,14 @@
       generation_count_(context.counters.counter("cypresswall_authority_generations_total",
                                                  "Generations of voters begun by this node")) {}
 
-void GenerationKeeper::withHolder() { holderless_since_.reset(); }
+void GenerationManager::onHolderKnown() { no_holder_since_.reset(); }
 
-void GenerationKeeper::withoutHolder() {
+void GenerationManager::onHolderMissing() {
   const auto now = context_.clock.now();
-  if (!holderless_since_) {
-    holderless_since_ = now;
+  if (!no_holder_since_) {
+    no_holder_since_ = now;
   }
-  if (busy_ || now < next_look_) {
+  if (busy_ || now < next_store_check_) {
     return;
   }
   const auto& members = membership_.members();
@@ -57,23 +57,23 @@
   while (rank < members.size() && members[rank].node != context_.self) {
     ++rank;
   }
-  next_look_ = now + settings_.store_interval * static_cast<std::int64_t>(1 + rank);
-  askPeers();
-  const bool long_holderless = now - *holderless_since_ >= settings_.takeover_after;
-  if (authority_.newest_set().known() && !long_holderless) {
+  next_store_check_ = now + settings_.store_interval * static_cast<std::int64_t>(1 + rank);
+  requestVoterSets();
+  const bool takeover_due = now - *no_holder_since_ >= settings_.takeover_after;
+  if (authority_.newest_set().known() && !takeover_due) {
     return;
   }
   busy_ = true;
   read([this](const Stored& stored) { consider(stored); });
 }
 
-void GenerationKeeper::askPeers() {
+void GenerationManager::requestVoterSets() {
   for (const auto& member : membership_.members()) {
     authority_.ask_set(member.node, VoterSetRequest{authority_.newest_set().version});
   }
 }
 
-void GenerationKeeper::read(std::function<void(const Stored&)> use) {
+void GenerationManager::read(std::function<void(const Stored&)> use) {
   store_.get(authorityKey(context_.zone), [this, use = std::move(use)](const StoredResult& result) {
     busy_ = false;
     if (result.ok()) {
@@ -93,7 +93,7 @@
   });
 }
 
-void GenerationKeeper::consider(const Stored& stored) {
+void GenerationManager::consider(const Stored& stored) {
   const VoterSet& newest = authority_.newest_set();
   if (!stored.record) {
     if (!newest.known()) {
@@ -108,42 +108,41 @@
   considerTakeover(stored);
 }
 
-void GenerationKeeper::createFirst() {
+void GenerationManager::createFirst() {
   if (context_.clock.now() - start_time_ >= settings_.settle_time) {
     begin(0, 1);
   }
 }
 
-bool GenerationKeeper::outForGood(const common::NodeId& voter,
+bool GenerationManager::isRetired(const common::NodeId& voter,
                                   std::uint32_t next_generation) const {
   const auto sealed = sealed_before_.find(voter);
   const bool stays_out = sealed != sealed_before_.end() && sealed->second >= next_generation;
   return stays_out || membership_.confirmedDead(voter);
 }
 
-bool GenerationKeeper::quorumLost(const VoterSet& set) const {
+bool GenerationManager::quorumLost(const VoterSet& set) const {
   NodeSet perhaps_alive;
   for (const auto& node : set.members) {
-    if (!outForGood(node, set.version.generation + 1)) {
+    if (!isRetired(node, set.version.generation + 1)) {
       perhaps_alive.insert(node);
     }
   }
   return !set.hasQuorum(perhaps_alive);
 }
 
-void GenerationKeeper::considerTakeover(const Stored& stored) {
+void GenerationManager::considerTakeover(const Stored& stored) {
   const VoterSet& newest = authority_.newest_set();
   const auto now = context_.clock.now();
-  const bool long_holderless =
-      holderless_since_ && now - *holderless_since_ >= settings_.takeover_after;
-  if (!long_holderless || stored.record->generation != newest.version.generation ||
+  const bool takeover_due = no_holder_since_ && now - *no_holder_since_ >= settings_.takeover_after;
+  if (!takeover_due || stored.record->generation != newest.version.generation ||
       !quorumLost(newest)) {
     return;
   }
   const std::uint32_t next = stored.record->generation + 1;
   bool all_out = true;
   for (const auto& voter : stored.record->voters) {
-    const bool out = outForGood(voter, next);
+    const bool out = isRetired(voter, next);
     all_out = all_out && out;
     if (!out) {
       authority_.ask_seal(voter, SealRequest{next, newest.version});
@@ -154,21 +153,21 @@
   }
 }
 
-void GenerationKeeper::handle(const common::NodeId& sender, const SealReply& reply) {
+void GenerationManager::handle(const common::NodeId& sender, const SealReply& reply) {
   if (reply.newest_set.known()) {
     authority_.learn(reply.newest_set);
   }
   if (reply.sealed) {
-    noteSealed(sender, reply.generation);
+    recordSealed(sender, reply.generation);
   }
 }
 
-void GenerationKeeper::noteSealed(const common::NodeId& voter, std::uint32_t generation) {
+void GenerationManager::recordSealed(const common::NodeId& voter, std::uint32_t generation) {
   auto& known = sealed_before_[voter];
   known = std::max(known, generation);
 }
 
-void GenerationKeeper::begin(std::uint64_t expected_version, std::uint32_t generation) {
+void GenerationManager::begin(std::uint64_t expected_version, std::uint32_t generation) {
   const AuthorityRecord record{generation,
                                chooseVoters(membership_.members(), settings_.maximum_voters)};
   if (record.voters.empty()) {
@@ -185,12 +184,12 @@
         .field("zone", context_.zone)
         .field("generation", record.generation)
         .field("voters", record.voters.size());
-    authority_.spread(record.firstSet());
+    authority_.broadcast(record.firstSet());
   });
 }
 
-void GenerationKeeper::write(std::uint64_t expected_version, const AuthorityRecord& record,
-                             const std::function<void(bool)>& done) {
+void GenerationManager::write(std::uint64_t expected_version, const AuthorityRecord& record,
+                              const std::function<void(bool)>& done) {
   const std::string change_id = context_.self.toString() + "/" + std::to_string(++change_count_);
   object_store::ObjectWrite write{authorityKey(context_.zone), expected_version,
                                   encodeAuthorityRecord(record), change_id};
@@ -199,7 +198,7 @@
       done(true);
     } else if (result.failure().kind == StoreFailure::kUnknownOutcome) {
       lost_answer_count_.add();
-      settle(expected_version, record, change_id, done);
+      resolveOutcome(expected_version, record, change_id, done);
     } else {
       const bool conflict = result.failure().kind == StoreFailure::kConflict;
       (conflict ? conflict_count_ : unavailable_count_).add();
@@ -208,14 +207,16 @@
   });
 }
 
-void GenerationKeeper::settle(std::uint64_t expected_version, const AuthorityRecord& record,
-                              const std::string& change_id, const std::function<void(bool)>& done) {
+void GenerationManager::resolveOutcome(std::uint64_t expected_version,
+                                       const AuthorityRecord& record, const std::string& change_id,
+                                       const std::function<void(bool)>& done) {
   store_.get(authorityKey(context_.zone), [=, this](const StoredResult& result) {
     const bool missing = !result.ok() && result.failure().kind == StoreFailure::kNotFound;
     if (!result.ok() && !missing) {
       unavailable_count_.add();
-      context_.scheduler.schedule(settings_.store_interval,
-                                  [=, this] { settle(expected_version, record, change_id, done); });
+      context_.scheduler.schedule(settings_.store_interval, [=, this] {
+        resolveOutcome(expected_version, record, change_id, done);
+      });
       return;
     }
     const bool written = result.ok() && result.value().change_id == change_id;
@@ -223,38 +224,39 @@
   });
 }
 
-void GenerationKeeper::resetNoting() {
-  ++noting_round_;
-  noting_ = NotingState::kIdle;
+void GenerationManager::resetRecording() {
+  ++recording_round_;
+  recording_ = RecordingState::kIdle;
 }
 
-GenerationKeeper::NotingStep GenerationKeeper::noteVoters(const VoterSet& committed) {
-  const bool noted = committed.anchors == std::vector<NodeList>{committed.members};
-  NotingStep step;
+GenerationManager::RecordingStep GenerationManager::recordVoters(const VoterSet& committed) {
+  const bool recorded = committed.anchors == std::vector<NodeList>{committed.members};
+  RecordingStep step;
   // A read that failed gives no answer and is begun again.
-  const bool to_read = noting_ == NotingState::kIdle || noting_ == NotingState::kReading;
-  if (to_read && !noted && context_.clock.now() >= next_noting_) {
-    readForNoting();
-  } else if (noting_ == NotingState::kRead) {
-    noted_wanted_ = committed.members;
+  const bool to_read =
+      recording_ == RecordingState::kIdle || recording_ == RecordingState::kReading;
+  if (to_read && !recorded && context_.clock.now() >= next_recording_) {
+    readForRecording();
+  } else if (recording_ == RecordingState::kRead) {
+    wanted_voters_ = committed.members;
     std::vector<NodeList> anchors = committed.anchors;
-    addAnchor(anchors, noted_stored_);
-    addAnchor(anchors, noted_wanted_);
+    addAnchor(anchors, stored_voters_);
+    addAnchor(anchors, wanted_voters_);
     if (anchors != committed.anchors) {
       step.anchors = anchors;
       return step;
     }
-    noting_ = NotingState::kWriting;
-    const AuthorityRecord record{committed.version.generation, noted_wanted_};
-    write(noted_version_, record, [this, round = noting_round_](bool written) {
-      if (round == noting_round_) {
-        noting_ = written ? NotingState::kWritten : NotingState::kIdle;
+    recording_ = RecordingState::kWriting;
+    const AuthorityRecord record{committed.version.generation, wanted_voters_};
+    write(stored_version_, record, [this, round = recording_round_](bool written) {
+      if (round == recording_round_) {
+        recording_ = written ? RecordingState::kWritten : RecordingState::kIdle;
       }
     });
-  } else if (noting_ == NotingState::kWritten) {
-    const std::vector<NodeList> anchors = {noted_wanted_};
+  } else if (recording_ == RecordingState::kWritten) {
+    const std::vector<NodeList> anchors = {wanted_voters_};
     if (committed.anchors == anchors) {
-      noting_ = NotingState::kIdle;
+      recording_ = RecordingState::kIdle;
     } else {
       step.anchors = anchors;
     }
@@ -262,22 +264,22 @@
   return step;
 }
 
-void GenerationKeeper::readForNoting() {
-  noting_ = NotingState::kReading;
-  next_noting_ = context_.clock.now() + settings_.store_interval;
-  read([this, round = noting_round_](const Stored& stored) {
-    if (round != noting_round_ || noting_ != NotingState::kReading) {
+void GenerationManager::readForRecording() {
+  recording_ = RecordingState::kReading;
+  next_recording_ = context_.clock.now() + settings_.store_interval;
+  read([this, round = recording_round_](const Stored& stored) {
+    if (round != recording_round_ || recording_ != RecordingState::kReading) {
       return;
     }
-    noting_ = NotingState::kIdle;
+    recording_ = RecordingState::kIdle;
     const auto generation = stored.record ? stored.record->generation : 0;
     if (generation > authority_.newest_set().version.generation) {
       authority_.learn(stored.record->firstSet());
       return;
     }
-    noted_version_ = stored.version;
-    noted_stored_ = stored.record ? stored.record->voters : NodeList{};
-    noting_ = NotingState::kRead;
+    stored_version_ = stored.version;
+    stored_voters_ = stored.record ? stored.record->voters : NodeList{};
+    recording_ = RecordingState::kRead;
   });
 }
 
--- a/src/cypresswall/lease/messages.h
+++ b/src/cypresswall/lease/messages.h
@@ -51,8 +51,8 @@
   /// The newest set that the voter knows, if it refused for a set.
   std::vector<VoterSet> newer_set;
   /// Changes each time the voter forgets its records.
-  std::uint32_t records_life = 0;
-  MSGPACK_DEFINE(request, verdict, promised, newer_set, records_life)
+  std::uint32_t records_incarnation = 0;
+  MSGPACK_DEFINE(request, verdict, promised, newer_set, records_incarnation)
 };
 
 /// The sender's grants under this epoch are given back.
@@ -86,8 +86,8 @@
   bool accepted = false;
   bool finished = false;
   std::vector<Record> records;
-  std::uint32_t records_life = 0;
-  MSGPACK_DEFINE(request, accepted, finished, records, records_life)
+  std::uint32_t records_incarnation = 0;
+  MSGPACK_DEFINE(request, accepted, finished, records, records_incarnation)
 };
 
 struct ReplicateRequest {
@@ -102,8 +102,8 @@
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 7);
   std::uint64_t request = 0;
   bool accepted = false;
-  std::uint32_t records_life = 0;
-  MSGPACK_DEFINE(request, accepted, records_life)
+  std::uint32_t records_incarnation = 0;
+  MSGPACK_DEFINE(request, accepted, records_incarnation)
 };
 
 struct VoterSetRequest {
--- a/src/cypresswall/lease/replicator.cpp
+++ b/src/cypresswall/lease/replicator.cpp
@@ -44,10 +44,11 @@
   std::erase_if(batches_, [&](const auto& entry) { return !nodes.contains(entry.second.node); });
 }
 
-bool Replicator::checkLife(const common::NodeId& node, std::uint32_t records_life) {
+bool Replicator::checkRecordsIncarnation(const common::NodeId& node,
+                                         std::uint32_t records_incarnation) {
   const auto follower = followers_.find(node);
   if (follower == followers_.end() || !follower->second.known ||
-      follower->second.records_life == records_life) {
+      follower->second.records_incarnation == records_incarnation) {
     return false;
   }
   follower->second = Follower{};
@@ -72,12 +73,12 @@
     return;
   }
   Follower& follower = found->second;
-  if (!follower.content.empty() && follower.records_life != reply.records_life) {
+  if (!follower.content.empty() && follower.records_incarnation != reply.records_incarnation) {
     follower.content.clear();
     fetch(sender, follower, RecordKey{});
     return;
   }
-  follower.records_life = reply.records_life;
+  follower.records_incarnation = reply.records_incarnation;
   for (const auto& record : reply.records) {
     follower.content[record.key] = record.version;
     auto& held = records_[record.key];
@@ -97,7 +98,7 @@
 void Replicator::fetchFinished(const common::NodeId& node, Follower& follower) {
   follower.known = true;
   if (recovered_) {
-    compare(node, follower);
+    sendDifferences(node, follower);
   } else {
     tryRecovery();
   }
@@ -110,14 +111,14 @@
       collected.insert(node);
     }
   }
-  if (!lease_.survives(collected)) {
+  if (!lease_.isDurableOn(collected)) {
     return;
   }
   recovered_ = true;
   adoptRecords(collected);
   for (auto& [node, follower] : followers_) {
     if (follower.known) {
-      compare(node, follower);
+      sendDifferences(node, follower);
     }
   }
 }
@@ -141,7 +142,7 @@
   }
 }
 
-void Replicator::compare(const common::NodeId& node, Follower& follower) {
+void Replicator::sendDifferences(const common::NodeId& node, Follower& follower) {
   for (const auto& [key, record] : records_) {
     const auto held = follower.content.find(key);
     if (held == follower.content.end() || held->second != record.version) {
@@ -248,7 +249,7 @@
     lease_.superseded();
     return;
   }
-  if (checkLife(sender, reply.records_life)) {
+  if (checkRecordsIncarnation(sender, reply.records_incarnation)) {
     return;
   }
   for (const auto& [key, version] : batch.mapped().records) {
@@ -284,7 +285,7 @@
 void Replicator::checkCommitted() {
   std::vector<QuorumLog::Committed> callbacks;
   for (auto it = pending_.begin(); it != pending_.end();) {
-    if (!lease_.survives(it->second.acknowledged)) {
+    if (!lease_.isDurableOn(it->second.acknowledged)) {
       ++it;
       continue;
     }
--- a/src/cypresswall/lease/replicator.h
+++ b/src/cypresswall/lease/replicator.h
@@ -24,7 +24,7 @@
     std::function<void(const common::NodeId&, const FetchRequest&)> send_fetch;
     std::function<void(const common::NodeId&, const ReplicateRequest&)> send_records;
     /// \return true if records kept by `nodes` survive: a majority of each voter set in use.
-    std::function<bool(const NodeSet& nodes)> survives;
+    std::function<bool(const NodeSet& nodes)> isDurableOn;
     /// A voter obeys a higher epoch.
     std::function<void()> superseded;
   };
@@ -41,7 +41,7 @@
   /// Keeps only `nodes` up to date.
   void retain(const NodeSet& nodes);
   /// Starts over with a node whose records were forgotten. \return true if that was so.
-  bool checkLife(const common::NodeId& node, std::uint32_t records_life);
+  bool checkRecordsIncarnation(const common::NodeId& node, std::uint32_t records_incarnation);
   /// Sends again what is not acknowledged; to be called often.
   void tick();
 
@@ -64,7 +64,7 @@
   /// One node that is kept up to date.
   struct Follower {
     bool known = false;
-    std::uint32_t records_life = 0;
+    std::uint32_t records_incarnation = 0;
     std::uint64_t fetch_request = 0;
     common::MonotonicTime last_sent;
     /// What it held when it was asked.
@@ -89,7 +89,7 @@
   void fetchFinished(const common::NodeId& node, Follower& follower);
   void tryRecovery();
   void adoptRecords(const NodeSet& collected);
-  void compare(const common::NodeId& node, Follower& follower);
+  void sendDifferences(const common::NodeId& node, Follower& follower);
   void submit(const RecordKey& key, std::string payload, QuorumLog::Committed committed,
               bool recovery);
   void sendMissing(const common::NodeId& node, Follower& follower);
--- a/src/cypresswall/lease/store_lease.cpp
+++ b/src/cypresswall/lease/store_lease.cpp
@@ -55,7 +55,7 @@
   spent_term_ = std::max(spent_term_, epoch.term);
   if (held_ == epoch) {
     lose("superseded");
-    doubtful_ = true;
+    seen_outdated_ = true;
     callAgainAfter(settings_.duration);
   }
 }
@@ -65,13 +65,13 @@
   if (held_ && !running()) {
     lose("expired");
   }
-  if (needed_ && !resigned_ && !call_under_way_ && context_.clock.now() >= next_call_at_) {
+  if (needed_ && !resigned_ && !call_in_flight_ && context_.clock.now() >= next_call_at_) {
     act();
   }
 }
 
 void StoreLease::act() {
-  if (doubtful_) {
+  if (seen_outdated_) {
     read();
   } else if (owned()) {
     if (!running() || context_.clock.now() - last_sent_ >= settings_.renew_interval) {
@@ -90,7 +90,7 @@
 bool StoreLease::mayTakeOver() const {
   // The last holder's time to act ends `duration` after it sent the write that made this version,
   // so at the latest that long after the version was first seen.
-  const common::Duration wait = settings_.duration + settings_.hand_over_gap;
+  const common::Duration wait = settings_.duration + settings_.handover_gap;
   return seen_->version == 0 || seen_->record.holder == context_.self ||
          context_.clock.now() - seen_->since >= wait;
 }
@@ -98,17 +98,17 @@
 std::uint32_t StoreLease::nextTerm() const { return std::max(seen_->record.term, spent_term_) + 1; }
 
 void StoreLease::read() {
-  call_under_way_ = true;
+  call_in_flight_ = true;
   store_.get(key_, [this](const StoreResult<StoredObject>& result) { onRead(result); });
 }
 
 void StoreLease::onRead(const StoreResult<StoredObject>& result) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   if (result.ok()) {
     observe(result.value());
   } else if (result.failure().kind == StoreFailure::kNotFound) {
     seen_.emplace().since = context_.clock.now();
-    doubtful_ = false;
+    seen_outdated_ = false;
   } else {
     callAgainAfter(settings_.retry_delay);
   }
@@ -126,18 +126,18 @@
     sent_.erase(std::min_element(sent_.begin(), sent_.end(),
                                  [](const auto& a, const auto& b) { return a.second < b.second; }));
   }
-  call_under_way_ = true;
+  call_in_flight_ = true;
   store_.compareAndSet(std::move(request),
                        [this](const StoreResult<StoredObject>& result) { onWritten(result); });
 }
 
 void StoreLease::onWritten(const StoreResult<StoredObject>& result) {
-  call_under_way_ = false;
+  call_in_flight_ = false;
   if (result.ok()) {
     observe(result.value());
     return;
   }
-  doubtful_ = true;
+  seen_outdated_ = true;
   if (result.failure().kind != StoreFailure::kConflict) {
     callAgainAfter(settings_.retry_delay);
   }
@@ -147,7 +147,7 @@
   const bool changed = !seen_ || seen_->version != object.version;
   try {
     LeaseRecord record = decodeLeaseRecord(object.value);
-    doubtful_ = false;
+    seen_outdated_ = false;
     if (changed) {
       SeenLease& seen = seen_.emplace();
       seen.version = object.version;
@@ -156,10 +156,10 @@
     }
   } catch (const LeaseRecordError& error) {
     // Not ours to replace: a lower term than one that was used could follow.
-    doubtful_ = true;
-    callAgainAfter(settings_.duration + settings_.hand_over_gap);
+    seen_outdated_ = true;
+    callAgainAfter(settings_.duration + settings_.handover_gap);
     unreadable_.add();
-    if (!std::exchange(unreadable_told_, true)) {
+    if (!std::exchange(unreadable_logged_, true)) {
       common::LogEvent(context_.log, common::LogLevel::kWarning, "stored_lease_unreadable")
           .field("key", key_)
           .field("version", object.version)
--- a/src/cypresswall/lease/store_lease.h
+++ b/src/cypresswall/lease/store_lease.h
@@ -27,7 +27,7 @@
   common::Duration renew_interval = std::chrono::milliseconds(500);
   /// From the end of one holder's time to act to the beginning of the next one's, at least: engines
   /// may get orders of the former one late, and must not get orders of two holders in turns.
-  common::Duration hand_over_gap = std::chrono::milliseconds(3200);
+  common::Duration handover_gap = std::chrono::milliseconds(3200);
   /// Before another call after one that failed.
   common::Duration retry_delay = std::chrono::milliseconds(300);
   common::Duration tick_interval = std::chrono::milliseconds(50);
@@ -90,11 +90,11 @@
 
   bool needed_ = false;
   bool resigned_ = false;
-  bool call_under_way_ = false;
+  bool call_in_flight_ = false;
   common::MonotonicTime next_call_at_{};
   std::optional<SeenLease> seen_;
   /// What was seen may have changed: it is read before the next write.
-  bool doubtful_ = true;
+  bool seen_outdated_ = true;
   /// When this node's writes were sent, by their change identifiers. A write may take effect long
   /// after its answer was given up.
   std::map<std::string, common::MonotonicTime> sent_;
@@ -109,7 +109,7 @@
   common::Counter& acquired_;
   common::Counter& lost_;
   common::Counter& unreadable_;
-  bool unreadable_told_ = false;
+  bool unreadable_logged_ = false;
 };
 
 }  // namespace cypresswall::lease
--- a/src/cypresswall/lease/voter.cpp
+++ b/src/cypresswall/lease/voter.cpp
@@ -15,13 +15,13 @@
     grant_ = Grant{sender, request.epoch, latest};
     promised_ = request.epoch;
     promised_holder_ = {};
-    promise_vacated_ = false;
+    promise_released_ = false;
   }
   if (reply.verdict == GrantVerdict::kOlderSet) {
     reply.newer_set.push_back(newest_set_);
   }
   reply.promised = promised_;
-  reply.records_life = records_life_;
+  reply.records_incarnation = records_incarnation_;
   return reply;
 }
 
@@ -36,8 +36,8 @@
   }
   // Records of the holder may come before its first request for a grant.
   const bool from_holder = request.epoch == promised_ && sender == promised_holder_;
-  const bool vacated = request.epoch == promised_ && promise_vacated_;
-  if (request.epoch <= promised_ && !vacated && !from_holder) {
+  const bool released = request.epoch == promised_ && promise_released_;
+  if (request.epoch <= promised_ && !released && !from_holder) {
     return GrantVerdict::kPromised;
   }
   const auto holder = grantedTo();
@@ -73,11 +73,11 @@
   if (grant_ && grant_->holder == sender && grant_->epoch == notice.epoch) {
     grant_.reset();
     promised_holder_ = {};
-    promise_vacated_ = notice.never_held;
+    promise_released_ = notice.never_held;
   }
 }
 
-bool Voter::obeys(const common::NodeId& sender, const common::Epoch& epoch) {
+bool Voter::acceptEpoch(const common::NodeId& sender, const common::Epoch& epoch) {
   if (epoch < promised_ || epoch.generation < lowest_generation_ ||
       epoch.generation < newest_set_.version.generation) {
     return false;
@@ -85,7 +85,7 @@
   if (epoch > promised_) {
     promised_ = epoch;
     promised_holder_ = sender;
-    promise_vacated_ = false;
+    promise_released_ = false;
   }
   return true;
 }
@@ -93,8 +93,8 @@
 FetchReply Voter::handle(const common::NodeId& sender, const FetchRequest& request) {
   FetchReply reply;
   reply.request = request.request;
-  reply.records_life = records_life_;
-  reply.accepted = obeys(sender, request.epoch);
+  reply.records_incarnation = records_incarnation_;
+  reply.accepted = acceptEpoch(sender, request.epoch);
   if (reply.accepted) {
     reply.records = records_.page(request.after, settings_.maximum_batch_bytes);
     const auto& all = records_.records();
@@ -104,7 +104,7 @@
 }
 
 ReplicateReply Voter::handle(const common::NodeId& sender, const ReplicateRequest& request) {
-  ReplicateReply reply{request.request, obeys(sender, request.epoch), records_life_};
+  ReplicateReply reply{request.request, acceptEpoch(sender, request.epoch), records_incarnation_};
   if (reply.accepted) {
     for (const auto& record : request.records) {
       records_.apply(record);
@@ -136,7 +136,7 @@
   learn(set);
   if (newest_set_.version == set.version && !set.contains(self_) && !records_.records().empty()) {
     records_.clear();
-    ++records_life_;
+    ++records_incarnation_;
   }
 }
 
--- a/src/cypresswall/lease/voter.h
+++ b/src/cypresswall/lease/voter.h
@@ -52,7 +52,7 @@
   GrantVerdict judge(const common::NodeId& sender, const LeaseRequest& request);
   GrantVerdict judgeSet(const LeaseRequest& request);
   /// \return true if a request of the holder of `epoch` is to be carried out; promises the epoch.
-  bool obeys(const common::NodeId& sender, const common::Epoch& epoch);
+  bool acceptEpoch(const common::NodeId& sender, const common::Epoch& epoch);
 
   LeaseSettings settings_;
   common::NodeId self_;
@@ -62,12 +62,12 @@
   /// The holder of the promised epoch, if it is known from its records; a grant may follow.
   common::NodeId promised_holder_;
   /// The promised epoch was given back by a candidate that never won it.
-  bool promise_vacated_ = false;
+  bool promise_released_ = false;
   std::optional<Grant> grant_;
   std::uint32_t lowest_generation_ = 0;
   common::MonotonicTime no_grant_before_ = common::MonotonicTime::min();
   RecordStore records_;
-  std::uint32_t records_life_ = 0;
+  std::uint32_t records_incarnation_ = 0;
 };
 
 }  // namespace cypresswall::lease
--- a/src/cypresswall/lease/voter_set.cpp
+++ b/src/cypresswall/lease/voter_set.cpp
@@ -22,7 +22,7 @@
   return hasMajority(nodes) && std::all_of(anchors.begin(), anchors.end(), granted_in);
 }
 
-NodeList unite(const NodeList& a, const NodeList& b) {
+NodeList unionOf(const NodeList& a, const NodeList& b) {
   NodeSet nodes(a.begin(), a.end());
   nodes.insert(b.begin(), b.end());
   return {nodes.begin(), nodes.end()};
--- a/src/cypresswall/lease/voter_set.h
+++ b/src/cypresswall/lease/voter_set.h
@@ -44,6 +44,6 @@
 };
 
 /// \return the sorted union without doubles.
-NodeList unite(const NodeList& a, const NodeList& b);
+NodeList unionOf(const NodeList& a, const NodeList& b);
 
 }  // namespace cypresswall::lease
--- a/src/cypresswall/lease/voter_set_planner.cpp
+++ b/src/cypresswall/lease/voter_set_planner.cpp
@@ -18,10 +18,10 @@
   return nodes;
 }
 
-bool feasible(const VoterSet& current, const VoterSetChange& change, const NodeSet& answering) {
+bool keepsQuorum(const VoterSet& current, const VoterSetChange& change, const NodeSet& answering) {
   VoterSet next = current;
   if (change.add) {
-    next.members = unite(next.members, {change.node});
+    next.members = unionOf(next.members, {change.node});
   } else {
     std::erase(next.members, change.node);
   }
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::size_t wantedVoters(std::size_t nodes, std::size_t maximum) {
+std::size_t targetVoterCount(std::size_t nodes, std::size_t maximum) {
   const std::size_t voters = std::min(nodes, maximum);
   return voters % 2 == 0 && voters > 0 ? voters - 1 : voters;
 }
@@ -42,7 +42,7 @@
   const NodeSet usable = nodesIn(members, {MemberState::kAlive});
   const NodeSet staying = nodesIn(members, {MemberState::kAlive, MemberState::kSuspect});
   const NodeSet answering = nodesIn(members, {MemberState::kAlive, MemberState::kLeaving});
-  const std::size_t wanted = wantedVoters(staying.size(), maximum_voters);
+  const std::size_t wanted = targetVoterCount(staying.size(), maximum_voters);
 
   std::optional<VoterSetChange> addition;
   std::optional<VoterSetChange> removal;
@@ -67,10 +67,10 @@
   }
   const bool add_wanted = addition && staying_voters < wanted;
   const bool room = current.members.size() < maximum_voters;
-  if (add_wanted && room && feasible(current, *addition, answering)) {
+  if (add_wanted && room && keepsQuorum(current, *addition, answering)) {
     return addition;
   }
-  if (removal && current.members.size() > 1 && feasible(current, *removal, answering)) {
+  if (removal && current.members.size() > 1 && keepsQuorum(current, *removal, answering)) {
     return removal;
   }
   return std::nullopt;
@@ -79,7 +79,7 @@
 NodeList chooseVoters(const std::vector<Member>& members, std::size_t maximum_voters) {
   const NodeSet usable = nodesIn(members, {MemberState::kAlive});
   NodeList voters(usable.begin(), usable.end());
-  voters.resize(wantedVoters(voters.size(), maximum_voters));
+  voters.resize(targetVoterCount(voters.size(), maximum_voters));
   return voters;
 }
 
--- a/src/cypresswall/lease/voter_set_planner.h
+++ b/src/cypresswall/lease/voter_set_planner.h
@@ -18,7 +18,7 @@
 
 /// \return how many voters a zone with `nodes` usable nodes should have: odd, so that no node is
 ///   one whose loss only makes a quorum harder to reach.
-std::size_t wantedVoters(std::size_t nodes, std::size_t maximum);
+std::size_t targetVoterCount(std::size_t nodes, std::size_t maximum);
 
 /// \param members members of the zone, ordered by node
 /// \param self the holder, which never removes itself
--- a/src/cypresswall/lease/zone_authority.cpp
+++ b/src/cypresswall/lease/zone_authority.cpp
@@ -21,7 +21,7 @@
       replicator_(settings, context.clock,
                   {[this](const auto& node, const auto& request) { deliver(node, request); },
                    [this](const auto& node, const auto& request) { deliver(node, request); },
-                   [this](const NodeSet& nodes) { return survives(nodes); },
+                   [this](const NodeSet& nodes) { return isDurableOn(nodes); },
                    [this] { stepDown("superseded", true); }}),
       generations_(settings, context, membership, store,
                    {[this]() -> const VoterSet& { return voter_.newestSet(); },
@@ -101,20 +101,20 @@
 void ZoneAuthority::tick() {
   context_.scheduler.schedule(settings_.tick_interval, [this] { tick(); });
   if (holding()) {
-    generations_.withHolder();
+    generations_.onHolderKnown();
     holderTick();
     return;
   }
   followerTick();
   if (believedHolder().empty() && !voter_.grantedTo()) {
-    generations_.withoutHolder();
+    generations_.onHolderMissing();
   } else {
-    generations_.withHolder();
+    generations_.onHolderKnown();
   }
 }
 
 NodeList ZoneAuthority::askedNodes() const {
-  return unite(unite(current_.members, proposed_members_), newestProposed().members);
+  return unionOf(unionOf(current_.members, proposed_members_), newestProposed().members);
 }
 
 void ZoneAuthority::sendRound(common::Duration duration) {
@@ -143,7 +143,7 @@
     message.set.push_back(newestProposed());
   }
   if (pending_) {
-    message.previous_members = unite(current_.members, proposed_members_);
+    message.previous_members = unionOf(current_.members, proposed_members_);
   }
   message.duration_us = static_cast<std::uint64_t>(round.duration.count());
   message.probe = role_ == Role::kProbing;
@@ -194,7 +194,7 @@
 
 void ZoneAuthority::roundGranted(const common::NodeId& sender, const LeaseReply& reply,
                                  Round& round) {
-  if (holding() && replicator_.checkLife(sender, reply.records_life)) {
+  if (holding() && replicator_.checkRecordsIncarnation(sender, reply.records_incarnation)) {
     return;
   }
   round.granted.insert(sender);
@@ -225,7 +225,7 @@
   release(false);
   rounds_.clear();
   pending_.reset();
-  generations_.resetNoting();
+  generations_.resetRecording();
   backOff();
   if (!campaign_again) {
     campaign_at_ += settings_.duration;
@@ -331,7 +331,7 @@
 
 void ZoneAuthority::handle(const common::NodeId& sender, const VoterSetNotice& notice) {
   if (notice.sealed_before != 0) {
-    generations_.noteSealed(sender, notice.sealed_before);
+    generations_.recordSealed(sender, notice.sealed_before);
   }
   if (notice.committed) {
     voter_.learnCommitted(notice.set);
--- a/src/cypresswall/lease/zone_authority.h
+++ b/src/cypresswall/lease/zone_authority.h
@@ -12,7 +12,7 @@
 
 #include "cypresswall/api/process_context.h"
 #include "cypresswall/lease/authority_view.h"
-#include "cypresswall/lease/generation_keeper.h"
+#include "cypresswall/lease/generation_manager.h"
 #include "cypresswall/lease/lease_settings.h"
 #include "cypresswall/lease/messages.h"
 #include "cypresswall/lease/quorum_log.h"
@@ -96,7 +96,7 @@
   void becomeHolder();
   void planChange();
   void propose(NodeList members, std::vector<NodeList> anchors);
-  void takeBackPending();
+  void revertPending();
   void stepDown(const char* reason, bool campaign_again);
   void release(bool never_held);
   void announce(std::optional<common::Epoch> epoch);
@@ -104,14 +104,14 @@
   bool holding() const { return role_ == Role::kRecovering || role_ == Role::kHolder; }
   const VoterSet& newestProposed() const { return pending_ ? *pending_ : current_; }
   NodeList askedNodes() const;
-  bool survives(const NodeSet& nodes) const;
+  bool isDurableOn(const NodeSet& nodes) const;
 
   LeaseSettings settings_;
   api::ProcessContext context_;
   membership::MembershipView& membership_;
   Voter voter_;
   Replicator replicator_;
-  GenerationKeeper generations_;
+  GenerationManager generations_;
 
   Role role_ = Role::kFollower;
   common::Epoch epoch_;
--- a/src/cypresswall/lease/zone_authority_campaign.cpp
+++ b/src/cypresswall/lease/zone_authority_campaign.cpp
@@ -90,7 +90,7 @@
   role_ = Role::kRecovering;
   rounds_.clear();
   next_index_ = 0;
-  generations_.resetNoting();
+  generations_.resetRecording();
   replicator_.begin(epoch_);
   // Commits the newest set anew under this epoch, so that no set proposed by an earlier holder can
   // win later; only then is it changed.
--- a/src/cypresswall/lease/zone_authority_holder.cpp
+++ b/src/cypresswall/lease/zone_authority_holder.cpp
@@ -18,7 +18,7 @@
 void ZoneAuthority::propose(NodeList members, std::vector<NodeList> anchors) {
   VoterSet set{
       {epoch_.generation, epoch_.term, next_index_++}, std::move(members), std::move(anchors)};
-  proposed_members_ = unite(proposed_members_, set.members);
+  proposed_members_ = unionOf(proposed_members_, set.members);
   pending_ = std::move(set);
   pending_since_ = context_.clock.now();
   sendRound(settings_.duration);
@@ -41,7 +41,7 @@
   replicator_.checkCommitted();
 }
 
-bool ZoneAuthority::survives(const NodeSet& nodes) const {
+bool ZoneAuthority::isDurableOn(const NodeSet& nodes) const {
   return current_.hasMajority(nodes) && (!pending_ || pending_->hasMajority(nodes));
 }
 
@@ -64,7 +64,7 @@
     becomeHolder();
   }
   if (pending_ && recommitted && now - pending_since_ >= settings_.change_timeout) {
-    takeBackPending();
+    revertPending();
   }
   if (role_ == Role::kHolder && !pending_) {
     planChange();
@@ -82,7 +82,7 @@
   announce(epoch_);
 }
 
-void ZoneAuthority::takeBackPending() {
+void ZoneAuthority::revertPending() {
   propose(current_.members, current_.anchors);
   last_change_ = context_.clock.now();
 }
@@ -105,7 +105,7 @@
   if (now - last_change_ < settings_.change_interval) {
     return;
   }
-  const auto note = generations_.noteVoters(current_);
+  const auto note = generations_.recordVoters(current_);
   if (note.anchors) {
     propose(current_.members, *note.anchors);
     return;
@@ -117,7 +117,7 @@
   }
   VoterSet next = current_;
   if (change->add) {
-    next.members = unite(current_.members, {change->node});
+    next.members = unionOf(current_.members, {change->node});
     replicator_.track(change->node);
   } else {
     std::erase(next.members, change->node);
--- a/src/cypresswall/object_store/store_answer.cpp
+++ b/src/cypresswall/object_store/store_answer.cpp
@@ -26,7 +26,7 @@
          (status >= kStatusBadRequest && status < kStatusServerError);
 }
 
-bool metOwnCopy(const CurlResponse& response,
+bool isOwnWrite(const CurlResponse& response,
                 const std::function<StoredObject(std::string_view)>& parse,
                 const std::function<bool(const StoredObject&)>& own, StoredObject& stored) {
   try {
@@ -102,7 +102,7 @@
                                       const std::function<bool(const StoredObject&)>& own) {
   if (const auto failure = writeFailure(response)) {
     StoredObject stored;
-    if (failure->kind == StoreFailure::kConflict && metOwnCopy(response, parse, own, stored)) {
+    if (failure->kind == StoreFailure::kConflict && isOwnWrite(response, parse, own, stored)) {
       return stored;
     }
     return *failure;
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -58,7 +58,7 @@
   membership_.onChange([this] {
     for (auto& [topic, followed] : followed_) {
       if (followed.copy.revision() == 0) {
-        beginCopy(topic, followed);
+        requestCopy(topic, followed);
       }
     }
   });
@@ -72,16 +72,16 @@
   }
 }
 
-void StoreRelay::beginCopy(Topic topic, Followed& followed) {
+void StoreRelay::requestCopy(Topic topic, TopicState& followed) {
   if (followed.copy.callPending() || membership_.joining()) {
     return;
   }
   const auto now = context_.clock.now();
-  const bool first = !followed.begun_time;
-  const auto since = first ? now : *followed.begun_time;
-  followed.begun_time = since;
+  const bool first = !followed.copy_requested_since;
+  const auto since = first ? now : *followed.copy_requested_since;
+  followed.copy_requested_since = since;
   const auto source = copySource(topic);
-  if (reader(topic) || !source || now - since >= settings_.copy_patience) {
+  if (isReader(topic) || !source || now - since >= settings_.copy_timeout) {
     followed.copy.fetchFromStore();
   } else if (first) {
     pull(topic, *source);
@@ -98,7 +98,7 @@
   if (peers.empty()) {
     return std::nullopt;
   }
-  if (!star()) {
+  if (!starTopology()) {
     return peers[context_.random.below(peers.size())];
   }
   return *std::max_element(peers.begin(), peers.end(), [&](const auto& left, const auto& right) {
@@ -106,70 +106,73 @@
   });
 }
 
-void StoreRelay::tickTopic(Topic topic, Followed& followed) {
+void StoreRelay::tickTopic(Topic topic, TopicState& followed) {
   if (followed.copy.revision() == 0) {
-    beginCopy(topic, followed);
+    requestCopy(topic, followed);
     return;
   }
-  const bool reads = reader(topic);
-  if (reads && !leavesAnnouncing(followed)) {
+  const bool reads = isReader(topic);
+  if (reads && !defersAnnouncing(followed)) {
     announce(topic, followed);
   }
-  const bool relying = !reads && hearsReaders(followed);
-  noteReliance(topic, followed, relying, reads);
-  if (!relying && !followed.copy.callPending()) {
+  const bool uses_readers = !reads && readersActive(followed);
+  updateSource(topic, followed, uses_readers, reads);
+  if (!uses_readers && !followed.copy.callPending()) {
     followed.copy.fetchFromStore();
   }
 }
 
-void StoreRelay::noteReliance(Topic topic, Followed& followed, bool relying, bool reads) {
-  if (std::exchange(followed.relying, relying) == relying) {
+void StoreRelay::updateSource(Topic topic, TopicState& followed, bool uses_readers, bool reads) {
+  if (std::exchange(followed.uses_readers, uses_readers) == uses_readers) {
     return;
   }
-  if (!relying && !reads) {
+  if (!uses_readers && !reads) {
     silences_.add();
   }
   common::LogEvent(context_.log, common::LogLevel::kInfo, "store_source_changed")
       .field("topic", nameOf(topic))
-      .field("source", relying ? "readers" : "store")
+      .field("source", uses_readers ? "readers" : "store")
       .field("reader", reads)
       .field("revision", followed.copy.revision());
 }
 
-void StoreRelay::announce(Topic topic, Followed& followed) {
-  if (withinLimit(followed.contact_time, settings_.reader_contact_limit)) {
-    passOn(Announcement{static_cast<std::uint8_t>(topic), followed.history.changed(),
+void StoreRelay::announce(Topic topic, TopicState& followed) {
+  if (withinLimit(followed.last_store_answer_time, settings_.store_contact_limit)) {
+    fanOut(Announcement{static_cast<std::uint8_t>(topic), followed.history.changed(),
                         followed.history.revision(), followed.history.newestBytes(),
                         membership_.self(), ++followed.own_sequence});
   }
 }
 
-bool StoreRelay::star() const { return membership_.members().size() <= settings_.star_limit; }
+bool StoreRelay::starTopology() const {
+  return membership_.members().size() <= settings_.star_limit;
+}
 
-bool StoreRelay::leavesAnnouncing(const Followed& followed) const {
-  return !star() && withinLimit(followed.first_reader_time, 2 * settings_.announcement_interval);
+bool StoreRelay::defersAnnouncing(const TopicState& followed) const {
+  return !starTopology() &&
+         withinLimit(followed.higher_reader_time, 2 * settings_.announcement_interval);
 }
 
-void StoreRelay::passOn(const Announcement& announcement) {
+void StoreRelay::fanOut(const Announcement& announcement) {
   const auto& members = membership_.members();
-  const std::size_t fan_out = star() ? members.size() : settings_.fan_out;
+  const std::size_t fan_out = starTopology() ? members.size() : settings_.fan_out;
   for (const common::NodeId& child :
        membership::treeChildren(announcement.reader, membership_.self(), members, fan_out)) {
     context_.sendTo(child, announcement);
   }
 }
 
-void StoreRelay::passOnWaiting(Followed& followed) {
+void StoreRelay::fanOutWaiting(TopicState& followed) {
   std::erase_if(followed.waiting, [&](const auto& entry) {
     const bool held = followed.copy.revision() >= entry.second.changed;
     if (held) {
-      passOn(entry.second);
+      fanOut(entry.second);
     }
     return held;
   });
 }
 
-bool StoreRelay::noteSequence(Followed& followed, const Announcement& announcement) {
+bool StoreRelay::recordSequence(TopicState& followed, const Announcement& announcement) {
   if (followed.sequences.size() > kRememberedReaders) {
     followed.sequences.clear();
     followed.waiting.clear();
@@ -184,7 +187,7 @@
   return {membership::linkBandwidthClass(membership_, node), rendezvousRank(nameOf(topic), node)};
 }
 
-bool StoreRelay::reader(Topic topic) const {
+bool StoreRelay::isReader(Topic topic) const {
   const Rank own = rankOf(topic, membership_.self());
   const auto& members = membership_.members();
   const auto ahead = std::count_if(members.begin(), members.end(), [&](const Member& member) {
@@ -199,51 +202,51 @@
   return time && context_.clock.now() - *time <= limit;
 }
 
-bool StoreRelay::hearsReaders(const Followed& followed) const {
-  return withinLimit(followed.heard_time, settings_.silence_limit);
+bool StoreRelay::readersActive(const TopicState& followed) const {
+  return withinLimit(followed.last_announcement_time, settings_.announcement_timeout);
 }
 
 std::optional<common::Duration> StoreRelay::pollTime(Topic topic) const {
-  if (reader(topic)) {
+  if (isReader(topic)) {
     return settings_.reader_poll_time;
   }
-  if (hearsReaders(followed_.at(topic))) {
+  if (readersActive(followed_.at(topic))) {
     return std::nullopt;
   }
   return settings_.other_poll_time;
 }
 
 void StoreRelay::listed(Topic topic, std::uint64_t revision) {
-  Followed& followed = followed_.at(topic);
-  followed.contact_time = context_.clock.now();
+  TopicState& followed = followed_.at(topic);
+  followed.last_store_answer_time = context_.clock.now();
   followed.history.restart(revision);
-  passOnWaiting(followed);
+  fanOutWaiting(followed);
 }
 
 void StoreRelay::read(Topic topic, std::vector<StoreChange> changes, std::uint64_t revision) {
-  Followed& followed = followed_.at(topic);
-  followed.contact_time = context_.clock.now();
+  TopicState& followed = followed_.at(topic);
+  followed.last_store_answer_time = context_.clock.now();
   const bool changed = !changes.empty();
   followed.history.add(std::move(changes), revision);
-  passOnWaiting(followed);
-  if (changed && reader(topic)) {
+  fanOutWaiting(followed);
+  if (changed && isReader(topic)) {
     announce(topic, followed);
   }
 }
 
-StoreRelay::Followed* StoreRelay::find(std::uint8_t topic) {
+StoreRelay::TopicState* StoreRelay::find(std::uint8_t topic) {
   const auto found = followed_.find(static_cast<Topic>(topic));
   return found == followed_.end() ? nullptr : &found->second;
 }
 
 void StoreRelay::onAnnouncement(const common::NodeId& sender, const Announcement& announcement) {
-  Followed* const followed = find(announcement.topic);
+  TopicState* const followed = find(announcement.topic);
   const bool own = announcement.reader == membership_.self();
-  if (followed == nullptr || own || !noteSequence(*followed, announcement)) {
+  if (followed == nullptr || own || !recordSequence(*followed, announcement)) {
     return;
   }
   followed->waiting[announcement.reader] = announcement;
-  followed->heard_time = context_.clock.now();
+  followed->last_announcement_time = context_.clock.now();
   const auto known_topic = static_cast<Topic>(announcement.topic);
   if (followed->copy.revision() == 0) {
     followed->announced = std::max(followed->announced, announcement.changed);
@@ -252,9 +255,9 @@
     }
     return;
   }
-  passOnWaiting(*followed);
+  fanOutWaiting(*followed);
   if (rankOf(known_topic, announcement.reader) > rankOf(known_topic, membership_.self())) {
-    followed->first_reader_time = followed->heard_time;
+    followed->higher_reader_time = followed->last_announcement_time;
   }
   if (announcement.changed > followed->announced) {
     if (!behind(*followed)) {
@@ -265,7 +268,7 @@
   }
   if (!behind(*followed)) {
     if (followed->copy.revision() < announcement.seen) {
-      take(*followed, {}, announcement.seen);
+      apply(*followed, {}, announcement.seen);
     }
     return;
   }
@@ -279,11 +282,11 @@
     return;
   }
   followed->pull_timer = context_.scheduler.schedule(
-      settings_.patience, [this, topic, sender] { pull(topic, sender); });
+      settings_.pending_call_grace, [this, topic, sender] { pull(topic, sender); });
 }
 
-bool StoreRelay::take(Followed& followed, std::vector<StoreChange> changes,
-                      std::uint64_t revision) {
+bool StoreRelay::apply(TopicState& followed, std::vector<StoreChange> changes,
+                       std::uint64_t revision) {
   const bool first = followed.copy.revision() == 0;
   if (!followed.copy.applyPeerChanges(changes, revision)) {
     return false;
@@ -293,12 +296,12 @@
   } else {
     followed.history.add(std::move(changes), revision);
   }
-  passOnWaiting(followed);
+  fanOutWaiting(followed);
   return true;
 }
 
 void StoreRelay::pull(Topic topic, const common::NodeId& reader) {
-  Followed& followed = followed_.at(topic);
+  TopicState& followed = followed_.at(topic);
   followed.pull_timer = 0;
   if (!behind(followed) && followed.copy.revision() != 0) {
     return;
@@ -306,18 +309,18 @@
   pulls_.add();
   context_.sendTo(reader,
                   ChangesRequest{static_cast<std::uint8_t>(topic), followed.copy.revision()});
-  followed.pull_timer = context_.scheduler.schedule(settings_.reply_limit + transferTime(followed),
-                                                    [this, topic] { giveUpPull(topic); });
+  followed.pull_timer = context_.scheduler.schedule(
+      settings_.reply_timeout + transferTime(followed), [this, topic] { pullTimedOut(topic); });
 }
 
-common::Duration StoreRelay::transferTime(const Followed& followed) const {
+common::Duration StoreRelay::transferTime(const TopicState& followed) const {
   const double seconds = static_cast<double>(followed.announced_bytes) /
                          static_cast<double>(settings_.slow_bytes_per_second);
   return common::fromSeconds(seconds);
 }
 
-void StoreRelay::giveUpPull(Topic topic) {
-  Followed& followed = followed_.at(topic);
+void StoreRelay::pullTimedOut(Topic topic) {
+  TopicState& followed = followed_.at(topic);
   followed.pull_timer = 0;
   if (followed.copy.revision() == 0) {
     unanswered_pulls_.add();
@@ -328,7 +331,7 @@
 }
 
 void StoreRelay::onRequest(const common::NodeId& sender, const ChangesRequest& request) {
-  Followed* const followed = find(request.topic);
+  TopicState* const followed = find(request.topic);
   if (followed == nullptr) {
     return;
   }
@@ -355,13 +358,13 @@
 
 /// A reply that comes after its time limit still tells what it tells.
 void StoreRelay::onReply(const common::NodeId& sender, const ChangesReply& reply) {
-  Followed* const followed = find(reply.topic);
+  TopicState* const followed = find(reply.topic);
   if (followed == nullptr) {
     return;
   }
   const bool awaited = followed->pull_timer != 0;
   const bool useful = reply.available && reply.revision > followed->copy.revision() &&
-                      take(*followed, reply.changes, reply.revision);
+                      apply(*followed, reply.changes, reply.revision);
   if (!awaited && !useful) {
     return;
   }
@@ -377,8 +380,8 @@
   }
 }
 
-void StoreRelay::fetchFromStore(Followed& followed) {
-  const common::Duration limit = settings_.store_patience + transferTime(followed);
+void StoreRelay::fetchFromStore(TopicState& followed) {
+  const common::Duration limit = settings_.minimum_call_time + transferTime(followed);
   if (followed.copy.callPending() && withinLimit(followed.asked_time, limit)) {
     return;
   }
@@ -387,7 +390,7 @@
 }
 
 std::optional<common::Duration> StoreRelay::outdatedFor(Topic topic) const {
-  const Followed& followed = followed_.at(topic);
+  const TopicState& followed = followed_.at(topic);
   if (!behind(followed)) {
     return std::nullopt;
   }
--- a/src/cypresswall/store_relay/store_relay.h
+++ b/src/cypresswall/store_relay/store_relay.h
@@ -37,22 +37,22 @@
   common::Duration announcement_interval = std::chrono::milliseconds(300);
   /// A reader that the store has not answered for this long announces nothing. Above the time of a
   /// poll that the store held to its end.
-  common::Duration reader_contact_limit = std::chrono::milliseconds(1300);
+  common::Duration store_contact_limit = std::chrono::milliseconds(1300);
   /// A node that heard no announcement for this long asks the store itself. Together with the time
   /// of a call this has to stay below the time within which a change must be in force.
-  common::Duration silence_limit = std::chrono::milliseconds(900);
+  common::Duration announcement_timeout = std::chrono::milliseconds(900);
   /// How long a node whose own call waits at the store leaves a change to that call.
-  common::Duration patience = std::chrono::milliseconds(100);
+  common::Duration pending_call_grace = std::chrono::milliseconds(100);
   /// A reader that hasn't given changes within this, and the time that their bytes may take, is
   /// passed over: the store is asked.
-  common::Duration reply_limit = std::chrono::milliseconds(200);
+  common::Duration reply_timeout = std::chrono::milliseconds(200);
   /// A node that has nothing yet and gets no copy from a peer within this asks the store. Above two
   /// announcements.
-  common::Duration copy_patience = std::chrono::milliseconds(1200);
+  common::Duration copy_timeout = std::chrono::milliseconds(1200);
   /// An own call to the store is not dropped for another one before this, and the time that its
   /// bytes may take: dropped each time that a reader can't give a change, it would never be
   /// answered over a busy link. Above the 2 s after which a dead connection is noticed.
-  common::Duration store_patience = std::chrono::milliseconds(2500);
+  common::Duration minimum_call_time = std::chrono::milliseconds(2500);
   /// What a link of 10 Mbit/s that is busy with requests leaves to one connection.
   std::size_t slow_bytes_per_second = std::size_t{64} << 10;
   /// Bytes of changes kept for peers, and sent in one reply. Readers are the nodes with the most
@@ -85,84 +85,84 @@
   std::optional<common::Duration> pollTime(Topic topic) const;
 
  private:
-  struct Followed {
-    Followed(StoreCopy& store_copy, std::size_t history_bytes)
+  struct TopicState {
+    TopicState(StoreCopy& store_copy, std::size_t history_bytes)
         : copy(store_copy), history(history_bytes) {}
 
     StoreCopy& copy;
     ChangeHistory history;
     /// When the store last answered this node.
-    std::optional<common::MonotonicTime> contact_time;
+    std::optional<common::MonotonicTime> last_store_answer_time;
     /// When this node last asked the store for what readers couldn't give.
     std::optional<common::MonotonicTime> asked_time;
     /// Since when the copy has lacked an announced change; no matter if it lacks none.
     common::MonotonicTime behind_since{};
     /// When a reader was last heard of.
-    std::optional<common::MonotonicTime> heard_time;
+    std::optional<common::MonotonicTime> last_announcement_time;
     /// When a reader that goes before this node was last heard of.
-    std::optional<common::MonotonicTime> first_reader_time;
+    std::optional<common::MonotonicTime> higher_reader_time;
     /// Number of the last announcement of each reader.
     std::map<common::NodeId, std::uint64_t> sequences;
     /// Announcements that wait to be passed on until this node has what they tell of.
     std::map<common::NodeId, Announcement> waiting;
     std::uint64_t own_sequence = 0;
     /// Since when this node, which has nothing yet, could have asked a peer for a copy.
-    std::optional<common::MonotonicTime> begun_time;
+    std::optional<common::MonotonicTime> copy_requested_since;
     /// The newest change that a reader announced.
     std::uint64_t announced = 0;
     /// Bytes of that change.
     std::uint32_t announced_bytes = 0;
     /// Runs while a request to a reader waits to be sent or answered, else zero.
     common::TimerId pull_timer = 0;
-    bool relying = false;
+    bool uses_readers = false;
   };
 
   void registerHandlers();
   void tick();
-  void tickTopic(Topic topic, Followed& followed);
+  void tickTopic(Topic topic, TopicState& followed);
   /// Lets a node that has nothing yet have a peer's copy; the store is asked by the readers, and
   /// where no peer gives one.
-  void beginCopy(Topic topic, Followed& followed);
+  void requestCopy(Topic topic, TopicState& followed);
   /// \return the peer to ask for a copy: the first reader if it tells all others itself, else any
   std::optional<common::NodeId> copySource(Topic topic) const;
-  void announce(Topic topic, Followed& followed);
+  void announce(Topic topic, TopicState& followed);
   /// \return true if another reader makes the regular announcements
-  bool leavesAnnouncing(const Followed& followed) const;
-  bool star() const;
+  bool defersAnnouncing(const TopicState& followed) const;
+  bool starTopology() const;
   /// Sends an announcement on to the nodes that this one serves.
-  void passOn(const Announcement& announcement);
-  void passOnWaiting(Followed& followed);
+  void fanOut(const Announcement& announcement);
+  void fanOutWaiting(TopicState& followed);
   /// Notes an announcement. \return false if it, or a later one of its reader, came before
-  static bool noteSequence(Followed& followed, const Announcement& announcement);
+  static bool recordSequence(TopicState& followed, const Announcement& announcement);
   using Rank = std::pair<std::uint64_t, std::uint64_t>;
   /// \return the node's rank among possible readers of the topic
   Rank rankOf(Topic topic, const common::NodeId& node) const;
-  bool reader(Topic topic) const;
+  bool isReader(Topic topic) const;
   bool withinLimit(const std::optional<common::MonotonicTime>& time, common::Duration limit) const;
-  bool hearsReaders(const Followed& followed) const;
-  void noteReliance(Topic topic, Followed& followed, bool relying, bool reads);
+  bool readersActive(const TopicState& followed) const;
+  void updateSource(Topic topic, TopicState& followed, bool uses_readers, bool reads);
 
-  Followed* find(std::uint8_t topic);
+  TopicState* find(std::uint8_t topic);
   void onAnnouncement(const common::NodeId& sender, const Announcement& announcement);
   void onRequest(const common::NodeId& sender, const ChangesRequest& request);
   void onReply(const common::NodeId& sender, const ChangesReply& reply);
   /// Takes what a peer read.
   /// \return false if the copy can't take it
-  bool take(Followed& followed, std::vector<StoreChange> changes, std::uint64_t revision);
+  bool apply(TopicState& followed, std::vector<StoreChange> changes, std::uint64_t revision);
   void pull(Topic topic, const common::NodeId& reader);
-  void giveUpPull(Topic topic);
+  void pullTimedOut(Topic topic);
   /// \return what the bytes of the announced change may take over a busy link
-  common::Duration transferTime(const Followed& followed) const;
+  common::Duration transferTime(const TopicState& followed) const;
   /// Asks the store for what is announced, unless such a call is under way.
-  void fetchFromStore(Followed& followed);
-  static bool behind(const Followed& followed) {
+  void fetchFromStore(TopicState& followed);
+  static bool behind(const TopicState& followed) {
     return followed.copy.revision() < followed.announced;
   }
 
   StoreRelaySettings settings_;
   api::ProcessContext context_;
   membership::MembershipView& membership_;
-  std::map<Topic, Followed> followed_;
+  std::map<Topic, TopicState> followed_;
   common::Counter& pulls_;
   common::Counter& unanswered_pulls_;
   common::Counter& unavailable_;
--- a/tests/idempotency/key_ownership_test.cpp
+++ b/tests/idempotency/key_ownership_test.cpp
@@ -17,12 +17,12 @@
 
 class KeyOwnershipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(KeyOwnershipTest);
-  CPPUNIT_TEST(keysAreSpreadAndMoveOnlyToTheNewZone);
-  CPPUNIT_TEST(keyIsOwnedSinceOnlyThroughEverySet);
+  CPPUNIT_TEST(keysAreSpreadAndMoveOnlyToNewZone);
+  CPPUNIT_TEST(ownedSinceRequiresOwnershipInEverySet);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void keysAreSpreadAndMoveOnlyToTheNewZone() {
+  void keysAreSpreadAndMoveOnlyToNewZone() {
     std::map<common::ZoneName, int> shares;
     for (int number = 0; number < kKeys; ++number) {
       const auto before = owningZone(keyOf(number), {"a", "b", "c"});
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT(owningZone("key", {}).empty());
   }
 
-  void keyIsOwnedSinceOnlyThroughEverySet() {
+  void ownedSinceRequiresOwnershipInEverySet() {
     configuration::StaticConfigurationView view;
     const KeyOwnership ownership("a", view);
     std::string stays = "x";
--- a/tests/idempotency/quorum_key_claims_test.cpp
+++ b/tests/idempotency/quorum_key_claims_test.cpp
@@ -89,12 +89,12 @@
   CPPUNIT_TEST_SUITE(QuorumKeyClaimsTest);
   CPPUNIT_TEST(grantsOnceAndReplaysTheAnswer);
   CPPUNIT_TEST(releasedKeyIsGrantedAgain);
-  CPPUNIT_TEST(claimOutlivesTheHolder);
-  CPPUNIT_TEST(claimOfADeadNodeIsUncertain);
-  CPPUNIT_TEST(noHolderIsUnavailable);
-  CPPUNIT_TEST(newGenerationIsUncertain);
-  CPPUNIT_TEST(tableIsBounded);
-  CPPUNIT_TEST(keyRunsAtMostOnceUnderAnyFaults);
+  CPPUNIT_TEST(claimSurvivesLossOfHolder);
+  CPPUNIT_TEST(claimOfDeadNodeIsUncertain);
+  CPPUNIT_TEST(claimWithoutHolderIsUnavailable);
+  CPPUNIT_TEST(claimInNewGenerationIsUncertain);
+  CPPUNIT_TEST(claimTableIsBounded);
+  CPPUNIT_TEST(keyRunsAtMostOnceUnderRandomFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(zone.claim(2, "k") == ClaimVerdict::kGranted);
   }
 
-  void claimOutlivesTheHolder() {
+  void claimSurvivesLossOfHolder() {
     ClaimZone zone(3);
     zone.zone.startAll(5);
     zone.zone.awaitHolder(6s);
@@ -141,7 +141,7 @@
     CPPUNIT_ASSERT(zone.claim(other, "k") == ClaimVerdict::kCompleted);
   }
 
-  void claimOfADeadNodeIsUncertain() {
+  void claimOfDeadNodeIsUncertain() {
     ClaimZone zone(4);
     zone.zone.startAll(5);
     zone.zone.awaitHolder(6s);
@@ -153,14 +153,14 @@
     CPPUNIT_ASSERT(zone.claim(3, "k") == ClaimVerdict::kUncertain);
   }
 
-  void noHolderIsUnavailable() {
+  void claimWithoutHolderIsUnavailable() {
     ClaimZone zone(5);
     zone.zone.world.store.down = true;
     zone.zone.startAll(3);
     CPPUNIT_ASSERT(zone.claim(1, "k") == ClaimVerdict::kUnavailable);
   }
 
-  void newGenerationIsUncertain() {
+  void claimInNewGenerationIsUncertain() {
     ClaimZone zone(6);
     zone.zone.startAll(3);
     zone.zone.awaitHolder(6s);
@@ -177,7 +177,7 @@
     CPPUNIT_ASSERT(zone.claim(zone.zone.holder().value(), "l") == ClaimVerdict::kGranted);
   }
 
-  void tableIsBounded() {
+  void claimTableIsBounded() {
     ClaimZone zone(7);
     zone.settings.maximum_claims = 2;
     zone.settings.maximum_answer_bytes = 4;
@@ -197,7 +197,7 @@
 
   /// Keys are asked for again and again at random nodes through random faults. Runs last less than
   /// the retention, so that no key may run twice.
-  void keyRunsAtMostOnceUnderAnyFaults() {
+  void keyRunsAtMostOnceUnderRandomFaults() {
     std::map<ClaimVerdict, int> verdicts;
     int asked = 0;
     testing::requireProperty("a key runs at most once", kRuns, [&] {
--- a/tests/lease/fault_schedule.h
+++ b/tests/lease/fault_schedule.h
@@ -24,7 +24,7 @@
                                                           {2, FaultKind::kCut},
                                                           {calm ? 8 : 3, FaultKind::kHeal},
                                                           {2, FaultKind::kStore},
-                                                          {2, FaultKind::kDepart},
+                                                          {2, FaultKind::kPlannedStop},
                                                           {1, FaultKind::kReplace}});
   const auto waits =
       calm ? rc::gen::inRange<std::int64_t>(1000, 6000) : rc::gen::inRange<std::int64_t>(20, 1500);
--- a/tests/lease/lease_property_test.cpp
+++ b/tests/lease/lease_property_test.cpp
@@ -12,23 +12,23 @@
 
 using namespace std::chrono_literals;
 using testing::LeaseZone;
-using testing::ZoneLedger;
+using testing::RunCounts;
 
 constexpr int kRuns = 150;
 
-void addTo(ZoneLedger& sum, const ZoneLedger& ledger) {
-  sum.kills += ledger.kills;
-  sum.restarts += ledger.restarts;
-  sum.pauses += ledger.pauses;
-  sum.pauses_of_holder += ledger.pauses_of_holder;
-  sum.cuts += ledger.cuts;
-  sum.store_outages += ledger.store_outages;
-  sum.departures += ledger.departures;
-  sum.voter_changes += ledger.voter_changes;
-  sum.acquisitions += ledger.acquisitions;
-  sum.generations += ledger.generations;
-  sum.committed_records += ledger.committed_records;
-  sum.checks += ledger.checks;
+void addTo(RunCounts& sum, const RunCounts& counts) {
+  sum.kills += counts.kills;
+  sum.restarts += counts.restarts;
+  sum.pauses += counts.pauses;
+  sum.pauses_of_holder += counts.pauses_of_holder;
+  sum.cuts += counts.cuts;
+  sum.store_outages += counts.store_outages;
+  sum.departures += counts.departures;
+  sum.voter_changes += counts.voter_changes;
+  sum.acquisitions += counts.acquisitions;
+  sum.generations += counts.generations;
+  sum.committed_records += counts.committed_records;
+  sum.checks += counts.checks;
 }
 
 common::Duration percentile(std::vector<common::Duration> times, double share) {
@@ -39,19 +39,19 @@
 
 class LeasePropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeasePropertyTest);
-  CPPUNIT_TEST(oneHolderAtATimeInFaultStorms);
+  CPPUNIT_TEST(oneHolderAtATimeUnderRandomFaults);
   CPPUNIT_TEST(oneHolderAtATimeWhileVotersAreReplaced);
-  CPPUNIT_TEST(recoversFromALostHolderInTime);
+  CPPUNIT_TEST(electsNextHolderInTimeAfterLoss);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void oneHolderAtATimeInFaultStorms() { checkSchedules(false); }
+  void oneHolderAtATimeUnderRandomFaults() { checkSchedules(false); }
   void oneHolderAtATimeWhileVotersAreReplaced() { checkSchedules(true); }
 
   /// Never two holders at one true time, epochs only rise, no committed record is lost, and once
   /// faults end there is a holder again.
   void checkSchedules(bool calm) {
-    ZoneLedger sum;
+    RunCounts sum;
     std::vector<common::Duration> recoveries;
     testing::requireProperty("one holder at a time", kRuns, [&] {
       const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 40U);
@@ -67,7 +67,7 @@
       RC_ASSERT(zone.violation.empty());
       RC_ASSERT(recovery.has_value());
       recoveries.push_back(*recovery);
-      addTo(sum, zone.ledger);
+      addTo(sum, zone.counts);
     });
     print(sum, recoveries);
     CPPUNIT_ASSERT(sum.kills > 0 && sum.restarts > 0 && sum.pauses_of_holder > 0);
@@ -76,7 +76,7 @@
     CPPUNIT_ASSERT(sum.generations > kRuns && sum.voter_changes > kRuns);
   }
 
-  static void print(const ZoneLedger& sum, const std::vector<common::Duration>& recoveries) {
+  static void print(const RunCounts& sum, const std::vector<common::Duration>& recoveries) {
     std::cout << "\n  faults: kills " << sum.kills << ", restarts " << sum.restarts << ", pauses "
               << sum.pauses << " and of the holder " << sum.pauses_of_holder << ", cuts "
               << sum.cuts << ", store outages " << sum.store_outages << ", departures "
@@ -89,7 +89,7 @@
   }
 
   /// From the holder's end (killed, paused or cut off) to the next one.
-  void recoversFromALostHolderInTime() {
+  void electsNextHolderInTimeAfterLoss() {
     std::vector<common::Duration> times;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
       LeaseZone zone(seed, testing::kClockDrift);
--- a/tests/lease/lease_zone.h
+++ b/tests/lease/lease_zone.h
@@ -26,9 +26,9 @@
   kPauseHolder,
   kCut,  ///< splits the zone in two by the pattern's bits
   kHeal,
-  kStore,    ///< the store goes down, or comes back
-  kDepart,   ///< planned: announced, ended and listed as gone
-  kReplace,  ///< ended and listed as gone at once
+  kStore,        ///< the store goes down, or comes back
+  kPlannedStop,  ///< planned: announced, ended and listed as gone
+  kReplace,      ///< ended and listed as gone at once
 };
 
 /// One step of a fault schedule.
@@ -47,7 +47,7 @@
 }
 
 /// Counts of what happened in a run, so that a test can require that faults really happened.
-struct ZoneLedger {
+struct RunCounts {
   std::uint64_t kills = 0;
   std::uint64_t restarts = 0;
   std::uint64_t pauses = 0;
@@ -168,7 +168,7 @@
     authority.replicate(lease::RecordModule::kOrders, "counter", std::to_string(value),
                         [this, value, generation](bool committed) {
                           if (committed) {
-                            ++ledger.committed_records;
+                            ++counts.committed_records;
                             auto& newest = committed_[generation];
                             newest = std::max(newest, value);
                           }
@@ -180,11 +180,11 @@
     const int index = 1 + static_cast<int>(fault.node) % count;
     switch (fault.kind) {
       case FaultKind::kKill:
-        ledger.kills += nodes.contains(index) ? 1 : 0;
+        counts.kills += nodes.contains(index) ? 1 : 0;
         stop(index);
         break;
       case FaultKind::kRestart:
-        ++ledger.restarts;
+        ++counts.restarts;
         start(index);
         break;
       case FaultKind::kPause:
@@ -192,12 +192,12 @@
         break;
       case FaultKind::kPauseHolder:
         if (const auto current = holder()) {
-          ++ledger.pauses_of_holder;
+          ++counts.pauses_of_holder;
           pause(*current, fault.pattern);
         }
         break;
       case FaultKind::kCut:
-        ++ledger.cuts;
+        ++counts.cuts;
         for (int node = 1; node <= count; ++node) {
           world.setGroup(address(node), static_cast<int>((fault.pattern >> node) & 1U));
         }
@@ -207,13 +207,13 @@
         break;
       case FaultKind::kStore:
         world.store.down = !world.store.down;
-        ledger.store_outages += world.store.down ? 1 : 0;
+        counts.store_outages += world.store.down ? 1 : 0;
         break;
-      case FaultKind::kDepart:
+      case FaultKind::kPlannedStop:
         depart(index);
         break;
       case FaultKind::kReplace:
-        ++ledger.departures;
+        ++counts.departures;
         stop(index);
         setMachine(index, object_store::MachineState::kGone);
         break;
@@ -273,7 +273,7 @@
   /// Speeds of clocks that are not left to chance.
   std::map<int, double> clock_rates;
   std::map<int, Node> nodes;
-  ZoneLedger ledger;
+  RunCounts counts;
   std::function<void(int, VirtualProcess&)> on_start;
   std::function<void(int)> before_stop;
   /// What was found broken first; empty if nothing.
@@ -281,7 +281,7 @@
 
  private:
   void pause(int index, std::uint32_t pattern) {
-    ++ledger.pauses;
+    ++counts.pauses;
     world.pause(address(index), std::chrono::milliseconds(200 + pattern % 3000));
   }
   /// A machine leaves: announced, then gone from the list with its process.
@@ -289,7 +289,7 @@
     if (!nodes.contains(index)) {
       return;
     }
-    ++ledger.departures;
+    ++counts.departures;
     nodes.at(index).membership->announceLeaving();
     nodes.at(index).authority->resign();
     setMachine(index, object_store::MachineState::kLeaving);
@@ -303,11 +303,11 @@
     });
   }
   void acquired(int index, const common::Epoch& epoch) {
-    ++ledger.acquisitions;
+    ++counts.acquisitions;
     if (epoch <= highest_epoch_) {
       report("epoch " + epoch.toString() + " after " + highest_epoch_.toString());
     }
-    ledger.generations += epoch.generation > highest_epoch_.generation ? 1 : 0;
+    counts.generations += epoch.generation > highest_epoch_.generation ? 1 : 0;
     highest_epoch_ = std::max(highest_epoch_, epoch);
     const auto records = nodes.at(index).authority->records(lease::RecordModule::kOrders);
     const auto counter = records.find("counter");
@@ -318,13 +318,13 @@
     }
   }
   void check() {
-    ++ledger.checks;
+    ++counts.checks;
     int holders = 0;
     for (const auto& [index, node] : nodes) {
       if (node.authority && node.authority->heldEpoch()) {
         ++holders;
         const auto& members = node.authority->voterSet().members;
-        ledger.voter_changes += members != last_members_ ? 1 : 0;
+        counts.voter_changes += members != last_members_ ? 1 : 0;
         last_members_ = members;
       }
     }
--- a/tests/lease/store_lease_test.cpp
+++ b/tests/lease/store_lease_test.cpp
@@ -27,8 +27,8 @@
   kKill,
   kPause,
   kPauseHolder,
-  kHideStore,  ///< one node does not reach the store
-  kHideStoreFromHolder,
+  kStoreUnreachable,  ///< one node does not reach the store
+  kStoreUnreachableForHolder,
   kStoreDown,
   kHeal,
   kCutPeers,  ///< splits the nodes in two by the pattern's bits; all reach the store
@@ -134,13 +134,13 @@
           ++pauses_of_holder;
         }
         break;
-      case FaultKind::kHideStore:
+      case FaultKind::kStoreUnreachable:
         world.setStoreReachable(address(index), false);
         break;
-      case FaultKind::kHideStoreFromHolder:
+      case FaultKind::kStoreUnreachableForHolder:
         if (const auto current = holder()) {
           world.setStoreReachable(address(*current), false);
-          ++hidden_from_holder;
+          ++store_cuts_of_holder;
         }
         break;
       case FaultKind::kStoreDown:
@@ -171,7 +171,7 @@
   std::string violation;
   std::uint64_t holders = 0;
   std::uint64_t pauses_of_holder = 0;
-  std::uint64_t hidden_from_holder = 0;
+  std::uint64_t store_cuts_of_holder = 0;
 
  private:
   void pause(int index, std::uint32_t pattern) {
@@ -193,7 +193,7 @@
       if (self != last_holder_) {
         holders += 1;
         // Clocks differ by some percents.
-        const auto least = lease_settings.hand_over_gap * 19 / 20;
+        const auto least = lease_settings.handover_gap * 19 / 20;
         if (last_held_ && world.now() - *last_held_ < least) {
           report("two holders within the gap");
         }
@@ -218,15 +218,16 @@
 };
 
 rc::Gen<std::vector<Fault>> faultSchedule() {
-  const auto kinds = rc::gen::weightedElement<FaultKind>({{3, FaultKind::kRestart},
-                                                          {1, FaultKind::kKill},
-                                                          {2, FaultKind::kPause},
-                                                          {3, FaultKind::kPauseHolder},
-                                                          {1, FaultKind::kHideStore},
-                                                          {2, FaultKind::kHideStoreFromHolder},
-                                                          {1, FaultKind::kStoreDown},
-                                                          {6, FaultKind::kHeal},
-                                                          {2, FaultKind::kCutPeers}});
+  const auto kinds =
+      rc::gen::weightedElement<FaultKind>({{3, FaultKind::kRestart},
+                                           {1, FaultKind::kKill},
+                                           {2, FaultKind::kPause},
+                                           {3, FaultKind::kPauseHolder},
+                                           {1, FaultKind::kStoreUnreachable},
+                                           {2, FaultKind::kStoreUnreachableForHolder},
+                                           {1, FaultKind::kStoreDown},
+                                           {6, FaultKind::kHeal},
+                                           {2, FaultKind::kCutPeers}});
   const auto fault = rc::gen::build<Fault>(
       rc::gen::set(&Fault::kind, kinds), rc::gen::set(&Fault::node, rc::gen::inRange(0, 12)),
       rc::gen::set(&Fault::pattern, rc::gen::inRange<std::uint32_t>(0, 1U << 16)),
@@ -236,21 +237,21 @@
 
 class StoreLeaseTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreLeaseTest);
-  CPPUNIT_TEST(makesNoCallWhileNothingIsToBeOrdered);
-  CPPUNIT_TEST(takesAFreeLeaseAtOnce);
-  CPPUNIT_TEST(renewsWhileNeededAndLapsesAfterwards);
-  CPPUNIT_TEST(sameHolderTakesItAgainUnderTheSameTerm);
-  CPPUNIT_TEST(nextHolderWaitsForTheGap);
-  CPPUNIT_TEST(holderWithoutTheStoreStops);
-  CPPUNIT_TEST(refusedHolderDropsItsClaimAndRaisesItsTerm);
-  CPPUNIT_TEST(objectThatIsNoLeaseIsLeftAlone);
-  CPPUNIT_TEST(recordsAreReadAsWritten);
-  CPPUNIT_TEST(decoderTakesAnyText);
-  CPPUNIT_TEST(oneHolderAtATimeInFaultStorms);
+  CPPUNIT_TEST(makesNoStoreCallWhileNotNeeded);
+  CPPUNIT_TEST(acquiresFreeLeaseImmediately);
+  CPPUNIT_TEST(renewsWhileNeededThenExpires);
+  CPPUNIT_TEST(sameHolderReacquiresUnderSameTerm);
+  CPPUNIT_TEST(nextHolderWaitsForHandoverGap);
+  CPPUNIT_TEST(holderThatCannotReachStoreLosesLease);
+  CPPUNIT_TEST(supersededHolderReacquiresUnderHigherTerm);
+  CPPUNIT_TEST(unreadableLeaseObjectIsNotOverwritten);
+  CPPUNIT_TEST(leaseRecordRoundTrips);
+  CPPUNIT_TEST(decoderNeverCrashes);
+  CPPUNIT_TEST(oneHolderAtATimeUnderRandomFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void makesNoCallWhileNothingIsToBeOrdered() {
+  void makesNoStoreCallWhileNotNeeded() {
     StoreLeaseZone zone(1);
     zone.wanted = false;
     zone.startAll(5);
@@ -260,7 +261,7 @@
     CPPUNIT_ASSERT(!zone.holder());
   }
 
-  void takesAFreeLeaseAtOnce() {
+  void acquiresFreeLeaseImmediately() {
     StoreLeaseZone zone(2);
     zone.wanted = false;
     zone.startAll(5);
@@ -270,7 +271,7 @@
     CPPUNIT_ASSERT(taken && *taken < 300ms);
   }
 
-  void renewsWhileNeededAndLapsesAfterwards() {
+  void renewsWhileNeededThenExpires() {
     StoreLeaseZone zone(3);
     zone.startAll(3);
     CPPUNIT_ASSERT(zone.awaitHolder(5s));
@@ -286,7 +287,7 @@
     CPPUNIT_ASSERT_EQUAL(calm, zone.world.store.writes);
   }
 
-  void sameHolderTakesItAgainUnderTheSameTerm() {
+  void sameHolderReacquiresUnderSameTerm() {
     StoreLeaseZone zone(4);
     zone.startAll(3);
     CPPUNIT_ASSERT(zone.awaitHolder(5s));
@@ -301,7 +302,7 @@
     CPPUNIT_ASSERT(epoch == zone.nodes.at(first).lease->heldEpoch());
   }
 
-  void nextHolderWaitsForTheGap() {
+  void nextHolderWaitsForHandoverGap() {
     StoreLeaseZone zone(5);
     zone.startAll(5);
     CPPUNIT_ASSERT(zone.awaitHolder(5s));
@@ -309,14 +310,14 @@
     zone.stop(first);
     const auto taken = zone.awaitHolder(15s, first);
     CPPUNIT_ASSERT(taken.has_value());
-    const Duration gap = zone.lease_settings.hand_over_gap;
+    const Duration gap = zone.lease_settings.handover_gap;
     CPPUNIT_ASSERT(*taken >= gap);
     // Membership notices the loss first.
     CPPUNIT_ASSERT(*taken <= gap + zone.lease_settings.duration + 3s);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
-  void holderWithoutTheStoreStops() {
+  void holderThatCannotReachStoreLosesLease() {
     StoreLeaseZone zone(6);
     zone.startAll(4);
     CPPUNIT_ASSERT(zone.awaitHolder(5s));
@@ -330,7 +331,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
-  void refusedHolderDropsItsClaimAndRaisesItsTerm() {
+  void supersededHolderReacquiresUnderHigherTerm() {
     StoreLeaseZone zone(7);
     zone.startAll(3);
     CPPUNIT_ASSERT(zone.awaitHolder(5s));
@@ -342,7 +343,7 @@
     CPPUNIT_ASSERT(lease.heldEpoch() && *lease.heldEpoch() > epoch);
   }
 
-  void objectThatIsNoLeaseIsLeftAlone() {
+  void unreadableLeaseObjectIsNotOverwritten() {
     StoreLeaseZone zone(8);
     const std::string key = leaseKey("hall-a");
     zone.world.store.objects[key] = {key, 3, "{\"holder\": 7}", "somebody"};
@@ -352,7 +353,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.world.store.writes);
   }
 
-  void recordsAreReadAsWritten() {
+  void leaseRecordRoundTrips() {
     testing::requireProperty("lease records are read as written", 200, [] {
       const auto address =
           *rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~')));
@@ -364,7 +365,7 @@
     });
   }
 
-  void decoderTakesAnyText() {
+  void decoderNeverCrashes() {
     testing::requireProperty("a lease decoder takes any text", 500, [] {
       const auto text = *rc::gen::arbitrary<std::string>();
       try {
@@ -377,7 +378,7 @@
 
   /// One node acts at a time, the next one after the gap and under a higher term, whatever becomes
   /// of nodes, links, store, answers and late writes; and once faults end there is a holder.
-  void oneHolderAtATimeInFaultStorms() {
+  void oneHolderAtATimeUnderRandomFaults() {
     std::uint64_t holders = 0;
     std::uint64_t pauses = 0;
     std::uint64_t hidden = 0;
@@ -409,7 +410,7 @@
       RC_ASSERT(recovery.has_value());
       holders += zone.holders;
       pauses += zone.pauses_of_holder;
-      hidden += zone.hidden_from_holder;
+      hidden += zone.store_cuts_of_holder;
       late += zone.world.store.late_effects;
       lost += zone.world.store.answers_lost;
     });
--- a/tests/lease/voter_promise_test.cpp
+++ b/tests/lease/voter_promise_test.cpp
@@ -14,23 +14,23 @@
 /// A node that joins the voters is given the records first and asked for its grant after.
 class VoterPromiseTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(VoterPromiseTest);
-  CPPUNIT_TEST(grantsToTheHolderWhoseRecordsItKeeps);
-  CPPUNIT_TEST(refusesAnotherCandidateOfThatEpoch);
-  CPPUNIT_TEST(refusesTheHolderAfterItsRelease);
+  CPPUNIT_TEST(grantsToHolderWhoseRecordsItStores);
+  CPPUNIT_TEST(refusesOtherCandidateForSameEpoch);
+  CPPUNIT_TEST(refusesHolderAfterItsRelease);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void setUp() override { voter_.handle(holder_, ReplicateRequest{1, epoch_, {}}); }
 
-  void grantsToTheHolderWhoseRecordsItKeeps() {
+  void grantsToHolderWhoseRecordsItStores() {
     CPPUNIT_ASSERT(voter_.handle(holder_, request()).verdict == GrantVerdict::kGranted);
   }
 
-  void refusesAnotherCandidateOfThatEpoch() {
+  void refusesOtherCandidateForSameEpoch() {
     CPPUNIT_ASSERT(voter_.handle(other_, request()).verdict == GrantVerdict::kPromised);
   }
 
-  void refusesTheHolderAfterItsRelease() {
+  void refusesHolderAfterItsRelease() {
     voter_.handle(holder_, request());
     voter_.handle(holder_, ReleaseNotice{epoch_, false});
     CPPUNIT_ASSERT(voter_.handle(holder_, request()).verdict == GrantVerdict::kPromised);
--- a/tests/lease/voter_test.cpp
+++ b/tests/lease/voter_test.cpp
@@ -26,15 +26,15 @@
 
 class VoterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(VoterTest);
-  CPPUNIT_TEST(grantsToOneUntilItRunsOut);
-  CPPUNIT_TEST(keepsItsPromiseAfterTheGrant);
-  CPPUNIT_TEST(vacatedEpochMayBeGrantedAgain);
+  CPPUNIT_TEST(grantsToOneCandidateUntilExpiry);
+  CPPUNIT_TEST(keepsPromiseAfterGrantExpires);
+  CPPUNIT_TEST(releasedUnusedEpochMayBeGrantedAgain);
   CPPUNIT_TEST(probePromisesNothing);
-  CPPUNIT_TEST(refusesOlderSetsAndForeignOnes);
-  CPPUNIT_TEST(waitsALeaseBeforeTheFirstGrantOfANewGeneration);
-  CPPUNIT_TEST(sealedVoterStaysOut);
+  CPPUNIT_TEST(refusesOlderSetsAndSetsWithoutIt);
+  CPPUNIT_TEST(waitsOneLeaseBeforeGrantingInNewGeneration);
+  CPPUNIT_TEST(sealedVoterRefusesOldGeneration);
   CPPUNIT_TEST(refusesRecordsOfAnOlderEpoch);
-  CPPUNIT_TEST(removedVoterForgetsItsRecordsOnce);
+  CPPUNIT_TEST(removedVoterDropsItsRecords);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -44,7 +44,7 @@
     voter_->learn(setOf({1, 0, 0}));
   }
 
-  void grantsToOneUntilItRunsOut() {
+  void grantsToOneCandidateUntilExpiry() {
     CPPUNIT_ASSERT(ask(kFirst, {1, 1}) == GrantVerdict::kGranted);
     CPPUNIT_ASSERT(ask(kSecond, {1, 2}) == GrantVerdict::kHeld);
     clock_.time += 900ms;
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT(ask(kSecond, {1, 2}) == GrantVerdict::kGranted);
   }
 
-  void keepsItsPromiseAfterTheGrant() {
+  void keepsPromiseAfterGrantExpires() {
     ask(kFirst, {1, 5});
     clock_.time += 2s;
     CPPUNIT_ASSERT(ask(kSecond, {1, 5}) == GrantVerdict::kPromised);
@@ -65,7 +65,7 @@
     CPPUNIT_ASSERT(ask(kFirst, {1, 5}) == GrantVerdict::kPromised);
   }
 
-  void vacatedEpochMayBeGrantedAgain() {
+  void releasedUnusedEpochMayBeGrantedAgain() {
     ask(kFirst, {1, 5});
     voter_->handle(kSecond, ReleaseNotice{{1, 5}, true});
     CPPUNIT_ASSERT(ask(kSecond, {1, 5}) == GrantVerdict::kPromised);
@@ -83,7 +83,7 @@
     CPPUNIT_ASSERT(voter_->promised() == common::Epoch{});
   }
 
-  void refusesOlderSetsAndForeignOnes() {
+  void refusesOlderSetsAndSetsWithoutIt() {
     voter_->learn(setOf({1, 3, 0}));
     CPPUNIT_ASSERT(ask(kFirst, {1, 4}) == GrantVerdict::kOlderSet);
     LeaseRequest unknown = request({1, 4});
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT(voter_->handle(kFirst, unknown).verdict == GrantVerdict::kGranted);
   }
 
-  void waitsALeaseBeforeTheFirstGrantOfANewGeneration() {
+  void waitsOneLeaseBeforeGrantingInNewGeneration() {
     LeaseRequest next = request({2, 1});
     next.set_version = {2, 0, 0};
     next.set = {setOf({2, 0, 0})};
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT(voter_->handle(kFirst, next).verdict == GrantVerdict::kGranted);
   }
 
-  void sealedVoterStaysOut() {
+  void sealedVoterRefusesOldGeneration() {
     voter_->learn(setOf({1, 3, 0}));
     CPPUNIT_ASSERT(!voter_->handle(SealRequest{2, {1, 2, 0}}).sealed);
     CPPUNIT_ASSERT(voter_->handle(SealRequest{2, {1, 3, 0}}).sealed);
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, record.version.sequence);
   }
 
-  void removedVoterForgetsItsRecordsOnce() {
+  void removedVoterDropsItsRecords() {
     ask(kFirst, {1, 1});
     voter_->handle(kFirst, recordUnder({1, 1}, 1));
     const VoterSet without{{1, 1, 1}, {kFirst}, {}};
@@ -136,7 +136,7 @@
     voter_->learnCommitted(without);
     CPPUNIT_ASSERT(voter_->records().records().empty());
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1},
-                         voter_->handle(kFirst, FetchRequest{1, {1, 1}, {}}).records_life);
+                         voter_->handle(kFirst, FetchRequest{1, {1, 1}, {}}).records_incarnation);
   }
 
  private:
--- a/tests/lease/zone_authority_test.cpp
+++ b/tests/lease/zone_authority_test.cpp
@@ -19,17 +19,17 @@
   CPPUNIT_TEST_SUITE(ZoneAuthorityTest);
   CPPUNIT_TEST(oneHolderAndFiveVoters);
   CPPUNIT_TEST(singleNodeHoldsAlone);
-  CPPUNIT_TEST(nextHolderAfterAKill);
-  CPPUNIT_TEST(worksThroughAStoreOutage);
-  CPPUNIT_TEST(pausedHolderWakesWithoutLease);
+  CPPUNIT_TEST(electsNextHolderAfterKill);
+  CPPUNIT_TEST(keepsLeaseThroughStoreOutage);
+  CPPUNIT_TEST(pausedHolderResumesWithoutLease);
   CPPUNIT_TEST(minorityHasNoHolder);
-  CPPUNIT_TEST(plannedStopHandsOver);
+  CPPUNIT_TEST(plannedStopHandsOverLease);
   CPPUNIT_TEST(allVotersReplacedOneByOneWithTheStoreDown);
   CPPUNIT_TEST(newGenerationAfterEveryVoterRestarted);
-  CPPUNIT_TEST(silentMajorityIsNotReplaced);
-  CPPUNIT_TEST(lostStoreAnswersAreSettled);
-  CPPUNIT_TEST(slowClockOfAHolderNeverOverlaps);
-  CPPUNIT_TEST(idleControlBytesStayInBudget);
+  CPPUNIT_TEST(unreachableMajorityIsNotReplaced);
+  CPPUNIT_TEST(lostStoreAnswersAreResolvedByReadBack);
+  CPPUNIT_TEST(slowHolderClockNeverOverlapsNextLease);
+  CPPUNIT_TEST(idleControlTrafficStaysWithinLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -43,7 +43,7 @@
     for (const auto& [index, node] : zone.nodes) {
       CPPUNIT_ASSERT(!node.authority->believedHolder().empty());
     }
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.ledger.acquisitions);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.counts.acquisitions);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
@@ -53,7 +53,7 @@
     CPPUNIT_ASSERT(zone.awaitHolder(4s).has_value());
   }
 
-  void nextHolderAfterAKill() {
+  void electsNextHolderAfterKill() {
     LeaseZone zone(3);
     zone.startAll(5);
     zone.awaitHolder(5s);
@@ -63,23 +63,23 @@
     const auto time = zone.awaitHolder(5s);
     CPPUNIT_ASSERT(time.has_value());
     CPPUNIT_ASSERT(*time < 2s);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.ledger.committed_records);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.counts.committed_records);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
-  void worksThroughAStoreOutage() {
+  void keepsLeaseThroughStoreOutage() {
     LeaseZone zone(4);
     zone.startAll(5);
     zone.awaitHolder(5s);
     zone.world.runFor(2s);
     zone.world.store.down = true;
     zone.world.runFor(60s);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.ledger.acquisitions);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.counts.acquisitions);
     zone.stop(zone.holder().value());
     CPPUNIT_ASSERT(zone.awaitHolder(2s).has_value());
   }
 
-  void pausedHolderWakesWithoutLease() {
+  void pausedHolderResumesWithoutLease() {
     LeaseZone zone(5);
     zone.startAll(5);
     zone.awaitHolder(5s);
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
-  void plannedStopHandsOver() {
+  void plannedStopHandsOverLease() {
     LeaseZone zone(7);
     zone.startAll(5);
     zone.awaitHolder(5s);
@@ -147,7 +147,7 @@
     zone.start(5);
     zone.world.runFor(5s);
     CPPUNIT_ASSERT(zone.holder().has_value());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.ledger.generations);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.counts.generations);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
@@ -158,11 +158,11 @@
     zone.world.runFor(2s);
     zone.startAll(5);
     CPPUNIT_ASSERT(zone.awaitHolder(8s).has_value());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, zone.ledger.generations);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, zone.counts.generations);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
-  void silentMajorityIsNotReplaced() {
+  void unreachableMajorityIsNotReplaced() {
     LeaseZone zone(10);
     zone.startAll(5);
     zone.awaitHolder(5s);
@@ -173,11 +173,11 @@
     }
     zone.world.runFor(60s);
     CPPUNIT_ASSERT(zone.holder().value() <= 3);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.ledger.generations);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.counts.generations);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
 
-  void lostStoreAnswersAreSettled() {
+  void lostStoreAnswersAreResolvedByReadBack() {
     LeaseZone zone(11);
     zone.world.store.lost_answers = 1;
     zone.startAll(3);
@@ -187,7 +187,7 @@
 
   /// Bytes of encoded envelopes that a node of a zone of 13 sends a second for membership and
   /// lease.
-  void idleControlBytesStayInBudget() {
+  void idleControlTrafficStaysWithinLimit() {
     constexpr int kSeconds = 60;
     LeaseZone zone(12);
     zone.startAll(13);
@@ -211,7 +211,7 @@
 
   /// A holder with a slow clock is cut off; voters with fast clocks elect the next as early as they
   /// can.
-  void slowClockOfAHolderNeverOverlaps() {
+  void slowHolderClockNeverOverlapsNextLease() {
     int slow_holders = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       LeaseZone zone(seed);
--- a/tests/object_store/http_platform_test.cpp
+++ b/tests/object_store/http_platform_test.cpp
@@ -21,10 +21,10 @@
 class HttpPlatformTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpPlatformTest);
   CPPUNIT_TEST(readsObjects);
-  CPPUNIT_TEST(writesAndTellsHowWritesFailed);
+  CPPUNIT_TEST(writesAndReportsWriteFailures);
   CPPUNIT_TEST(listsAndWatches);
   CPPUNIT_TEST(readsMachines);
-  CPPUNIT_TEST(anyBytesAreReadOrRefused);
+  CPPUNIT_TEST(malformedAnswersAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT_EQUAL(3.0, counters_.total("cypresswall_store_unavailable_total"));
   }
 
-  void writesAndTellsHowWritesFailed() {
+  void writesAndReportsWriteFailures() {
     server_.answer(httpAnswer(200, kObject));
     CPPUNIT_ASSERT(write(store_).ok());
     const std::string& sent = server_.requests().at(0);
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT(!fetch(machines).ok());
   }
 
-  void anyBytesAreReadOrRefused() {
+  void malformedAnswersAreRefused() {
     testing::requireProperty(
         "no answer of the platform crashes a parser", 2000, [](const std::string& bytes) {
           RC_ASSERT_THROWS_AS(parseStoredObject(bytes), PlatformProtocolError);
--- a/tests/object_store/platform_standin_test.cpp
+++ b/tests/object_store/platform_standin_test.cpp
@@ -23,10 +23,10 @@
 class PlatformStandinTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformStandinTest);
   CPPUNIT_TEST(writesAreComparedAndSet);
-  CPPUNIT_TEST(lostAnswersAreUnknownAndReadBack);
+  CPPUNIT_TEST(lostAnswersAreUnknownUntilReadBack);
   CPPUNIT_TEST(outagesDoNothing);
-  CPPUNIT_TEST(watchesGiveChanges);
-  CPPUNIT_TEST(watchesEndAtARestore);
+  CPPUNIT_TEST(watchesReturnChanges);
+  CPPUNIT_TEST(watchesFailAfterRestore);
   CPPUNIT_TEST(readsMachines);
   CPPUNIT_TEST_SUITE_END();
 
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT(list("x").value().objects.empty());
   }
 
-  void lostAnswersAreUnknownAndReadBack() {
+  void lostAnswersAreUnknownUntilReadBack() {
     emulation::ObjectStoreFaults faults;
     faults.lose_next_answers = 1;
     store_.setFaults(faults);
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT(get("k").failure().kind == StoreFailure::kNotFound);
   }
 
-  void watchesGiveChanges() {
+  void watchesReturnChanges() {
     const auto start = list("a/").value().revision;
     const auto empty = watch("a/", start);
     CPPUNIT_ASSERT(empty.value().objects.empty());
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("yes"), seen->value().objects.at(0).value);
   }
 
-  void watchesEndAtARestore() {
+  void watchesFailAfterRestore() {
     CPPUNIT_ASSERT(write("a/1", 0, "x", "c1").ok());
     const auto revision = list("a/").value().revision;
     store_.restoreToRevision(0);
--- a/tests/store_relay/change_history_test.cpp
+++ b/tests/store_relay/change_history_test.cpp
@@ -14,15 +14,15 @@
 
 class ChangeHistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChangeHistoryTest);
-  CPPUNIT_TEST(givesWhatCameAfter);
-  CPPUNIT_TEST(oldChangesGiveWay);
-  CPPUNIT_TEST(givesNothingTooLarge);
-  CPPUNIT_TEST(restartForgets);
-  CPPUNIT_TEST(neverGoesBack);
+  CPPUNIT_TEST(returnsChangesAfterRevision);
+  CPPUNIT_TEST(oldChangesAreEvicted);
+  CPPUNIT_TEST(refusesAnswersAboveLimit);
+  CPPUNIT_TEST(restartDropsHistory);
+  CPPUNIT_TEST(ignoresOlderRevisions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void givesWhatCameAfter() {
+  void returnsChangesAfterRevision() {
     ChangeHistory history = begun();
     history.add({changeOf(11, 10), changeOf(12, 10)}, 12);
     history.add({}, 15);
@@ -37,7 +37,7 @@
     CPPUNIT_ASSERT(!history.since(9, kReplyBytes));
   }
 
-  void oldChangesGiveWay() {
+  void oldChangesAreEvicted() {
     ChangeHistory history = begun();
     history.add({changeOf(11, 50)}, 11);
     history.add({changeOf(12, 40)}, 12);
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT(history.since(14, kKeptBytes)->empty());
   }
 
-  void givesNothingTooLarge() {
+  void refusesAnswersAboveLimit() {
     ChangeHistory history = begun();
     history.add({changeOf(11, 40)}, 11);
     history.add({changeOf(12, 40)}, 12);
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT(history.since(11, kReplyBytes));
   }
 
-  void restartForgets() {
+  void restartDropsHistory() {
     ChangeHistory history = begun();
     history.add({changeOf(11, 10)}, 11);
     history.restart(20);
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, history.changed());
   }
 
-  void neverGoesBack() {
+  void ignoresOlderRevisions() {
     ChangeHistory history = begun();
     history.add({changeOf(9, 10)}, 9);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, history.revision());
--- a/tests/store_relay/change_packer_test.cpp
+++ b/tests/store_relay/change_packer_test.cpp
@@ -41,23 +41,23 @@
 
 class ChangePackerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChangePackerTest);
-  CPPUNIT_TEST(smallContentsStayAsTheyAre);
-  CPPUNIT_TEST(manyRoutesMoreFitABusyLink);
-  CPPUNIT_TEST(aChangeOfALargeConfigurationIsSmall);
-  CPPUNIT_TEST(aDifferenceNeedsItsBase);
-  CPPUNIT_TEST(bytesThatAreNoContentGiveNull);
-  CPPUNIT_TEST(peersFollowAnyChanges);
+  CPPUNIT_TEST(smallContentsAreSentPlain);
+  CPPUNIT_TEST(manyAddedRoutesFitBusyLink);
+  CPPUNIT_TEST(changeOfLargeConfigurationIsSmall);
+  CPPUNIT_TEST(differenceNeedsItsBase);
+  CPPUNIT_TEST(invalidBytesGiveNull);
+  CPPUNIT_TEST(peersFollowAllChanges);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void smallContentsStayAsTheyAre() {
+  void smallContentsAreSentPlain() {
     ChangePacker packer;
     const StoreChange change = packer.packPut(kName, 3, {{"a", 1}});
     CPPUNIT_ASSERT_EQUAL(std::string(R"({"a":1})"), change.content);
     CPPUNIT_ASSERT(change.encoding == ContentEncoding::kPlain);
   }
 
-  void manyRoutesMoreFitABusyLink() {
+  void manyAddedRoutesFitBusyLink() {
     ChangePacker packer;
     packer.note(kName, 3, routes(12));
     const Json content = routes(1400);
@@ -66,7 +66,7 @@
   }
 
   /// Ten times as many routes, of which a few change.
-  void aChangeOfALargeConfigurationIsSmall() {
+  void changeOfLargeConfigurationIsSmall() {
     ChangePacker packer;
     ChangePacker peer;
     Json content = routes(14000);
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(peer.unpack(change) == content);
   }
 
-  void aDifferenceNeedsItsBase() {
+  void differenceNeedsItsBase() {
     ChangePacker packer;
     ChangePacker peer;
     packer.note(kName, 3, routes(100));
@@ -93,7 +93,7 @@
     CPPUNIT_ASSERT(peer.unpack(change) == routes(101));
   }
 
-  void bytesThatAreNoContentGiveNull() {
+  void invalidBytesGiveNull() {
     ChangePacker packer;
     StoreChange change{kName, 4, false, "no content"};
     CPPUNIT_ASSERT(!packer.unpack(change).is_object());
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT(!packer.unpack(change).is_object());
   }
 
-  void peersFollowAnyChanges() {
+  void peersFollowAllChanges() {
     testing::requireProperty("a peer that takes each change holds what was read", 60, [] {
       ChangePacker packer;
       ChangePacker peer;
--- a/tests/store_relay/large_zone_test.cpp
+++ b/tests/store_relay/large_zone_test.cpp
@@ -12,25 +12,25 @@
 using testing::RelayZone;
 
 constexpr int kNodes = 295;
-constexpr common::Duration kSettled = seconds(6);
+constexpr common::Duration kSettleTime = seconds(6);
 
 class LargeRelayZoneTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LargeRelayZoneTest);
-  CPPUNIT_TEST(aChangeReachesAllThroughTheTree);
-  CPPUNIT_TEST(messagesAndCallsDoNotGrowWithTheZone);
-  CPPUNIT_TEST(theLossOfFortyPercentIsMadeUpWithinTheBound);
-  CPPUNIT_TEST(theFirstReaderIsReplaced);
-  CPPUNIT_TEST(aStoreThatComesBackIsFollowedAgain);
-  CPPUNIT_TEST(aZoneThatStartsAsksTheStoreFewTimes);
-  CPPUNIT_TEST(aNodeThatStartsTakesAPeersCopy);
-  CPPUNIT_TEST(aNodeThatStartsWhileTheStoreIsAwayHasAPeersCopy);
-  CPPUNIT_TEST(nodesThatAllLostEverythingReadTheStoreAgain);
+  CPPUNIT_TEST(changeReachesAllNodesThroughTree);
+  CPPUNIT_TEST(messagesAndCallsDoNotGrowWithZoneSize);
+  CPPUNIT_TEST(lossOfFortyPercentIsCompensatedInTime);
+  CPPUNIT_TEST(firstReaderIsReplaced);
+  CPPUNIT_TEST(recoveredStoreIsFollowedAgain);
+  CPPUNIT_TEST(startingZoneMakesFewStoreCalls);
+  CPPUNIT_TEST(startingNodeTakesPeersCopy);
+  CPPUNIT_TEST(startingNodeTakesPeersCopyDuringStoreOutage);
+  CPPUNIT_TEST(zoneThatLostAllCopiesReadsStoreAgain);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void aChangeReachesAllThroughTheTree() {
+  void changeReachesAllNodesThroughTree() {
     RelayZone zone(kNodes);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     const std::uint64_t before = zone.store.calls;
     zone.store.put("a", std::string(30000, 'x'));
     zone.run(milliseconds(300));
@@ -38,11 +38,11 @@
     CPPUNIT_ASSERT(zone.store.calls - before <= 9);
   }
 
-  void messagesAndCallsDoNotGrowWithTheZone() {
+  void messagesAndCallsDoNotGrowWithZoneSize() {
     std::map<int, double> messages;
     for (const int count : {30, kNodes, 1000}) {
       RelayZone zone(count);
-      zone.run(kSettled);
+      zone.run(kSettleTime);
       const std::uint64_t calls = zone.store.calls;
       const std::uint64_t delivered = zone.simulation.network().deliveredMessages();
       zone.run(seconds(10));
@@ -57,9 +57,9 @@
     CPPUNIT_ASSERT(messages[1000] <= 4);
   }
 
-  void theLossOfFortyPercentIsMadeUpWithinTheBound() {
+  void lossOfFortyPercentIsCompensatedInTime() {
     RelayZone zone(kNodes, 3);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (RelayZone::Node& node : zone.nodes) {
       if (zone.simulation.random().unit() < 0.4) {
         zone.simulation.kill(*node.process);
@@ -71,9 +71,9 @@
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
   }
 
-  void theFirstReaderIsReplaced() {
+  void firstReaderIsReplaced() {
     RelayZone zone(60, 4);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (RelayZone::Node* const reader : zone.readers()) {
       zone.simulation.kill(*reader->process);
       zone.store.put("a", reader->process->id().address);
@@ -82,34 +82,34 @@
     }
   }
 
-  void aStoreThatComesBackIsFollowedAgain() {
+  void recoveredStoreIsFollowedAgain() {
     RelayZone zone(kNodes, 5);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (const RelayZone::Node& node : zone.nodes) {
-      zone.store.silent_to.push_back(node.process->id().address);
+      zone.store.unresponsive_to.push_back(node.process->id().address);
     }
     zone.run(seconds(4));
-    zone.store.silent_to.clear();
+    zone.store.unresponsive_to.clear();
     zone.store.put("a", "1");
     zone.run(seconds(4));
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
   }
 
   /// Each node's own listing and first watch came to 590 calls for one topic.
-  void aZoneThatStartsAsksTheStoreFewTimes() {
+  void startingZoneMakesFewStoreCalls() {
     RelayZone zone(kNodes, 6);
     zone.run(seconds(3));
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
     CPPUNIT_ASSERT_MESSAGE(std::to_string(zone.store.calls), zone.store.calls <= 20);
   }
 
-  void aNodeThatStartsTakesAPeersCopy() {
+  void startingNodeTakesPeersCopy() {
     for (const int count : {9, kNodes}) {
       RelayZone zone(count, 7);
       zone.store.put("a", "1");
-      zone.run(kSettled);
+      zone.run(kSettleTime);
       const std::uint64_t before = zone.store.calls;
-      const int index = zone.restartOneThatDoesNotRead();
+      const int index = zone.restartNonReader();
       zone.run(milliseconds(100));
       CPPUNIT_ASSERT(zone.nodes[static_cast<std::size_t>(index)].copy->objects ==
                      zone.store.objects());
@@ -125,24 +125,24 @@
     }
   }
 
-  void aNodeThatStartsWhileTheStoreIsAwayHasAPeersCopy() {
+  void startingNodeTakesPeersCopyDuringStoreOutage() {
     RelayZone zone(60, 8);
     zone.store.put("a", "1");
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (const RelayZone::Node& node : zone.nodes) {
-      zone.store.silent_to.push_back(node.process->id().address);
+      zone.store.unresponsive_to.push_back(node.process->id().address);
     }
     zone.run(seconds(3));
-    const int index = zone.restartOneThatDoesNotRead();
+    const int index = zone.restartNonReader();
     zone.run(milliseconds(100));
     CPPUNIT_ASSERT(zone.nodes[static_cast<std::size_t>(index)].copy->objects ==
                    zone.store.objects());
   }
 
-  void nodesThatAllLostEverythingReadTheStoreAgain() {
+  void zoneThatLostAllCopiesReadsStoreAgain() {
     RelayZone zone(60, 9);
     zone.store.put("a", "1");
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (int index = 0; index < 60; ++index) {
       zone.restart(index);
     }
--- a/tests/store_relay/relay_zone.h
+++ b/tests/store_relay/relay_zone.h
@@ -48,7 +48,7 @@
 
   std::uint64_t calls = 0;
   /// Addresses of nodes to which the store says nothing.
-  std::vector<common::Address> silent_to;
+  std::vector<common::Address> unresponsive_to;
 
  private:
   std::uint64_t revision_ = 1;
@@ -108,8 +108,8 @@
     ++calls;
     ++store_.calls;
     process_.deliverAfter(kLatency, [this] {
-      const bool silent = std::find(store_.silent_to.begin(), store_.silent_to.end(),
-                                    process_.id().address) != store_.silent_to.end();
+      const bool silent = std::find(store_.unresponsive_to.begin(), store_.unresponsive_to.end(),
+                                    process_.id().address) != store_.unresponsive_to.end();
       if (silent) {
         process_.deliverAfter(kRetry, [this] { list(); });
         return;
@@ -141,8 +141,8 @@
       if (call != call_) {
         return;
       }
-      const bool silent = std::find(store_.silent_to.begin(), store_.silent_to.end(),
-                                    process_.id().address) != store_.silent_to.end();
+      const bool silent = std::find(store_.unresponsive_to.begin(), store_.unresponsive_to.end(),
+                                    process_.id().address) != store_.unresponsive_to.end();
       const auto changes = store_.since(revision_);
       if (!silent && (!changes.empty() || left <= kStep)) {
         const std::uint64_t at = store_.revision();
@@ -198,7 +198,7 @@
     begin(node);
   }
   /// \return which node was restarted
-  int restartOneThatDoesNotRead() {
+  int restartNonReader() {
     int number = 0;
     while (reads(nodes[static_cast<std::size_t>(number)])) {
       ++number;
--- a/tests/store_relay/store_relay_test.cpp
+++ b/tests/store_relay/store_relay_test.cpp
@@ -13,36 +13,36 @@
 /// The shortest bound within which a change must be in force at the deployments seen so far.
 constexpr common::Duration kChangeBound = seconds(2);
 /// After this each node knows the readers, and no first call of another node waits at the store.
-constexpr common::Duration kSettled = seconds(5);
+constexpr common::Duration kSettleTime = seconds(5);
 
 class StoreRelayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(StoreRelayTest);
-  CPPUNIT_TEST(aFewNodesRead);
-  CPPUNIT_TEST(nodesWithRoomOnTheirLinksRead);
-  CPPUNIT_TEST(suspectedNodesReadForNobody);
-  CPPUNIT_TEST(callsDoNotGrowWithTheZone);
-  CPPUNIT_TEST(changesReachAllAtOnce);
-  CPPUNIT_TEST(changesElsewhereCostNothing);
+  CPPUNIT_TEST(fewNodesAreReaders);
+  CPPUNIT_TEST(nodesWithFastLinksAreReaders);
+  CPPUNIT_TEST(suspectedNodesAreNotReaders);
+  CPPUNIT_TEST(storeCallsDoNotGrowWithZoneSize);
+  CPPUNIT_TEST(changesReachAllNodesPromptly);
+  CPPUNIT_TEST(changesOfOtherObjectsCauseNoPull);
   CPPUNIT_TEST(largeChangesAreReadFromTheStore);
-  CPPUNIT_TEST(lostReadersAreReplacedWithinTheBound);
-  CPPUNIT_TEST(readersThatTheStoreIgnoresAreNotReliedOn);
-  CPPUNIT_TEST(nodeCutFromItsPeersAsksTheStore);
-  CPPUNIT_TEST(lostRepliesAreMadeUpByTheStore);
-  CPPUNIT_TEST(repliesThatComeLateAreTaken);
-  CPPUNIT_TEST(waitingCallComesFirst);
+  CPPUNIT_TEST(lostReadersAreReplacedInTime);
+  CPPUNIT_TEST(readersWithoutStoreContactAreNotUsed);
+  CPPUNIT_TEST(nodeCutOffFromPeersReadsStore);
+  CPPUNIT_TEST(lostRepliesFallBackToStore);
+  CPPUNIT_TEST(lateRepliesAreApplied);
+  CPPUNIT_TEST(pendingCallTakesPrecedence);
   CPPUNIT_TEST(convergesUnderFaults);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void aFewNodesRead() {
+  void fewNodesAreReaders() {
     for (const int count : {1, 2, 3, 9, 59}) {
       RelayZone zone(count);
-      zone.run(kSettled);
+      zone.run(kSettleTime);
       CPPUNIT_ASSERT_EQUAL(std::min(count, 3), static_cast<int>(zone.readers().size()));
     }
   }
 
-  void nodesWithRoomOnTheirLinksRead() {
+  void nodesWithFastLinksAreReaders() {
     RelayZone zone(20);
     for (RelayZone::Node& node : zone.nodes) {
       for (std::size_t i = 0; i < zone.nodes.size(); ++i) {
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, zone.readers().size());
   }
 
-  void suspectedNodesReadForNobody() {
+  void suspectedNodesAreNotReaders() {
     RelayZone zone(9);
     for (RelayZone::Node* const reader : zone.readers()) {
       zone.simulation.kill(*reader->process);
@@ -64,10 +64,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, zone.readers().size());
   }
 
-  void callsDoNotGrowWithTheZone() {
+  void storeCallsDoNotGrowWithZoneSize() {
     for (const int count : {9, 40}) {
       RelayZone zone(count);
-      zone.run(kSettled);
+      zone.run(kSettleTime);
       const std::uint64_t before = zone.store.calls;
       zone.run(seconds(30));
       const std::uint64_t calls = zone.store.calls - before;
@@ -76,9 +76,9 @@
     }
   }
 
-  void changesReachAllAtOnce() {
+  void changesReachAllNodesPromptly() {
     RelayZone zone(40);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     const std::uint64_t before = zone.store.calls;
     zone.store.put("a", "1");
     zone.run(milliseconds(50));
@@ -91,12 +91,12 @@
     CPPUNIT_ASSERT(zone.total("cypresswall_store_relay_pulls_total") >= 37);
   }
 
-  void changesElsewhereCostNothing() {
+  void changesOfOtherObjectsCauseNoPull() {
     RelayZone zone(9);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     const double before = zone.total("cypresswall_store_relay_pulls_total");
     zone.store.changeElsewhere();
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     CPPUNIT_ASSERT_EQUAL(before, zone.total("cypresswall_store_relay_pulls_total"));
     for (const auto& node : zone.nodes) {
       CPPUNIT_ASSERT_EQUAL(zone.store.revision(), node.copy->revision());
@@ -105,16 +105,16 @@
 
   void largeChangesAreReadFromTheStore() {
     RelayZone zone(9);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     zone.store.put("a", std::string(StoreRelaySettings{}.reply_bytes + 1, 'x'));
     zone.run(milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
     CPPUNIT_ASSERT_EQUAL(6.0, zone.total("cypresswall_store_relay_unavailable_total"));
   }
 
-  void lostReadersAreReplacedWithinTheBound() {
+  void lostReadersAreReplacedInTime() {
     RelayZone zone(9);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (RelayZone::Node* const reader : zone.readers()) {
       zone.simulation.kill(*reader->process);
     }
@@ -124,24 +124,24 @@
     CPPUNIT_ASSERT(zone.total("cypresswall_store_relay_silences_total") >= 6);
   }
 
-  void readersThatTheStoreIgnoresAreNotReliedOn() {
+  void readersWithoutStoreContactAreNotUsed() {
     RelayZone zone(9);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     for (const RelayZone::Node* const reader : zone.readers()) {
-      zone.store.silent_to.push_back(reader->process->id().address);
+      zone.store.unresponsive_to.push_back(reader->process->id().address);
     }
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     zone.store.put("a", "1");
     zone.run(milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(3, zone.nodesBehind());
-    zone.store.silent_to.clear();
+    zone.store.unresponsive_to.clear();
     zone.run(kChangeBound);
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
   }
 
-  void nodeCutFromItsPeersAsksTheStore() {
+  void nodeCutOffFromPeersReadsStore() {
     RelayZone zone(9);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     const auto cut = std::find_if(zone.nodes.begin(), zone.nodes.end(),
                                   [&](const auto& node) { return !zone.reads(node); });
     for (const auto& peer : zone.nodes) {
@@ -153,9 +153,9 @@
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
   }
 
-  void lostRepliesAreMadeUpByTheStore() {
+  void lostRepliesFallBackToStore() {
     RelayZone zone(9);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     const auto deaf = std::find_if(zone.nodes.begin(), zone.nodes.end(),
                                    [&](const auto& node) { return !zone.reads(node); });
     for (const auto& peer : zone.nodes) {
@@ -169,17 +169,17 @@
   }
 
   /// Peers' links and the store's are slow at once.
-  void repliesThatComeLateAreTaken() {
+  void lateRepliesAreApplied() {
     for (const int way : {90, 110, 130, 150, 200, 300, 400}) {
       RelayZone zone(9);
-      zone.run(kSettled);
+      zone.run(kSettleTime);
       simulation::LinkSettings slow;
       slow.delay = milliseconds(way);
       zone.simulation.network().setLink(testing::kZone, testing::kZone, slow);
       zone.run(seconds(2));
       for (const auto& node : zone.nodes) {
         if (!zone.reads(node)) {
-          zone.store.silent_to.push_back(node.process->id().address);
+          zone.store.unresponsive_to.push_back(node.process->id().address);
         }
       }
       zone.store.put("a", "1");
@@ -188,12 +188,13 @@
     }
   }
 
-  /// A storm of configurations after a silent store once broke a bound of 2 s with more patience.
-  void waitingCallComesFirst() {
+  /// A storm of configurations after a silent store once broke a bound of 2 s with more
+  /// pending_call_grace.
+  void pendingCallTakesPrecedence() {
     RelayZone zone(3);
-    zone.run(kSettled);
+    zone.run(kSettleTime);
     auto& late = *zone.nodes.front().copy;
-    zone.store.silent_to.push_back(zone.nodes.front().process->id().address);
+    zone.store.unresponsive_to.push_back(zone.nodes.front().process->id().address);
     zone.store.put("a", "1");
     zone.run(milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(0.0, zone.total("cypresswall_store_relay_pulls_total"));
@@ -216,10 +217,10 @@
         disturb(zone, random);
         zone.run(milliseconds(static_cast<std::int64_t>(random.below(300))));
       }
-      zone.store.silent_to.clear();
+      zone.store.unresponsive_to.clear();
       zone.simulation.network().setLink(testing::kZone, testing::kZone, {});
       zone.showMembers();
-      zone.run(kSettled);
+      zone.run(kSettleTime);
       RC_ASSERT(zone.nodesBehind() == 0);
       zone.store.put("last", "x");
       zone.run(milliseconds(500));
@@ -244,10 +245,10 @@
         zone.store.put(name, std::string(StoreRelaySettings{}.reply_bytes, 'x'));
         break;
       case 5:
-        zone.store.silent_to.push_back(node.process->id().address);
+        zone.store.unresponsive_to.push_back(node.process->id().address);
         break;
       case 6:
-        zone.store.silent_to.clear();
+        zone.store.unresponsive_to.clear();
         break;
       default:
         if (node.process->alive() && !node.process->paused()) {
