--- a/src/cypresswall/idempotency/claim_table.cpp
+++ b/src/cypresswall/idempotency/claim_table.cpp
@@ -10,10 +10,10 @@
 using lease::RecordModule;
 
 constexpr const char* kClaimPrefix = "claim/";
-/// Marks a generation in which every claim of earlier ones has outlived the retention.
+/// Marks a generation in which the retention of every claim of earlier generations has ended.
 constexpr const char* kCertainPrefix = "certain/";
 
-/// Holds the version of the set of zones before which no claim is remembered any more.
+/// Holds the version of the zone set before which the retention of every claim has ended.
 constexpr const char* kSettledZonesKey = "settled-zones";
 
 std::string certainKey(std::uint32_t generation) {
@@ -112,8 +112,8 @@
   settleOwnership();
 }
 
-/// Notes on the voters that a set of zones has been in force for so long that no claim of an
-/// earlier one is remembered. A change of holder starts the time anew.
+/// Records on the voters that a zone set has been in force so long that the retention of every
+/// claim of an earlier set has ended. A change of holder restarts this time.
 void ClaimTable::settleOwnership() {
   const auto now = context_.clock.now();
   if (zones_version_ != ownership_.version()) {
@@ -152,7 +152,7 @@
   }
   const bool same_claim = entry->second.record.claim == request.claim;
   if (entry->second.committing && same_claim) {
-    return;  // answered when the claim is committed
+    return;  // Answered when the claim is committed.
   }
   reply = judge(request, entry->second);
   uncertain_count_.add(reply.verdict == HolderVerdict::kUncertain ? 1 : 0);
@@ -163,8 +163,8 @@
   return zones_version_since_ + settings_.retention + settings_.ownership_margin;
 }
 
-/// A holder that knows an older set of zones than the claimer, or than an earlier holder, must not
-/// judge: the key may belong to another zone meanwhile.
+/// A holder that knows an older zone set than the claimer or than an earlier holder must not
+/// decide: another zone may own the key by now.
 bool ClaimTable::mayDecide(const ClaimRequest& request) const {
   if (!authority_.heldEpoch()) {
     return false;
@@ -237,7 +237,7 @@
   const auto entry = entries_.find(report.key);
   const bool known = entry != entries_.end() && entry->second.record.claim == report.claim;
   if (known && entry->second.committing) {
-    return;  // sent again
+    return;  // The claimer sends the report again.
   }
   const bool open = known && entry->second.record.state == ClaimState::kInProgress;
   const bool lost = entry == entries_.end() && report.completed;
@@ -280,7 +280,7 @@
                  });
 }
 
-/// Whether a node of another zone has ended is not known here; it may always report.
+/// Nodes of other zones are assumed alive: their state is not known here.
 bool ClaimTable::claimerMayReport(const ClaimRecord& record) const {
   if (record.zone != context_.zone) {
     return true;
--- a/src/cypresswall/idempotency/claim_table.h
+++ b/src/cypresswall/idempotency/claim_table.h
@@ -1,5 +1,5 @@
-/// The lease holder's table of claims. Each change is kept by a majority of the voters before it is
-/// answered.
+/// The lease holder's table of claims. Each change is stored by a majority of the voters before it
+/// is answered.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 
 namespace cypresswall::idempotency {
 
-/// A claim as the voters keep it.
+/// A claim as replicated to the voters.
 struct ClaimRecord {
   ClaimState state = ClaimState::kInProgress;
   std::uint64_t digest = 0;
@@ -47,15 +47,15 @@
              membership::MembershipView& membership, const KeyOwnership& ownership);
 
   void start();
-  /// Judges a claim. `answered` may be called later, or never if the lease is lost meanwhile.
+  /// Decides a claim. `answered` may be called later, or never if the lease is lost meanwhile.
   void claim(const ClaimRequest& request, const ClaimAnswered& answered);
-  /// Takes a report. `stored` is called once a majority of the voters keeps it.
+  /// Applies a report. `stored` is called once a majority of the voters stores it.
   void report(const ClaimReport& report, const ReportStored& stored);
 
  private:
   struct Entry {
     ClaimRecord record;
-    /// No majority keeps the present state yet.
+    /// The current state is not yet stored by a majority of the voters.
     bool committing = false;
     common::MonotonicTime expires;
   };
@@ -84,10 +84,10 @@
   /// While set and in the future, unknown keys may have been claimed in an earlier generation.
   std::optional<common::MonotonicTime> uncertain_until_;
   std::uint32_t generation_ = 0;
-  /// Claims made under sets of zones before this one have outlived the retention; kept on the
-  /// voters.
+  /// The retention of all claims made under zone sets before this version has ended. Replicated to
+  /// the voters.
   std::uint64_t settled_zones_version_ = 0;
-  /// The set in force, and since when this holder knows it.
+  /// Version of the current zone set, and when this holder learnt of it.
   std::uint64_t zones_version_ = 0;
   common::MonotonicTime zones_version_since_;
   common::Counter& granted_count_;
--- a/src/cypresswall/idempotency/key_claims.h
+++ b/src/cypresswall/idempotency/key_claims.h
@@ -1,6 +1,6 @@
 /// At-most-once execution of requests that carry an idempotency key: a key is claimed before its
-/// request is sent on, and the claim is held by a quorum of the voters of the zone that owns the
-/// key.
+/// request is forwarded, and the claim is stored by a quorum of the voters of the zone that owns
+/// the key.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +13,17 @@
 namespace cypresswall::idempotency {
 
 enum class ClaimVerdict : std::uint8_t {
-  kGranted,        ///< this caller, and nobody else, may run the request
-  kCompleted,      ///< it ran; the recorded answer is given
-  kInProgress,     ///< another attempt holds the claim and has not said how it ended
-  kDifferentBody,  ///< the key was used for another request
-  kUncertain,      ///< earlier claims were lost; whether the key ran can't be known
+  kGranted,        ///< this caller, and no other, may run the request
+  kCompleted,      ///< the request ran; the recorded answer is returned
+  kInProgress,     ///< another attempt holds the claim and has not reported its outcome
+  kDifferentBody,  ///< the key was used for a different request
+  kUncertain,      ///< it cannot be determined whether a request with this key ran
   kUnavailable,    ///< no claim was made: no quorum or holder of the key's zone can be reached
 };
 
 struct ClaimAnswer {
   ClaimVerdict verdict = ClaimVerdict::kUnavailable;
-  /// With kCompleted: the recorded answer, as recorded; empty if it was too large to keep.
+  /// With kCompleted: the recorded answer; empty if it was too large to store.
   std::string recorded_answer;
   common::Duration retry_after{0};
 };
@@ -32,13 +32,13 @@
  public:
   virtual ~KeyClaims() = default;
   /// Claims `key` for a request whose content has `digest`. The callback is called exactly once,
-  /// never before the call returns. kUnavailable after the claim was sent may leave a claim that
-  /// is never granted to anyone: later claims of the key get kInProgress, then kUncertain.
+  /// never before the call returns. After kUnavailable a claim that was sent may remain without
+  /// being granted to any caller: later claims of the key get kInProgress, then kUncertain.
   virtual void claim(const std::string& key, std::uint64_t digest,
                      std::function<void(ClaimAnswer)> callback) = 0;
-  /// Records the answer of a granted claim, for callers that ask again.
+  /// Records the answer of a granted claim, for later requests with the same key.
   virtual void complete(const std::string& key, std::string answer) = 0;
-  /// Gives a granted claim back because the request surely did not run.
+  /// Releases a granted claim because the request certainly did not run.
   virtual void release(const std::string& key) = 0;
 };
 
--- a/src/cypresswall/idempotency/key_ownership.h
+++ b/src/cypresswall/idempotency/key_ownership.h
@@ -1,6 +1,6 @@
-/// Which zone keeps the claims on an idempotency key: one in the whole fleet, chosen among the
-/// zones that are declared, whether or not they can be reached. docs/design/idempotency.md has the
-/// reasons.
+/// Ownership of idempotency keys: exactly one zone of the fleet stores the claims on a key, chosen
+/// among the declared zones whether or not they can be reached. docs/design/idempotency.md gives
+/// the reasons.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,17 @@
 /// \return the zone that owns `key` by rendezvous hashing; empty if there are no zones.
 common::ZoneName owningZone(const std::string& key, const std::vector<common::ZoneName>& zones);
 
-/// Ownership as the configuration in force on this node has it.
+/// Ownership according to the current configuration of this node.
 class KeyOwnership {
  public:
   KeyOwnership(common::ZoneName own_zone, configuration::ConfigurationView& configuration)
       : own_zone_(std::move(own_zone)), configuration_(configuration) {}
 
-  /// \return version of the set of zones in force; zero if no zone was ever declared.
+  /// \return version of the current zone set; zero if no zone was ever declared.
   std::uint64_t version() const;
-  /// \return the zone that owns `key` now; the own zone while none is declared.
+  /// \return the zone that owns `key`; this node's zone while no zone is declared.
   common::ZoneName owner(const std::string& key) const;
-  /// \return true if the own zone owned `key` under every set of zones from that of `version` on.
+  /// \return true if this node's zone owned `key` under every zone set since that of `version`.
   bool ownedSince(const std::string& key, std::uint64_t version) const;
 
  private:
--- a/src/cypresswall/idempotency/messages.h
+++ b/src/cypresswall/idempotency/messages.h
@@ -1,5 +1,6 @@
 /// Messages between a gateway node and a lease holder about claims on idempotency keys. A node of
-/// the key's zone that does not hold the lease passes those of other zones on to its holder, once.
+/// the key's zone that does not hold the lease forwards messages of other zones once, to the
+/// holder.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace cypresswall::idempotency {
 
-/// Names one call of claim() on one node.
+/// Identifies one call of claim() on one node.
 struct ClaimId {
   common::NodeId node;
   std::uint64_t number = 0;
@@ -26,7 +27,7 @@
   std::uint64_t digest = 0;
   /// Zone of the claimer.
   common::ZoneName zone = {};
-  /// Version of the set of zones by which the claimer chose the owner.
+  /// Version of the zone set by which the claimer determined the owner.
   std::uint64_t zones_version = 0;
   bool forwarded = false;
   MSGPACK_DEFINE(claim, key, digest, zone, zones_version, forwarded)
@@ -39,7 +40,7 @@
   kDifferentBody,
   kUncertain,
   kFull,
-  /// Not the holder of the zone that owns the key, or not known to be.
+  /// The receiver does not hold the lease of the owning zone or cannot be sure that it does.
   kNotHolder,
 };
 
@@ -58,13 +59,13 @@
   MSGPACK_DEFINE(claim, verdict, recorded_answer, retry_after_us)
 };
 
-/// How a granted claim ended.
+/// Reports the outcome of a granted claim.
 struct ClaimReport {
   static constexpr auto kType = api::messageType(api::MessageType::kIdempotencyFirst, 2);
   ClaimId claim;
   std::string key;
   std::uint64_t digest = 0;
-  /// True: the request ran and `answer` is its answer. False: it surely did not run.
+  /// True if the request ran and returned `answer`, false if it certainly did not run.
   bool completed = false;
   std::string answer;
   /// Zone of the claimer.
--- a/src/cypresswall/idempotency/quorum_key_claims.cpp
+++ b/src/cypresswall/idempotency/quorum_key_claims.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::idempotency {
 namespace {
 
-/// Given-up claims that are remembered; older ones stay in progress until their retention ends.
+/// Maximum number of abandoned claims that are remembered. A late grant of an older one is not
+/// released: its key stays in progress until the retention ends.
 constexpr std::size_t kRememberedAbandoned = 4096;
 
 ClaimVerdict toVerdict(HolderVerdict verdict) {
@@ -68,8 +69,8 @@
                               [this, message] { handle(context_.self, message); });
 }
 
-/// Sends to the lease holder of `owner`, or to a node there that passes it on; each attempt goes to
-/// another one of those that are known.
+/// Sends to the lease holder if this node's zone is the owner, else to a node of the owning zone,
+/// which forwards the message to its holder; each attempt uses the next known node there.
 template <typename Message>
 void QuorumKeyClaims::sendToOwner(const common::ZoneName& owner, const Message& message,
                                   std::size_t attempt) {
@@ -86,8 +87,8 @@
   }
 }
 
-/// \return true if this node does not hold the lease and the message, which came from another zone,
-///   was left to the holder.
+/// Forwards a message of another zone to the holder if this node does not hold the lease.
+/// \return true if this node must not process the message itself
 template <typename Message>
 bool QuorumKeyClaims::forwardToHolder(const Message& message) {
   if (message.forwarded || message.zone == context_.zone || authority_.heldEpoch()) {
@@ -165,7 +166,7 @@
     return;
   }
   if (reply.verdict == HolderVerdict::kNotHolder) {
-    return;  // sent again, perhaps to another node
+    return;  // The claim is sent again, perhaps to another node.
   }
   const ClaimRequest request = waiting->second.request;
   if (reply.verdict == HolderVerdict::kGranted) {
--- a/src/cypresswall/idempotency/quorum_key_claims.h
+++ b/src/cypresswall/idempotency/quorum_key_claims.h
@@ -1,6 +1,6 @@
-/// KeyClaims by way of the lease holder of the zone that owns the key, which keeps every claim on a
-/// quorum of its zone's voters. Claims on keys of other zones go to a node there, which passes them
-/// on to its holder; the holder answers the claimer directly.
+/// KeyClaims through the lease holder of the zone that owns the key, which replicates every claim
+/// to a quorum of its zone's voters. A claim on a key of another zone is sent to a node there,
+/// which forwards it to the holder; the holder answers the claimer directly.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace cypresswall::idempotency {
 
-/// Modules of the same node that claims rest on. All must outlive the claims.
+/// Modules of the same node that QuorumKeyClaims depends on. All must outlive it.
 struct ClaimInterfaces {
   lease::AuthorityView& authority;
   lease::QuorumLog& log;
@@ -39,27 +39,26 @@
              std::function<void(ClaimAnswer)> callback) override;
   void complete(const std::string& key, std::string answer) override;
   void release(const std::string& key) override;
-  /// \return true if a report of this node is not yet kept by a quorum; a planned stop waits for
-  /// it.
+  /// \return true if a report of this node is not yet acknowledged; a planned stop waits for it.
   bool reportsPending() const { return !reports_.empty(); }
 
  private:
   /// A claim without an answer yet.
   struct Waiting {
     ClaimRequest request;
-    /// Zone that owns the key; stays the same however the configuration changes meanwhile.
+    /// Zone that owned the key when it was claimed; not affected by later configuration changes.
     common::ZoneName owner;
     common::MonotonicTime deadline;
     std::function<void(ClaimAnswer)> callback;
     std::size_t sent = 0;
   };
-  /// A claim that was granted and has not ended.
+  /// A granted claim that is neither completed nor released.
   struct Running {
     ClaimId claim;
     std::uint64_t digest = 0;
     common::ZoneName owner;
   };
-  /// A claim that was given up; a late grant of it is given back.
+  /// A claim that timed out or was released; a late grant of it is released.
   struct Abandoned {
     ClaimRequest request;
     common::ZoneName owner;
--- a/src/cypresswall/lease/authority_record.cpp
+++ b/src/cypresswall/lease/authority_record.cpp
@@ -26,11 +26,11 @@
     }
     std::sort(record.voters.begin(), record.voters.end());
     if (record.generation == 0 || record.voters.empty()) {
-      throw AuthorityRecordError("authority record without generation or voters");
+      throw AuthorityRecordError("authority record lacks generation or voters");
     }
     return record;
   } catch (const nlohmann::json::exception& error) {
-    throw AuthorityRecordError(std::string("authority record can't be read: ") + error.what());
+    throw AuthorityRecordError(std::string("authority record cannot be parsed: ") + error.what());
   }
 }
 
--- a/src/cypresswall/lease/authority_record.h
+++ b/src/cypresswall/lease/authority_record.h
@@ -1,4 +1,4 @@
-/// What the platform's store holds of one zone's authority: generation and voters, as JSON.
+/// The record of one zone's authority in the platform's store: generation and voters, as JSON.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace cypresswall::lease {
 
-/// The stored value of a zone's authority can't be read.
+/// Thrown when the stored authority record of a zone cannot be parsed.
 class AuthorityRecordError : public common::Error {
  public:
   using common::Error::Error;
@@ -21,11 +21,11 @@
   /// Sorted.
   NodeList voters;
 
-  /// \return the voter set that the generation begins with.
+  /// \return the initial voter set of the generation.
   VoterSet firstSet() const { return VoterSet{{generation, 0, 0}, voters, {voters}}; }
 };
 
-/// \return the store's key for the authority of a zone.
+/// \return the key of a zone's authority record in the store.
 std::string authorityKey(const common::ZoneName& zone);
 std::string encodeAuthorityRecord(const AuthorityRecord& record);
 /// \throws AuthorityRecordError
--- a/src/cypresswall/lease/authority_view.h
+++ b/src/cypresswall/lease/authority_view.h
@@ -1,4 +1,4 @@
-/// Read access to the zone's lease: who may give orders to the zone's engines.
+/// Read access to the zone's lease, whose holder may give orders to the zone's engines.
 #pragma once
 
 #include <functional>
@@ -11,19 +11,22 @@
 class AuthorityView {
  public:
   virtual ~AuthorityView() = default;
-  /// Asks the clock: the epoch under which this node may act right now, or nothing. Must be called
-  /// directly before every act that needs authority, since the process may have been paused.
+  /// \return the epoch under which this node holds the lease by its clock, or nothing. To be called
+  ///   immediately before each action that needs the lease, which may have expired while the
+  ///   process was paused.
   virtual std::optional<common::Epoch> heldEpoch() const = 0;
-  /// \return the node that holds the lease or, where the lease is held only while it is needed, the
-  ///   one that takes it then, as far as this node knows; empty if none is known.
+  /// \return the node that holds the lease as far as this node knows; where the lease is held only
+  ///   while it is needed, the node that would acquire it. Empty if none is known.
   virtual common::NodeId believedHolder() const = 0;
-  /// Calls `listener` when this node gains (with the epoch) or loses (nothing) the lease.
+  /// Calls `listener` with the epoch when this node acquires the lease, with nothing when it loses
+  /// the lease.
   virtual void onChange(std::function<void(std::optional<common::Epoch>)> listener) = 0;
   /// \return the highest epoch that this node knows of.
   virtual common::Epoch highestEpoch() const { return heldEpoch().value_or(common::Epoch{}); }
-  /// Tells whether this node has something to order. A lease that is always held ignores it.
+  /// Tells the lease whether this node has orders to give. Ignored by a lease that is held
+  /// permanently.
   virtual void setNeeded(bool /*needed*/) {}
-  /// An engine refused an order of this epoch since it obeys a later one.
+  /// To be called when an engine refused an order of this epoch because it accepted a later one.
   virtual void superseded(const common::Epoch& /*epoch*/) {}
 };
 
--- a/src/cypresswall/lease/generation_manager.h
+++ b/src/cypresswall/lease/generation_manager.h
@@ -1,6 +1,6 @@
-/// The part of a zone's authority that lies in the platform's store: which generation of voters is
-/// in force. It creates the first, notes the holder's voters, and begins a new generation once
-/// every voter that the store names has ended or promised to stay out.
+/// Manages the authority record in the platform's store, which names the current generation of
+/// voters. Creates the first generation, records the holder's voters, and begins a new generation
+/// once every voter that the store names has ended or is sealed.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +22,11 @@
 
 class GenerationManager {
  public:
-  /// What the keeper needs of the authority.
+  /// Callbacks into the zone authority.
   struct Authority {
     std::function<const VoterSet&()> newest_set;
     std::function<void(const VoterSet&)> learn;
-    /// Takes the first set of a new generation and tells the zone.
+    /// Adopts the first set of a new generation and sends it to the zone.
     std::function<void(const VoterSet&)> broadcast;
     std::function<void(const common::NodeId&, const VoterSetRequest&)> ask_set;
     std::function<void(const common::NodeId&, const SealRequest&)> ask_seal;
@@ -36,26 +36,26 @@
                     membership::MembershipView& membership, object_store::ObjectStore& store,
                     Authority authority);
 
-  /// To be called often while no holder is believed in.
+  /// To be called periodically while no holder is known.
   void onHolderMissing();
-  /// To be called when a holder is believed in.
+  /// To be called periodically while a holder is known.
   void onHolderKnown();
   void handle(const common::NodeId& sender, const SealReply& reply);
-  /// Notes that a voter takes part in no generation before `generation`.
+  /// Records that a voter no longer takes part in generations before `generation`.
   void recordSealed(const common::NodeId& voter, std::uint32_t generation);
 
-  /// For the holder: where the noting of its voters in the store stands.
+  /// Progress of the holder in recording its voters in the store.
   struct RecordingStep {
-    /// If set, the anchors that the holder has to commit next.
+    /// If set, the anchors that the holder must commit next.
     std::optional<std::vector<NodeList>> anchors;
   };
-  /// Brings the store's record up to the holder's committed set, one step a call.
+  /// Updates the store's record to the holder's committed set, one step per call.
   RecordingStep recordVoters(const VoterSet& committed);
-  /// Forgets what a former time as holder left unfinished.
+  /// Discards an unfinished update of an earlier tenure as holder.
   void resetRecording();
 
  private:
-  /// What the store held when last read.
+  /// The record as last read from the store.
   struct Stored {
     std::uint64_t version = 0;
     std::optional<AuthorityRecord> record;
@@ -65,6 +65,7 @@
   void read(std::function<void(const Stored&)> use);
   void write(std::uint64_t expected_version, const AuthorityRecord& record,
              const std::function<void(bool)>& done);
+  /// Reads the record back to find out whether a write without an answer took effect.
   void resolveOutcome(std::uint64_t expected_version, const AuthorityRecord& record,
                       const std::string& change_id, const std::function<void(bool)>& done);
   void requestVoterSets();
@@ -73,6 +74,8 @@
   void considerTakeover(const Stored& stored);
   void begin(std::uint64_t expected_version, std::uint32_t generation);
   bool quorumLost(const VoterSet& set) const;
+  /// \return true if the voter is confirmed dead or sealed against generations before
+  ///   `next_generation`.
   bool isRetired(const common::NodeId& voter, std::uint32_t next_generation) const;
   void readForRecording();
 
@@ -85,7 +88,7 @@
   std::optional<common::MonotonicTime> no_holder_since_;
   common::MonotonicTime next_store_check_;
   bool busy_ = false;
-  /// The lowest generation that each sealed voter takes part in.
+  /// Lowest generation in which each sealed voter still takes part.
   std::map<common::NodeId, std::uint32_t> sealed_before_;
   RecordingState recording_ = RecordingState::kIdle;
   std::uint64_t recording_round_ = 0;
--- a/src/cypresswall/lease/lease_record.cpp
+++ b/src/cypresswall/lease/lease_record.cpp
@@ -28,11 +28,11 @@
                      json.at(kIncarnation).get<std::uint64_t>()};
     record.term = json.at(kTerm).get<std::uint32_t>();
     if (record.holder.empty() || record.term == 0) {
-      throw LeaseRecordError("lease record without holder or term");
+      throw LeaseRecordError("lease record lacks holder or term");
     }
     return record;
   } catch (const nlohmann::json::exception& error) {
-    throw LeaseRecordError(std::string("lease record can't be read: ") + error.what());
+    throw LeaseRecordError(std::string("lease record cannot be parsed: ") + error.what());
   }
 }
 
--- a/src/cypresswall/lease/lease_record.h
+++ b/src/cypresswall/lease/lease_record.h
@@ -1,5 +1,5 @@
-/// What the platform's store holds of a zone's lease where the store itself decides who has it:
-/// the last holder and its term, as JSON.
+/// The record of a lease that is decided by the platform's store: the last holder and its term, as
+/// JSON.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace cypresswall::lease {
 
-/// The stored value of a zone's lease can't be read.
+/// Thrown when the stored lease record of a zone cannot be parsed.
 class LeaseRecordError : public common::Error {
  public:
   using common::Error::Error;
@@ -18,11 +18,11 @@
 
 struct LeaseRecord {
   common::NodeId holder;
-  /// From 1; rises with each holder, so that no two use one.
+  /// From 1; increases with each holder, so that no two holders share a term.
   std::uint32_t term = 0;
 };
 
-/// \return the store's key for the lease of a zone.
+/// \return the key of a zone's lease in the store.
 std::string leaseKey(const common::ZoneName& zone);
 std::string encodeLeaseRecord(const LeaseRecord& record);
 /// \throws LeaseRecordError
--- a/src/cypresswall/lease/messages.h
+++ b/src/cypresswall/lease/messages.h
@@ -11,18 +11,18 @@
 
 namespace cypresswall::lease {
 
-/// Asks a voter for a grant, as a candidate or to renew.
+/// Requests a grant from a voter, as a candidate or for renewal.
 struct LeaseRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 0);
   std::uint64_t request = 0;
   common::Epoch epoch;
-  /// The voter set that the grant is for; the set itself is left out if the voter knows it.
+  /// The voter set that the grant is for; `set` is empty if the voter is expected to know it.
   VoterSetVersion set_version;
   std::vector<VoterSet> set;
-  /// Members of the set before, whose grants are needed as well during a change.
+  /// Members of the previous set, whose grants are also required during a change.
   NodeList previous_members;
   std::uint64_t duration_us = 0;
-  /// Only asks whether a grant would be given; promises nothing.
+  /// Asks only whether a grant would be given; the voter makes no promise.
   bool probe = false;
   MSGPACK_DEFINE(request, epoch, set_version, set, previous_members, duration_us, probe)
 };
@@ -31,10 +31,10 @@
   kGranted,
   kNotMember,   ///< the voter is in none of the named sets
   kOlderSet,    ///< the voter knows a newer set
-  kUnknownSet,  ///< the set must be sent along
-  kSealed,      ///< the voter takes part in later generations only
-  kPromised,    ///< the voter promised an epoch as high to somebody else
-  kHeld,        ///< somebody else's grant has not run out
+  kUnknownSet,  ///< the request must include the set
+  kSealed,      ///< the voter is sealed against this generation
+  kPromised,    ///< the voter promised an equal or higher epoch to another node
+  kHeld,        ///< another node's grant has not expired
 };
 
 }  // namespace cypresswall::lease
@@ -48,30 +48,30 @@
   std::uint64_t request = 0;
   GrantVerdict verdict = GrantVerdict::kNotMember;
   common::Epoch promised;
-  /// The newest set that the voter knows, if it refused for a set.
+  /// The newest set that the voter knows, if the verdict is kOlderSet.
   std::vector<VoterSet> newer_set;
-  /// Changes each time the voter forgets its records.
+  /// Incremented each time the voter drops its records.
   std::uint32_t records_incarnation = 0;
   MSGPACK_DEFINE(request, verdict, promised, newer_set, records_incarnation)
 };
 
-/// The sender's grants under this epoch are given back.
+/// The sender releases its grants under this epoch.
 struct ReleaseNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 2);
   common::Epoch epoch;
-  /// The sender never won the epoch and never will, so that somebody else may.
+  /// The sender never held the lease under this epoch and never will; another node may use it.
   bool never_held = false;
   MSGPACK_DEFINE(epoch, never_held)
 };
 
-/// The sender gave up the lease; the receiver should campaign at once.
+/// The sender gave up the lease; the receiver should campaign immediately.
 struct HandoverNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 3);
   common::Epoch epoch;
   MSGPACK_DEFINE(epoch)
 };
 
-/// Asks a voter for its records after `after`.
+/// Requests the records of a voter with keys after `after`.
 struct FetchRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 4);
   std::uint64_t request = 0;
@@ -112,23 +112,23 @@
   MSGPACK_DEFINE(known)
 };
 
-/// The newest voter set that the sender knows.
+/// Carries the newest voter set that the sender knows.
 struct VoterSetNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 9);
   VoterSet set;
-  /// The holder committed the set; a node that it leaves out forgets its records.
+  /// The holder committed the set; a node that is not a member drops its records.
   bool committed = false;
-  /// Generations before this one get no grant of the sender any more; zero if it was never sealed.
+  /// The sender no longer gives grants for generations before this one; zero if it is not sealed.
   std::uint32_t sealed_before = 0;
   MSGPACK_DEFINE(set, committed, sealed_before)
 };
 
-/// Asks a voter of a lost quorum never again to take part in generations before `generation`.
+/// Seals a voter of a lost quorum: it must no longer take part in generations before `generation`.
 struct SealRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 10);
   std::uint32_t generation = 0;
-  /// The newest set that the sender knows, whose quorum it found lost; a voter that knows a newer
-  /// one refuses.
+  /// The newest set that the sender knows and whose quorum it considers lost; a voter that knows a
+  /// newer set refuses.
   VoterSetVersion judged;
   MSGPACK_DEFINE(generation, judged)
 };
--- a/src/cypresswall/lease/quorum_log.h
+++ b/src/cypresswall/lease/quorum_log.h
@@ -1,5 +1,5 @@
-/// Small state that modules of the lease holder keep on the zone's voters, so that the next holder
-/// finds it.
+/// Replicates small state of the lease holder's modules to the zone's voters, from which the next
+/// holder recovers it.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,15 @@
   using Committed = std::function<void(bool committed)>;
 
   virtual ~QuorumLog() = default;
-  /// Sets the value of a key under the epoch held. The callback is called exactly once: true when a
-  /// majority of the voters keeps it, so that every later holder finds it or a newer value; false
-  /// when the lease was lost first (it may still be kept). Never called before the call returns.
+  /// Sets the value of a key under the current epoch. The callback is called exactly once, never
+  /// before this call returns: with true once a majority of the voters stores the value, so that
+  /// every later holder recovers it or a newer one; with false if the lease was lost first (the
+  /// value may still have been stored).
   virtual void replicate(RecordModule module, const std::string& key, std::string payload,
                          Committed committed) = 0;
-  /// Forgets a key. Best effort: a later holder may find the key once more.
+  /// Removes a key. Best effort: a later holder may still recover it.
   virtual void erase(RecordModule module, const std::string& key) = 0;
-  /// \return what the holder knows of one module, by key; complete as soon as the lease is held.
+  /// \return the records of one module by key; complete as soon as the lease is held.
   virtual std::map<std::string, std::string> records(RecordModule module) const = 0;
 };
 
--- a/src/cypresswall/lease/record_store.cpp
+++ b/src/cypresswall/lease/record_store.cpp
@@ -3,7 +3,7 @@
 namespace cypresswall::lease {
 namespace {
 
-/// Bytes of a record in a message besides key and payload.
+/// Approximate encoded size of a record without key and payload, in bytes.
 constexpr std::size_t kRecordOverhead = 32;
 
 }  // namespace
--- a/src/cypresswall/lease/record_store.h
+++ b/src/cypresswall/lease/record_store.h
@@ -1,4 +1,4 @@
-/// Records that the lease holder keeps on the zone's voters, by module and key.
+/// Records that the lease holder replicates to the zone's voters, by module and key.
 #pragma once
 
 #include <cstddef>
@@ -29,7 +29,8 @@
   MSGPACK_DEFINE(module, key)
 };
 
-/// Orders the values of one key: by the writing holder's epoch, then by its count.
+/// Orders the values of one key: by the epoch of the holder that wrote them, then by its sequence
+/// number.
 struct RecordVersion {
   common::Epoch epoch;
   std::uint64_t sequence = 0;
@@ -41,7 +42,7 @@
 struct Record {
   RecordKey key;
   RecordVersion version;
-  /// The key is to be forgotten; the payload is empty.
+  /// Tombstone: the key is to be removed; the payload is empty.
   bool erased = false;
   std::string payload;
   MSGPACK_DEFINE(key, version, erased, payload)
@@ -51,11 +52,11 @@
  public:
   using Records = std::map<RecordKey, Record>;
 
-  /// Keeps the record if it is newer than what is held; an erased one removes its key.
+  /// Stores the record if it is newer than the stored one; an erased record removes its key.
   void apply(const Record& record);
   void clear() { records_.clear(); }
   const Records& records() const { return records_; }
-  /// \return records after `after` in key order, at least one if there is one, up to `bytes`.
+  /// \return records after `after` in key order, up to `bytes`, but at least one if there is one.
   std::vector<Record> page(const RecordKey& after, std::size_t bytes) const;
 
  private:
--- a/src/cypresswall/lease/replicator.cpp
+++ b/src/cypresswall/lease/replicator.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::lease {
 namespace {
 
-/// Replies to older requests are ignored; what they acknowledge is sent again.
+/// Replies to older requests are ignored; the records that they acknowledge are sent again.
 constexpr std::uint64_t kRememberedRequests = 4096;
 
 }  // namespace
@@ -273,7 +273,7 @@
   if (version.epoch != epoch_) {
     return;
   }
-  // A newer value stands for the older ones of its key.
+  // Acknowledging a value also acknowledges the older values of its key.
   const auto end = pending_.upper_bound(version.sequence);
   for (auto pending = pending_.begin(); pending != end; ++pending) {
     if (pending->second.key == key) {
--- a/src/cypresswall/lease/replicator.h
+++ b/src/cypresswall/lease/replicator.h
@@ -1,5 +1,5 @@
-/// The holder's side of the records: collects them from the voters after an election, keeps every
-/// voter up to date and tells when a record is committed.
+/// Record replication on the lease holder: recovers the records from the voters after an election,
+/// keeps every voter up to date and reports when a record is committed.
 #pragma once
 
 #include <cstdint>
@@ -19,37 +19,39 @@
 
 class Replicator {
  public:
-  /// What the replicator needs of the lease.
+  /// Callbacks into the zone authority.
   struct Lease {
     std::function<void(const common::NodeId&, const FetchRequest&)> send_fetch;
     std::function<void(const common::NodeId&, const ReplicateRequest&)> send_records;
-    /// \return true if records kept by `nodes` survive: a majority of each voter set in use.
+    /// \return true if records stored by `nodes` are durable: `nodes` contain a majority of each
+    ///   voter set in use.
     std::function<bool(const NodeSet& nodes)> isDurableOn;
-    /// A voter obeys a higher epoch.
+    /// Called when a voter refused a request because it accepted a higher epoch.
     std::function<void()> superseded;
   };
 
   Replicator(const LeaseSettings& settings, const common::Clock& clock, Lease lease)
       : settings_(settings), clock_(clock), lease_(std::move(lease)) {}
 
-  /// Starts under a newly won epoch; everything known before is dropped.
+  /// Starts under a newly acquired epoch and drops all earlier state.
   void begin(const common::Epoch& epoch);
-  /// Ends; callbacks of uncommitted records get false.
+  /// Stops; callbacks of uncommitted records are called with false.
   void end();
-  /// Keeps a node up to date from now on, beginning with what it holds.
+  /// Starts replication to a node, first fetching the records that it holds.
   void track(const common::NodeId& node);
-  /// Keeps only `nodes` up to date.
+  /// Stops replication to all nodes but `nodes`.
   void retain(const NodeSet& nodes);
-  /// Starts over with a node whose records were forgotten. \return true if that was so.
+  /// Starts over with a node if it has dropped its records since the last fetch.
+  /// \return true if it has
   bool checkRecordsIncarnation(const common::NodeId& node, std::uint32_t records_incarnation);
-  /// Sends again what is not acknowledged; to be called often.
+  /// Sends unacknowledged records again; to be called periodically.
   void tick();
 
-  /// \return true once the records of a majority were collected and are kept by a majority.
+  /// \return true once the records of a majority were collected and are stored by a majority.
   bool recovered() const { return recovered_ && recovery_records_ == 0; }
   /// \return true if the node holds every committed record.
   bool synced(const common::NodeId& node) const;
-  /// Evaluates again which records are committed, after a change of the voter sets.
+  /// Reevaluates which records are committed; to be called after a change of the voter sets.
   void checkCommitted();
 
   void handle(const common::NodeId& sender, const FetchReply& reply);
@@ -61,18 +63,18 @@
 
  private:
   using Content = std::map<RecordKey, RecordVersion>;
-  /// One node that is kept up to date.
+  /// A node that records are replicated to.
   struct Follower {
     bool known = false;
     std::uint32_t records_incarnation = 0;
     std::uint64_t fetch_request = 0;
     common::MonotonicTime last_sent;
-    /// What it held when it was asked.
+    /// Versions that it held when its records were fetched.
     Content content;
-    /// Records that it has not acknowledged.
+    /// Records that it has not acknowledged yet.
     Content missing;
   };
-  /// One message of records on its way.
+  /// One message of records in flight.
   struct Batch {
     common::NodeId node;
     std::vector<std::pair<RecordKey, RecordVersion>> records;
@@ -106,7 +108,7 @@
   RecordStore::Records records_;
   std::map<common::NodeId, Follower> followers_;
   std::map<std::uint64_t, Batch> batches_;
-  /// By sequence number under the present epoch.
+  /// By sequence number under the current epoch.
   std::map<std::uint64_t, Pending> pending_;
 };
 
--- a/src/cypresswall/lease/store_lease.cpp
+++ b/src/cypresswall/lease/store_lease.cpp
@@ -12,7 +12,7 @@
 using object_store::StoreFailure;
 using object_store::StoreResult;
 
-/// Own writes whose late effect is still recognized.
+/// Maximum number of own writes whose late effect is still recognised.
 constexpr std::size_t kRememberedWrites = 64;
 
 }  // namespace
@@ -88,7 +88,7 @@
 }
 
 bool StoreLease::mayTakeOver() const {
-  // The last holder's time to act ends `duration` after it sent the write that made this version,
+  // The last holder's lease ends `duration` after it sent the write that created this version,
   // so at the latest that long after the version was first seen.
   const common::Duration wait = settings_.duration + settings_.handover_gap;
   return seen_->version == 0 || seen_->record.holder == context_.self ||
@@ -155,7 +155,7 @@
       seen.since = context_.clock.now();
     }
   } catch (const LeaseRecordError& error) {
-    // Not ours to replace: a lower term than one that was used could follow.
+    // Must not be overwritten: the new term could be lower than one that was already used.
     seen_outdated_ = true;
     callAgainAfter(settings_.duration + settings_.handover_gap);
     unreadable_.add();
--- a/src/cypresswall/lease/store_lease.h
+++ b/src/cypresswall/lease/store_lease.h
@@ -1,6 +1,6 @@
-/// The lease of a zone, or of a duty of the whole fleet, as one object of the platform's store, for
-/// platforms whose store outlives any number of nodes. It is taken and renewed by conditional
-/// writes, and only while its node has something to order: a calm zone makes no call.
+/// The lease of a zone, or of a fleet-wide duty, as one object of the platform's store, for
+/// platforms whose store survives the loss of any number of nodes. It is acquired and renewed by
+/// compare-and-set, and only while the node has orders to give: an idle zone makes no store calls.
 /// docs/design/authority.md states the rules.
 #pragma once
 
@@ -20,31 +20,31 @@
 namespace cypresswall::lease {
 
 struct StoreLeaseSettings {
-  /// How long a write that took effect lets its writer act, counted from when it was sent.
+  /// Validity of the lease after a write that took effect, counted from when the write was sent.
   common::Duration duration = std::chrono::milliseconds(1500);
-  /// Less this much, for clocks that differ in speed.
+  /// Subtracted from `duration` by the holder to cover differing clock rates.
   common::Duration drift_margin = std::chrono::milliseconds(50);
   common::Duration renew_interval = std::chrono::milliseconds(500);
-  /// From the end of one holder's time to act to the beginning of the next one's, at least: engines
-  /// may get orders of the former one late, and must not get orders of two holders in turns.
+  /// Minimum time between the end of one holder's lease and the start of the next one's: orders of
+  /// the former holder may reach engines late, and orders of two holders must not interleave.
   common::Duration handover_gap = std::chrono::milliseconds(3200);
-  /// Before another call after one that failed.
+  /// Delay before the next call after a failed one.
   common::Duration retry_delay = std::chrono::milliseconds(300);
   common::Duration tick_interval = std::chrono::milliseconds(50);
 };
 
-/// The stored lease as a node last saw it.
+/// The stored lease as last read by this node.
 struct SeenLease {
-  /// Zero if there is none.
+  /// Zero if no lease is stored.
   std::uint64_t version = 0;
   LeaseRecord record;
-  /// This version was there at this time, at the latest.
+  /// Time at which this version was first seen; it may have been written earlier.
   common::MonotonicTime since{};
 };
 
 class StoreLease final : public AuthorityView {
  public:
-  /// \param key of the lease's object in the store
+  /// \param key key of the lease object in the store
   StoreLease(const StoreLeaseSettings& settings, std::string key,
              const api::ProcessContext& context, const membership::MembershipView& membership,
              object_store::ObjectStore& store);
@@ -52,12 +52,12 @@
   StoreLease& operator=(const StoreLease&) = delete;
 
   void start();
-  /// Does not take or renew the lease any more; for a planned stop.
+  /// Stops acquiring and renewing the lease; for a planned stop.
   void resign();
 
   std::optional<common::Epoch> heldEpoch() const override;
-  /// \return the node that takes the lease once there is something to order: the one of the live
-  ///   members with the highest rank, without a word exchanged.
+  /// \return the node that should acquire the lease once there are orders to give: the member with
+  ///   the highest rendezvous rank, which each node computes without exchanging messages.
   common::NodeId believedHolder() const override;
   common::Epoch highestEpoch() const override { return {0, seen_ ? seen_->record.term : 0}; }
   void onChange(std::function<void(std::optional<common::Epoch>)> listener) override;
@@ -71,7 +71,7 @@
   void onRead(const object_store::StoreResult<object_store::StoredObject>& result);
   void write(std::uint32_t term);
   void onWritten(const object_store::StoreResult<object_store::StoredObject>& result);
-  /// Notes the stored object, and how long this node may act if it wrote it.
+  /// Records the stored object and, if this node wrote it, extends the lease.
   void observe(const object_store::StoredObject& object);
   void observeOwn(const std::string& change_id);
   bool owned() const;
@@ -93,17 +93,17 @@
   bool call_in_flight_ = false;
   common::MonotonicTime next_call_at_{};
   std::optional<SeenLease> seen_;
-  /// What was seen may have changed: it is read before the next write.
+  /// The stored object may have changed; it is read again before the next write.
   bool seen_outdated_ = true;
-  /// When this node's writes were sent, by their change identifiers. A write may take effect long
-  /// after its answer was given up.
+  /// Send times of this node's writes by change identifier. A write may take effect long after the
+  /// wait for its answer timed out.
   std::map<std::string, common::MonotonicTime> sent_;
   std::uint64_t next_change_ = 0;
   common::MonotonicTime last_sent_{};
   common::MonotonicTime lease_until_{};
-  /// Terms up to this one may not be used any more.
+  /// Terms up to this one must not be used any more.
   std::uint32_t spent_term_ = 0;
-  /// Told to the listeners as held.
+  /// Epoch that the listeners were last told is held.
   std::optional<common::Epoch> held_;
   std::vector<std::function<void(std::optional<common::Epoch>)>> listeners_;
   common::Counter& acquired_;
--- a/src/cypresswall/lease/voter.h
+++ b/src/cypresswall/lease/voter.h
@@ -1,5 +1,5 @@
-/// One node's part as a voter: grants, promises and the records that it keeps for the holder.
-/// Nothing of it outlives the process; a restarted process is another node and another voter.
+/// A node's role as voter: its grants, promises and the records that it stores for the holder.
+/// None of this state survives the process; a restarted process is a different node and voter.
 #pragma once
 
 #include <cstdint>
@@ -23,22 +23,22 @@
   void handle(const common::NodeId& sender, const ReleaseNotice& notice);
   FetchReply handle(const common::NodeId& sender, const FetchRequest& request);
   ReplicateReply handle(const common::NodeId& sender, const ReplicateRequest& request);
-  /// Refuses every request of generations before the one named, from now on, unless this voter
-  /// knows a newer set than the sender judged by.
+  /// Seals this voter, so that it refuses all requests of generations before the requested one,
+  /// unless it knows a newer set than the sender.
   SealReply handle(const SealRequest& request);
 
-  /// Takes a voter set that some holder proposed or the store gave, if it is newer.
+  /// Adopts a voter set that a holder proposed or that was read from the store, if it is newer.
   void learn(const VoterSet& set);
-  /// Takes a voter set that is known to be committed. A node that it leaves out forgets its
-  /// records: no quorum counts on them any more.
+  /// Adopts a voter set that is known to be committed. A node that is not a member drops its
+  /// records, since no quorum depends on them any more.
   void learnCommitted(const VoterSet& set);
   std::uint32_t sealedBefore() const { return lowest_generation_; }
   const VoterSet& newestSet() const { return newest_set_; }
   const common::Epoch& promised() const { return promised_; }
-  /// \return the node whose grant has not run out, if any.
+  /// \return the node whose grant has not expired, if any.
   std::optional<common::NodeId> grantedTo() const;
   /// \return false for one lease duration after a new generation became known, since a lease of the
-  ///   generation before may last that long.
+  ///   previous generation may be valid that long.
   bool mayGrant() const { return clock_.now() >= no_grant_before_; }
   const RecordStore& records() const { return records_; }
 
@@ -51,7 +51,8 @@
 
   GrantVerdict judge(const common::NodeId& sender, const LeaseRequest& request);
   GrantVerdict judgeSet(const LeaseRequest& request);
-  /// \return true if a request of the holder of `epoch` is to be carried out; promises the epoch.
+  /// Promises `epoch` to its holder.
+  /// \return false if requests of that epoch must be refused
   bool acceptEpoch(const common::NodeId& sender, const common::Epoch& epoch);
 
   LeaseSettings settings_;
@@ -59,9 +60,10 @@
   const common::Clock& clock_;
   VoterSet newest_set_;
   common::Epoch promised_;
-  /// The holder of the promised epoch, if it is known from its records; a grant may follow.
+  /// The holder of the promised epoch if its records arrived before its request for a grant, which
+  /// may follow.
   common::NodeId promised_holder_;
-  /// The promised epoch was given back by a candidate that never won it.
+  /// The promised epoch was released by a candidate that never held the lease under it.
   bool promise_released_ = false;
   std::optional<Grant> grant_;
   std::uint32_t lowest_generation_ = 0;
--- a/src/cypresswall/lease/voter_set.h
+++ b/src/cypresswall/lease/voter_set.h
@@ -1,4 +1,4 @@
-/// The nodes whose grants make a lease, and the rule for a quorum of them.
+/// The nodes that vote on a lease, and the rule for a quorum of them.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 namespace cypresswall::lease {
 
 /// Orders voter sets: by generation, then by the term of the holder that proposed the set, then by
-/// the holder's own count.
+/// that holder's counter.
 struct VoterSetVersion {
   std::uint32_t generation = 0;
   std::uint32_t term = 0;
@@ -26,11 +26,11 @@
 
 struct VoterSet {
   VoterSetVersion version;
-  /// Sorted. A node is one life of a process; a restarted voter is another node.
+  /// Sorted. A node is one incarnation of a process; a restarted voter is a different node.
   NodeList members;
-  /// Each list may be what the platform's store holds for this generation. A lease needs a grant
-  /// from at least one node of each, so that nobody can hold the lease once every node that the
-  /// store names has ended or was sealed.
+  /// Lists of voters that the platform's store may hold for this generation. A lease needs a grant
+  /// from at least one node of each list, so that no node can hold the lease once every node that
+  /// the store names has ended or is sealed.
   std::vector<NodeList> anchors;
 
   bool operator==(const VoterSet&) const = default;
@@ -38,12 +38,12 @@
   bool contains(const common::NodeId& node) const;
   /// \return true if more than half of the members are in `nodes`.
   bool hasMajority(const NodeSet& nodes) const;
-  /// \return true if grants of `nodes` make a lease: a majority, and one node of each anchor.
+  /// \return true if `nodes` form a quorum: a majority, and at least one node of each anchor.
   bool hasQuorum(const NodeSet& nodes) const;
   MSGPACK_DEFINE(version, members, anchors)
 };
 
-/// \return the sorted union without doubles.
+/// \return the sorted union without duplicates.
 NodeList unionOf(const NodeList& a, const NodeList& b);
 
 }  // namespace cypresswall::lease
--- a/src/cypresswall/lease/voter_set_planner.cpp
+++ b/src/cypresswall/lease/voter_set_planner.cpp
@@ -56,7 +56,7 @@
     if (staying.contains(voter)) {
       ++staying_voters;
     } else if (voter != self && (!removal || !answering.contains(voter))) {
-      // Voters that are gone go before voters that are leaving and still answer.
+      // Prefer removing voters that have ended over leaving voters that still answer.
       removal = VoterSetChange{voter, false};
     }
   }
--- a/src/cypresswall/lease/voter_set_planner.h
+++ b/src/cypresswall/lease/voter_set_planner.h
@@ -1,4 +1,4 @@
-/// Chooses the next change of a zone's voter set: one node is added or removed at a time.
+/// Plans the next change of a zone's voter set, which adds or removes one node at a time.
 #pragma once
 
 #include <cstddef>
@@ -16,18 +16,18 @@
   bool add = false;
 };
 
-/// \return how many voters a zone with `nodes` usable nodes should have: odd, so that no node is
-///   one whose loss only makes a quorum harder to reach.
+/// \return how many voters a zone with `nodes` usable nodes should have. Always odd: one more voter
+///   would enlarge the quorum without tolerating another failure.
 std::size_t targetVoterCount(std::size_t nodes, std::size_t maximum);
 
 /// \param members members of the zone, ordered by node
-/// \param self the holder, which never removes itself
+/// \param self the holder, which is never removed
 std::optional<VoterSetChange> planVoterSetChange(const VoterSet& current,
                                                  const std::vector<membership::Member>& members,
                                                  const common::NodeId& self,
                                                  std::size_t maximum_voters);
 
-/// \return the voters that a new generation begins with: as many as wanted, lowest nodes first.
+/// \return the first voters of a new generation: the lowest usable nodes.
 NodeList chooseVoters(const std::vector<membership::Member>& members, std::size_t maximum_voters);
 
 }  // namespace cypresswall::lease
--- a/src/cypresswall/lease/zone_authority.cpp
+++ b/src/cypresswall/lease/zone_authority.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::lease {
 namespace {
 
-/// Rounds whose late answers still count.
+/// Number of latest rounds whose replies are still accepted.
 constexpr std::size_t kRememberedRounds = 8;
 
 }  // namespace
--- a/src/cypresswall/lease/zone_authority.h
+++ b/src/cypresswall/lease/zone_authority.h
@@ -1,5 +1,5 @@
-/// The zone's lease as one node takes part in it: voter, candidate and holder.
-/// docs/design/authority.md gives the rules and the reasons why two nodes never hold it at one
+/// One node's participation in the zone's lease as voter, candidate and holder.
+/// docs/design/authority.md states the rules and why two nodes never hold the lease at the same
 /// time.
 #pragma once
 
@@ -31,12 +31,10 @@
   ZoneAuthority& operator=(const ZoneAuthority&) = delete;
 
   void start();
-  /// Gives the lease up, if held, and hands it to another voter. For a planned stop: this node does
-  /// not campaign again.
+  /// For a planned stop: hands the lease, if held, over to another voter and stops campaigning.
   void resign();
-  /// \return true if ending this process takes no voter and no holder away: it is in no voter set
-  /// in
-  ///   use, or nobody else could take its place.
+  /// \return true if stopping this process removes no voter and no holder that could be replaced
+  ///   first: it is in no voter set in use, or no other node is alive.
   bool mayStop() const;
 
   std::optional<common::Epoch> heldEpoch() const override;
@@ -50,12 +48,12 @@
   std::map<std::string, std::string> records(RecordModule module) const override;
 
   const Voter& voter() const { return voter_; }
-  /// \return the newest committed voter set of a holder, else the newest known.
+  /// \return the newest committed voter set if this node is the holder, else the newest known one.
   const VoterSet& voterSet() const;
 
  private:
   enum class Role : std::uint8_t { kFollower, kProbing, kCandidate, kRecovering, kHolder };
-  /// One request to all voters and the grants that it brought.
+  /// One request to all voters and the grants received for it.
   struct Round {
     common::MonotonicTime sent;
     common::Duration duration{0};
@@ -130,7 +128,8 @@
   common::MonotonicTime pending_since_;
   common::MonotonicTime last_change_;
   std::uint32_t next_index_ = 0;
-  /// The version of the set that each voter last granted under; others are sent the set along.
+  /// Version of the set under which each voter last gave a grant. Requests to voters that have not
+  /// granted under the current version include the set.
   std::map<common::NodeId, VoterSetVersion> known_versions_;
   std::vector<std::function<void(std::optional<common::Epoch>)>> listeners_;
   common::Counter& acquired_count_;
--- a/src/cypresswall/lease/zone_authority_campaign.cpp
+++ b/src/cypresswall/lease/zone_authority_campaign.cpp
@@ -1,5 +1,4 @@
-/// ZoneAuthority as follower and candidate: when to campaign, and how a campaign is won or given
-/// up.
+/// ZoneAuthority as follower and candidate: starts, wins and abandons campaigns.
 #include "cypresswall/lease/zone_authority.h"
 
 #include <algorithm>
@@ -7,7 +6,7 @@
 namespace cypresswall::lease {
 namespace {
 
-/// A leaving voter campaigns only if nobody else does.
+/// Additional back-off of a leaving voter, so that it campaigns only if no other voter does.
 constexpr common::Duration kLeavingBackoff = std::chrono::milliseconds(500);
 
 }  // namespace
--- a/src/cypresswall/lease/zone_authority_holder.cpp
+++ b/src/cypresswall/lease/zone_authority_holder.cpp
@@ -1,4 +1,4 @@
-/// ZoneAuthority as holder: renewal, readiness after the election, and changes of the voter set.
+/// ZoneAuthority as holder: renewal, recovery after the election, and changes of the voter set.
 #include "cypresswall/lease/zone_authority.h"
 
 #include <algorithm>
@@ -105,9 +105,9 @@
   if (now - last_change_ < settings_.change_interval) {
     return;
   }
-  const auto note = generations_.recordVoters(current_);
-  if (note.anchors) {
-    propose(current_.members, *note.anchors);
+  const auto step = generations_.recordVoters(current_);
+  if (step.anchors) {
+    propose(current_.members, *step.anchors);
     return;
   }
   const auto change =
--- a/src/cypresswall/object_store/machine_list.h
+++ b/src/cypresswall/object_store/machine_list.h
@@ -1,4 +1,4 @@
-/// The platform's lagging list of machines, live and leaving.
+/// The platform's list of live and leaving machines, which may lag behind reality.
 #pragma once
 
 #include <functional>
@@ -16,7 +16,7 @@
   common::MachineName name;
   common::ZoneName zone;
   MachineState state = MachineState::kLive;
-  /// IP numbers of the machine; engines, services and daemons on them belong to it.
+  /// IP addresses of the machine; engines, services and daemons at these addresses run on it.
   std::vector<std::string> addresses;
 };
 
@@ -31,7 +31,7 @@
   /// Reads the machines of one zone. The callback is called exactly once, never before the call
   /// returns.
   virtual void fetch(const common::ZoneName& zone, MachineListCallback callback) = 0;
-  /// \return true if the list is at hand on each node, so that reading it calls nobody.
+  /// \return true if each node has the list locally, so that reading it needs no remote call.
   virtual bool isLocal() const { return false; }
 };
 
--- a/src/cypresswall/object_store/object_store.h
+++ b/src/cypresswall/object_store/object_store.h
@@ -1,5 +1,5 @@
-/// The platform's object API as the system uses it: versioned objects, compare-and-set, list and
-/// watch. Implemented over HTTP (HttpObjectStore) and by the simulator.
+/// Interface of the platform's object API: versioned objects with compare-and-set, list and watch.
+/// Implemented over HTTP (HttpObjectStore) and by the simulator.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 /// Why a call to the store failed.
 enum class StoreFailure {
-  kUnavailable,     ///< nothing was sent, or the store said that it did nothing
-  kUnknownOutcome,  ///< a write may or may not have taken effect; read back to settle it
+  kUnavailable,     ///< nothing was sent, or the store reported that it did nothing
+  kUnknownOutcome,  ///< a write may or may not have taken effect; read the object back to find out
   kConflict,        ///< compare-and-set found another version
   kNotFound,
   kCompacted,  ///< the watch can't continue from the given revision; list again
@@ -23,10 +23,11 @@
 /// One stored object.
 struct StoredObject {
   std::string key;
-  /// Version of this object, from 1; zero stands for "does not exist" in compare-and-set.
+  /// Version of this object, from 1; zero means "does not exist" in compare-and-set.
   std::uint64_t version = 0;
   std::string value;
-  /// Identifier that the writer gave with its write; settles lost answers.
+  /// Identifier that the writer chose for its write; shows after a lost answer whether the write
+  /// took effect.
   std::string change_id;
 };
 
@@ -50,16 +51,16 @@
 using StoreCallback = std::function<void(StoreResult<Value>)>;
 
 /// Client of the object API. Each callback is called exactly once, never before the call returns,
-/// on the process's one thread, and within the client's time limit.
+/// on the process's only thread, and within the client's time limit.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
   virtual void get(const std::string& key, StoreCallback<StoredObject> callback) = 0;
-  /// \param callback gets the object as written, or kConflict, kUnknownOutcome, kUnavailable
+  /// \param callback receives the object as written, or kConflict, kUnknownOutcome or kUnavailable
   virtual void compareAndSet(ObjectWrite write, StoreCallback<StoredObject> callback) = 0;
   virtual void list(const std::string& prefix, StoreCallback<ObjectListing> callback) = 0;
   /// Waits for changes under `prefix` after `revision` (long poll); an empty listing means that
-  /// nothing changed within the poll time. Gaps in what it gives are possible.
+  /// nothing changed within the poll time. Changes may be missing from the listing.
   virtual void watch(const std::string& prefix, std::uint64_t revision,
                      StoreCallback<ObjectListing> callback) = 0;
 };
--- a/src/cypresswall/object_store/platform_json.cpp
+++ b/src/cypresswall/object_store/platform_json.cpp
@@ -44,7 +44,7 @@
   try {
     return convert(Json::parse(json));
   } catch (const Json::exception& error) {
-    throw PlatformProtocolError(std::string("platform's answer can't be read: ") + error.what());
+    throw PlatformProtocolError(std::string("platform's answer cannot be parsed: ") + error.what());
   }
 }
 
--- a/src/cypresswall/object_store/platform_json.h
+++ b/src/cypresswall/object_store/platform_json.h
@@ -11,16 +11,16 @@
 
 namespace cypresswall::object_store {
 
-/// An answer of the platform that can't be understood.
+/// Thrown when an answer of the platform cannot be parsed.
 class PlatformProtocolError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// The body of a PUT; the key stands in the path.
+/// \return the body of a PUT; the key is part of the path.
 std::string objectWriteJson(const ObjectWrite& write);
 
-/// Each reads one answer. \throws PlatformProtocolError
+/// Each parses the body of one answer. \throws PlatformProtocolError
 StoredObject parseStoredObject(std::string_view json);
 ObjectListing parseObjectListing(std::string_view json);
 std::vector<Machine> parseMachines(std::string_view json);
--- a/src/cypresswall/object_store/store_answer.h
+++ b/src/cypresswall/object_store/store_answer.h
@@ -1,5 +1,5 @@
-/// What the answers of an object store over HTTP mean, whatever its dialect: shared by the clients
-/// of the object API.
+/// Interpretation of an object store's HTTP answers, shared by the clients of all supported object
+/// APIs.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,17 @@
 
 namespace cypresswall::object_store {
 
-/// Numbers of calls by how they ended.
+/// Counters of store calls by outcome.
 struct StoreCallCounters {
   explicit StoreCallCounters(common::CounterRegistry& registry);
 
-  /// Counts `result` and gives it back.
+  /// Counts `result` and returns it.
   template <typename Value>
   StoreResult<Value> counted(StoreResult<Value> result) {
     count(result.ok() ? nullptr : &result.failure().kind);
     return result;
   }
-  /// \param failure null if the call did what it was to do
+  /// \param failure null if the call succeeded
   void count(const StoreFailure* failure);
 
   common::Counter& calls;
@@ -33,16 +33,15 @@
   common::Counter& conflicts;
 };
 
-/// \return how the answer to a read failed, nothing if its body is to be read. A read that failed
-///   did nothing.
+/// \return the failure of a read, or nothing if the body contains the result.
 std::optional<common::Failure<StoreFailure>> readFailure(const runtime::CurlResponse& response);
 
-/// \return how the answer to a write failed, nothing if its body tells the object as written.
-///   kUnavailable only if no byte was sent or the store said that it did nothing.
+/// \return the failure of a write, or nothing if the body contains the object as written.
+///   kUnavailable only if no byte was sent or the store reported that it did nothing.
 std::optional<common::Failure<StoreFailure>> writeFailure(const runtime::CurlResponse& response);
 
-/// Turns the answer to a read into a result.
-/// \param parse throws PlatformProtocolError if it can't read the body
+/// Converts the answer to a read into a result.
+/// \param parse throws PlatformProtocolError if it cannot parse the body
 template <typename Value, typename Parse>
 StoreResult<Value> readResult(const runtime::CurlResponse& response, Parse parse) {
   if (const auto failure = readFailure(response)) {
@@ -55,10 +54,10 @@
   }
 }
 
-/// Turns the answer to a write into a result.
-/// \param parse throws PlatformProtocolError if it can't read the body
-/// \param own tells whether the object that a refused write met is its own earlier copy: then there
-///   is no conflict, the write took effect
+/// Converts the answer to a write into a result.
+/// \param parse throws PlatformProtocolError if it cannot parse the body
+/// \param own returns true if the stored object that caused a conflict was written by an earlier
+///   attempt of the same write; the write then took effect and is no conflict
 StoreResult<StoredObject> writeResult(const runtime::CurlResponse& response,
                                       const std::function<StoredObject(std::string_view)>& parse,
                                       const std::function<bool(const StoredObject&)>& own);
--- a/src/cypresswall/store_relay/change_history.h
+++ b/src/cypresswall/store_relay/change_history.h
@@ -1,4 +1,5 @@
-/// The last changes that a node read of one topic of the store, kept for peers that ask for them.
+/// The latest changes of one topic of the store that a node has read, kept for peers that request
+/// them.
 #pragma once
 
 #include <cstddef>
@@ -13,22 +14,22 @@
 
 class ChangeHistory {
  public:
-  /// \param maximum_bytes of names and contents kept; older batches give way
+  /// \param maximum_bytes limit on the names and contents kept; older batches are evicted
   explicit ChangeHistory(std::size_t maximum_bytes) : maximum_bytes_(maximum_bytes) {}
 
-  /// The node read everything anew at `revision`: what was kept before leads nowhere.
+  /// Drops the history after the node read all objects again at `revision`.
   void restart(std::uint64_t revision);
-  /// \param changes all that was changed after revision() and up to `revision`
+  /// \param changes all changes after revision() and up to `revision`
   void add(std::vector<StoreChange> changes, std::uint64_t revision);
   /// \return all changes after `revision`, or nothing if they are no longer kept or exceed
-  ///   `maximum_bytes`. A change that the asker knows already may be among them.
+  ///   `maximum_bytes`. May include changes up to `revision`, since batches are returned whole.
   std::optional<std::vector<StoreChange>> since(std::uint64_t revision,
                                                 std::size_t maximum_bytes) const;
-  /// \return revision up to which everything is known
+  /// \return revision up to which all changes are known
   std::uint64_t revision() const { return revision_; }
-  /// \return revision with which the last batch of changes came, or of the last restart
+  /// \return revision of the last batch of changes, or of the last restart
   std::uint64_t changed() const { return changed_; }
-  /// \return bytes of the last batch of changes; zero if none is kept
+  /// \return size of the last batch of changes in bytes; zero if none is kept
   std::uint32_t newestBytes() const {
     return batches_.empty() ? 0 : static_cast<std::uint32_t>(batches_.back().bytes);
   }
--- a/src/cypresswall/store_relay/change_packer.cpp
+++ b/src/cypresswall/store_relay/change_packer.cpp
@@ -13,7 +13,7 @@
   return content.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// \return `text` compressed, or nothing if the library refuses.
+/// \return `text` compressed, or nothing if zlib reports an error.
 std::optional<std::string> deflated(const std::string& text) {
   uLongf length = compressBound(text.size());
   std::string packed(length, '\0');
@@ -122,7 +122,7 @@
 Json ChangePacker::patched(const StoreChange& change) const {
   const auto before = large_.find(change.name);
   if (before == large_.end() || before->second.revision >= change.revision) {
-    // A later version is held: the change is passed over by whoever takes it.
+    // A later version is held, so that the caller ignores this change.
     return before == large_.end() ? Json() : before->second.content;
   }
   const auto text = inflated(change.content);
--- a/src/cypresswall/store_relay/change_packer.h
+++ b/src/cypresswall/store_relay/change_packer.h
@@ -1,7 +1,7 @@
-/// Encodes what was read of the platform's store for peers: large objects as the difference to the
-/// version before, compressed. A configuration of a thousand routes more is some 400 KB; over a
-/// link of 10 Mbit/s that is busy with requests it takes ten seconds, its difference a tenth of
-/// that.
+/// Encodes changes read from the platform's store for peers: a large object as the compressed
+/// difference to its previous version. A thousand additional routes enlarge the configuration by
+/// some 400 KB, which take ten seconds over a 10 Mbit/s link that is busy with requests; the
+/// difference takes a tenth of that.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +17,32 @@
 namespace cypresswall::store_relay {
 
 struct ChangePackerSettings {
-  /// Contents below this are sent as they are.
+  /// Smaller contents are sent uncompressed.
   std::size_t packed_from_bytes = std::size_t{2} << 10;
-  /// Longest content that is unpacked: what the store holds of one object, and some more.
+  /// Maximum size of an unpacked content; above the store's size limit of one object.
   std::size_t maximum_bytes = std::size_t{4} << 20;
 };
 
-/// Keeps the objects of one topic as they were last seen: differences of large ones build on them,
-/// and a node that has nothing yet is given all.
+/// Keeps the last seen version of each object of one topic, as base of differences and as a full
+/// copy for nodes that have none.
 class ChangePacker {
  public:
   using Json = nlohmann::json;
 
   explicit ChangePacker(const ChangePackerSettings& settings = {}) : settings_(settings) {}
 
-  /// Notes the content of an object that was put, without packing it.
+  /// Stores the content of an object that was put, without packing it.
   void note(const std::string& name, std::uint64_t revision, const Json& content);
-  /// Packs an object that was put, and notes its content.
+  /// Packs an object that was put, and stores its content.
   StoreChange packPut(const std::string& name, std::uint64_t revision, const Json& content);
   StoreChange packRemoval(const std::string& name, std::uint64_t revision);
-  /// \return every object held, packed without a base
+  /// \return all objects, packed without a base
   std::vector<StoreChange> packAll() const;
-  /// \return false if the change builds on a version that is not held here, and neither is a later
-  ///   one
+  /// \return false if neither the base of the change nor a later version is held
   bool canUnpack(const StoreChange& change) const;
-  /// \return the content of an object that was put, and notes it; null if it can't be understood
-  /// \pre canUnpack(), and the changes before it were unpacked
+  /// Unpacks and stores the content of an object that was put.
+  /// \return the content; null if it cannot be parsed
+  /// \pre canUnpack(), and all earlier changes were unpacked
   Json unpack(const StoreChange& change);
 
  private:
@@ -58,7 +58,7 @@
 
   /// \return true if this version of a large object, or a later one, is held
   bool holds(const std::string& name, std::uint64_t revision) const;
-  /// Keeps the newest version of an object: of a large one as the base of differences.
+  /// Stores the version if it is the newest of its object.
   void keep(const std::string& name, std::uint64_t revision, const Json& content,
             const std::string& text);
   std::optional<std::string> inflated(const std::string& packed) const;
--- a/src/cypresswall/store_relay/messages.h
+++ b/src/cypresswall/store_relay/messages.h
@@ -1,4 +1,4 @@
-/// Messages by which the nodes of a zone pass on what a few of them read of the platform's store.
+/// Messages by which the nodes of a zone share what a few of them read from the platform's store.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace cypresswall::store_relay {
 
-/// What a node follows in the store.
+/// Kinds of objects that nodes follow in the store.
 enum class Topic : std::uint8_t { kListedEngines = 1, kDeclaredFleet = 2 };
 
 /// \return the topic's name in logs.
@@ -22,25 +22,25 @@
   return topic == Topic::kListedEngines ? "listed-engines" : "declared-fleet";
 }
 
-/// A reader tells its zone, at each change and each announcement interval, how far it has read. It
-/// tells so only while the store answers it. In a large zone each node passes it on to a few others
-/// once it has what is announced.
+/// Sent by a reader to its zone at each change and each announcement interval, while the store
+/// answers it, to announce the revision up to which it has read. In a large zone each node forwards
+/// it to a few others once it has the announced changes itself.
 struct Announcement {
   static constexpr auto kType = api::messageType(api::MessageType::kStoreRelayFirst, 0);
   std::uint8_t topic = 0;
-  /// Revision of the store with which the last batch of changes came.
+  /// Revision of the store at the last batch of changes.
   std::uint64_t changed = 0;
-  /// Revision up to which the sender knows everything; nothing changed after `changed`.
+  /// Revision up to which the sender has read; there was no change after `changed`.
   std::uint64_t seen = 0;
-  /// Bytes of the last batch of changes.
+  /// Size of the last batch of changes in bytes.
   std::uint32_t bytes = 0;
-  /// The reader that tells, and a number that rises with each of its announcements of the topic.
+  /// The announcing reader, and the sequence number of its announcements of the topic.
   common::NodeId reader;
   std::uint64_t sequence = 0;
   MSGPACK_DEFINE(topic, changed, seen, bytes, reader, sequence)
 };
 
-/// Asks a peer for all changes after `revision`; for all objects if that is zero.
+/// Requests all changes after `revision` from a peer; all objects if that is zero.
 struct ChangesRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kStoreRelayFirst, 1);
   std::uint8_t topic = 0;
@@ -48,11 +48,11 @@
   MSGPACK_DEFINE(topic, revision)
 };
 
-/// How the content of an object is written.
+/// Encoding of an object's content.
 enum class ContentEncoding : std::uint8_t {
   kPlain = 0,   ///< as the platform's adapter encodes it
   kPacked = 1,  ///< the same, compressed
-  /// A compressed JSON patch (RFC 6902) of the version of StoreChange::base_revision.
+  /// A compressed JSON patch (RFC 6902) to the version of StoreChange::base_revision.
   kPackedDifference = 2,
 };
 
@@ -62,7 +62,7 @@
   /// Revision of the store at the object's last change.
   std::uint64_t revision = 0;
   bool gone = false;
-  /// Empty if the object is gone.
+  /// Empty if the object was removed.
   std::string content;
   ContentEncoding encoding = ContentEncoding::kPlain;
   std::uint64_t base_revision = 0;
@@ -74,10 +74,10 @@
 struct ChangesReply {
   static constexpr auto kType = api::messageType(api::MessageType::kStoreRelayFirst, 2);
   std::uint8_t topic = 0;
-  /// False if the sender no longer has the changes asked for, or if they are too large: the
-  /// receiver then asks the store itself.
+  /// False if the sender no longer has the requested changes or they are too large; the receiver
+  /// then reads them from the store.
   bool available = false;
-  /// Revision up to which `changes` tells everything.
+  /// Revision up to which `changes` is complete.
   std::uint64_t revision = 0;
   /// In the order in which they were made.
   std::vector<StoreChange> changes;
--- a/src/cypresswall/store_relay/store_copy.h
+++ b/src/cypresswall/store_relay/store_copy.h
@@ -11,17 +11,17 @@
 class StoreCopy {
  public:
   virtual ~StoreCopy() = default;
-  /// \return revision up to which everything is known; zero before the first listing
+  /// \return revision up to which all changes are known; zero before the first listing
   virtual std::uint64_t revision() const = 0;
-  /// \return true while a call to the store is under way or will follow by itself
+  /// \return true while a call to the store is in flight or scheduled
   virtual bool callPending() const = 0;
-  /// Asks the store at once for what changed, in place of a call that waits there; for everything
-  /// if nothing is known yet.
+  /// Requests the changes from the store immediately, replacing a pending long poll; all objects if
+  /// none are known yet.
   virtual void fetchFromStore() = 0;
-  /// \return all objects as of revision(), for a node that has none
+  /// \return all objects as of revision(), for a peer that has no copy
   virtual std::vector<StoreChange> allObjects() const = 0;
-  /// Takes what a peer read: all changes after revision() up to `revision`.
-  /// \return false if nothing was taken: a change builds on a version that is not held here
+  /// Applies changes read by a peer: all changes after revision() up to `revision`.
+  /// \return false if none were applied because a change builds on a version that is not held here
   virtual bool applyPeerChanges(const std::vector<StoreChange>& changes,
                                 std::uint64_t revision) = 0;
 };
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -9,7 +9,8 @@
 namespace cypresswall::store_relay {
 namespace {
 
-/// Readers whose announcements are told apart; those that left the zone are forgotten beyond.
+/// Number of readers whose sequence numbers are kept. Beyond it all are dropped, including those of
+/// readers that have left the zone.
 constexpr std::size_t kRememberedReaders = 32;
 
 }  // namespace
@@ -356,7 +357,7 @@
   context_.sendTo(sender, reply);
 }
 
-/// A reply that comes after its time limit still tells what it tells.
+/// Changes in a reply that arrives after its timeout are still applied.
 void StoreRelay::onReply(const common::NodeId& sender, const ChangesReply& reply) {
   TopicState* const followed = find(reply.topic);
   if (followed == nullptr) {
--- a/src/cypresswall/store_relay/store_relay.h
+++ b/src/cypresswall/store_relay/store_relay.h
@@ -1,12 +1,12 @@
-/// Lets a few nodes of a zone read the platform's store for all of them. For each topic three
-/// nodes, those with the most room on their links and among these found by rendezvous hashing, are
-/// its readers: they ask the store often and announce how
-/// far they have read. The other nodes ask a reader for what changed, and call the store only if no
-/// reader was heard of lately, or if a reader can't give them what they lack. A node that starts
-/// takes the copy of a peer. So the store's calls
-/// don't grow with the number of nodes, and a change goes to each node once instead of from all to
-/// all. In a large zone announcements go down a tree that the reader is the root of, and each node
-/// asks the one that told it: no node serves more than a few.
+/// Lets a few nodes of a zone read the platform's store for all of them. Each topic has three
+/// readers: the nodes with the highest link bandwidth, ties broken by rendezvous hashing. Readers
+/// poll the store frequently and announce the revision that they have read. The other nodes pull
+/// changes from a reader and call the store only if no reader has announced recently or if a reader
+/// cannot provide the changes. A starting node copies all objects from a peer. The number of store
+/// calls therefore does not grow with the number of nodes, and each change is sent to each node
+/// once instead of between all pairs. In a large zone announcements are forwarded along a tree
+/// rooted at the reader, and each node pulls from the node that it got the announcement from, so
+/// that no node serves more than a few.
 #pragma once
 
 #include <cstdint>
@@ -24,46 +24,48 @@
 namespace cypresswall::store_relay {
 
 struct StoreRelaySettings {
-  /// Readers of each topic in a zone.
+  /// Number of readers of each topic in a zone.
   std::size_t readers = 3;
-  /// Up to so many nodes, a reader tells all others itself; beyond, each node tells `fan_out`.
+  /// Up to this zone size a reader sends announcements to all nodes itself; in larger zones each
+  /// node forwards them to `fan_out` others.
   std::size_t star_limit = 24;
   std::size_t fan_out = 4;
-  /// Longest wait of a reader's call at the store, and of another node's that hears of no reader.
+  /// Long-poll time of a reader, and of another node that receives no announcements.
   common::Duration reader_poll_time = std::chrono::milliseconds(1000);
   common::Duration other_poll_time = std::chrono::seconds(3);
-  /// Time between two announcements without a change between them. In a tree one reader makes them;
-  /// the others begin when they miss two of them.
+  /// Interval between announcements while nothing changes. With tree forwarding only the
+  /// highest-ranked reader sends them; the others start after two missed announcements.
   common::Duration announcement_interval = std::chrono::milliseconds(300);
-  /// A reader that the store has not answered for this long announces nothing. Above the time of a
-  /// poll that the store held to its end.
+  /// A reader that the store has not answered for this long stops announcing. Must exceed
+  /// reader_poll_time, since the store may hold a poll that long.
   common::Duration store_contact_limit = std::chrono::milliseconds(1300);
-  /// A node that heard no announcement for this long asks the store itself. Together with the time
-  /// of a call this has to stay below the time within which a change must be in force.
+  /// A node that received no announcement for this long reads the store itself. This plus the time
+  /// of a store call must stay below the time within which a change must take effect.
   common::Duration announcement_timeout = std::chrono::milliseconds(900);
-  /// How long a node whose own call waits at the store leaves a change to that call.
+  /// Time that a node with a pending store call waits for that call to return an announced change
+  /// before it pulls the change from the reader.
   common::Duration pending_call_grace = std::chrono::milliseconds(100);
-  /// A reader that hasn't given changes within this, and the time that their bytes may take, is
-  /// passed over: the store is asked.
+  /// A node whose pull is not answered within this plus the estimated transfer time reads the store
+  /// instead.
   common::Duration reply_timeout = std::chrono::milliseconds(200);
-  /// A node that has nothing yet and gets no copy from a peer within this asks the store. Above two
-  /// announcements.
+  /// A node without any objects that gets no copy from a peer within this reads the store. Must
+  /// exceed two announcement intervals.
   common::Duration copy_timeout = std::chrono::milliseconds(1200);
-  /// An own call to the store is not dropped for another one before this, and the time that its
-  /// bytes may take: dropped each time that a reader can't give a change, it would never be
-  /// answered over a busy link. Above the 2 s after which a dead connection is noticed.
+  /// A store call is not replaced by another one before this plus the estimated transfer time. If
+  /// it were replaced each time that a reader cannot provide a change, it would never complete over
+  /// a busy link. Must exceed the 2 s after which a dead connection is detected.
   common::Duration minimum_call_time = std::chrono::milliseconds(2500);
-  /// What a link of 10 Mbit/s that is busy with requests leaves to one connection.
+  /// Bandwidth that a 10 Mbit/s link busy with requests leaves to one connection.
   std::size_t slow_bytes_per_second = std::size_t{64} << 10;
-  /// Bytes of changes kept for peers, and sent in one reply. Readers are the nodes with the most
-  /// room on their links.
+  /// Maximum size of the changes kept for peers, and of those sent in one reply. The replies go out
+  /// over the links with the highest bandwidth, since these nodes are the readers.
   std::size_t history_bytes = std::size_t{512} << 10;
   std::size_t reply_bytes = std::size_t{128} << 10;
 };
 
 class StoreRelay {
  public:
-  /// \pre `membership` outlives the object, which lives until the process drops its callbacks
+  /// \pre `membership` outlives the object, and the object outlives its scheduled callbacks
   StoreRelay(const StoreRelaySettings& settings, const api::ProcessContext& context,
              membership::MembershipView& membership);
   StoreRelay(const StoreRelay&) = delete;
@@ -73,15 +75,15 @@
   void follow(Topic topic, StoreCopy& copy);
   void start();
 
-  /// The copy was read anew from the store, as of `revision`.
+  /// To be called when all objects were read from the store, as of `revision`.
   void listed(Topic topic, std::uint64_t revision);
-  /// The store answered this node's call for changes, perhaps with none.
+  /// To be called when the store answered this node's call for changes, possibly with none.
   void read(Topic topic, std::vector<StoreChange> changes, std::uint64_t revision);
-  /// \return for how long the copy has lacked a change that a reader announced; nothing if it lacks
-  ///   none
+  /// \return how long the copy has lacked a change that a reader announced; nothing if it is up to
+  ///   date
   std::optional<common::Duration> outdatedFor(Topic topic) const;
-  /// \return how long this node's next call may wait at the store, or nothing if this node leaves
-  ///   the store to its zone's readers now
+  /// \return the long-poll time of this node's next store call, or nothing if this node currently
+  ///   relies on its zone's readers
   std::optional<common::Duration> pollTime(Topic topic) const;
 
  private:
@@ -91,28 +93,28 @@
 
     StoreCopy& copy;
     ChangeHistory history;
-    /// When the store last answered this node.
+    /// Time of the last answer of the store to this node.
     std::optional<common::MonotonicTime> last_store_answer_time;
-    /// When this node last asked the store for what readers couldn't give.
+    /// Time of this node's last store call for changes that readers could not provide.
     std::optional<common::MonotonicTime> asked_time;
-    /// Since when the copy has lacked an announced change; no matter if it lacks none.
+    /// Since when the copy has lacked an announced change; meaningless if it is up to date.
     common::MonotonicTime behind_since{};
-    /// When a reader was last heard of.
+    /// Time of the last announcement of any reader.
     std::optional<common::MonotonicTime> last_announcement_time;
-    /// When a reader that goes before this node was last heard of.
+    /// Time of the last announcement of a reader that ranks higher than this node.
     std::optional<common::MonotonicTime> higher_reader_time;
-    /// Number of the last announcement of each reader.
+    /// Sequence number of the last announcement of each reader.
     std::map<common::NodeId, std::uint64_t> sequences;
-    /// Announcements that wait to be passed on until this node has what they tell of.
+    /// Announcements that are forwarded once this node has the announced changes.
     std::map<common::NodeId, Announcement> waiting;
     std::uint64_t own_sequence = 0;
-    /// Since when this node, which has nothing yet, could have asked a peer for a copy.
+    /// Time of the first attempt to get a copy while this node has no objects yet.
     std::optional<common::MonotonicTime> copy_requested_since;
-    /// The newest change that a reader announced.
+    /// Revision of the newest announced change.
     std::uint64_t announced = 0;
-    /// Bytes of that change.
+    /// Size of that change in bytes.
     std::uint32_t announced_bytes = 0;
-    /// Runs while a request to a reader waits to be sent or answered, else zero.
+    /// Timer of a pull that is scheduled or waits for its reply; zero if there is none.
     common::TimerId pull_timer = 0;
     bool uses_readers = false;
   };
@@ -120,22 +122,24 @@
   void registerHandlers();
   void tick();
   void tickTopic(Topic topic, TopicState& followed);
-  /// Lets a node that has nothing yet have a peer's copy; the store is asked by the readers, and
-  /// where no peer gives one.
+  /// Requests a copy from a peer for a node without any objects. Readers, and nodes that get no
+  /// copy from a peer, read the store.
   void requestCopy(Topic topic, TopicState& followed);
-  /// \return the peer to ask for a copy: the first reader if it tells all others itself, else any
+  /// \return the peer to request a copy from: the highest-ranked reader if readers announce to all
+  ///   nodes themselves, else a random peer
   std::optional<common::NodeId> copySource(Topic topic) const;
   void announce(Topic topic, TopicState& followed);
-  /// \return true if another reader makes the regular announcements
+  /// \return true if a higher-ranked reader makes the regular announcements
   bool defersAnnouncing(const TopicState& followed) const;
   bool starTopology() const;
-  /// Sends an announcement on to the nodes that this one serves.
+  /// Forwards an announcement to this node's children in the reader's broadcast tree.
   void fanOut(const Announcement& announcement);
   void fanOutWaiting(TopicState& followed);
-  /// Notes an announcement. \return false if it, or a later one of its reader, came before
+  /// Records the sequence number of an announcement.
+  /// \return false if this or a later announcement of the reader was already received
   static bool recordSequence(TopicState& followed, const Announcement& announcement);
   using Rank = std::pair<std::uint64_t, std::uint64_t>;
-  /// \return the node's rank among possible readers of the topic
+  /// \return the node's rank among the candidates for readers of the topic
   Rank rankOf(Topic topic, const common::NodeId& node) const;
   bool isReader(Topic topic) const;
   bool withinLimit(const std::optional<common::MonotonicTime>& time, common::Duration limit) const;
@@ -146,14 +150,14 @@
   void onAnnouncement(const common::NodeId& sender, const Announcement& announcement);
   void onRequest(const common::NodeId& sender, const ChangesRequest& request);
   void onReply(const common::NodeId& sender, const ChangesReply& reply);
-  /// Takes what a peer read.
-  /// \return false if the copy can't take it
+  /// Applies changes read by a peer.
+  /// \return false if the copy cannot apply them
   bool apply(TopicState& followed, std::vector<StoreChange> changes, std::uint64_t revision);
   void pull(Topic topic, const common::NodeId& reader);
   void pullTimedOut(Topic topic);
-  /// \return what the bytes of the announced change may take over a busy link
+  /// \return estimated transfer time of the announced change over a busy link
   common::Duration transferTime(const TopicState& followed) const;
-  /// Asks the store for what is announced, unless such a call is under way.
+  /// Reads the announced changes from the store, unless a recent call for them is in flight.
   void fetchFromStore(TopicState& followed);
   static bool behind(const TopicState& followed) {
     return followed.copy.revision() < followed.announced;
--- a/tests/idempotency/quorum_key_claims_test.cpp
+++ b/tests/idempotency/quorum_key_claims_test.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint64_t kDigest = 77;
 constexpr int kRuns = 120;
 
-/// A zone whose nodes claim keys; counts how often each key was granted and run.
+/// A zone whose nodes claim keys; counts how often each key was run.
 class ClaimZone {
  public:
   explicit ClaimZone(std::uint64_t seed, double drift = 0) : zone(seed, drift) {
@@ -40,7 +40,7 @@
       claims[index]->start();
     };
   }
-  /// Claims and waits for the answer.
+  /// Claims a key and waits for the answer.
   ClaimVerdict claim(int index, const std::string& key, std::uint64_t digest = kDigest) {
     std::optional<ClaimAnswer> answer;
     claims.at(index)->claim(key, digest, [&](ClaimAnswer given) { answer = std::move(given); });
@@ -51,12 +51,13 @@
     last_answer = answer->recorded_answer;
     return answer->verdict;
   }
-  /// Claims a key and, if granted, runs it: completes, releases or leaves it open by `choice`.
+  /// Claims a key and, if granted, completes it, releases it or leaves it open, depending on
+  /// `choice`.
   void use(int index, const std::string& key, std::uint64_t choice) {
     if (!claims.contains(index)) {
       return;
     }
-    ++asked;
+    ++claim_count;
     claims.at(index)->claim(key, kDigest, [this, index, key, choice](const ClaimAnswer& answer) {
       ++verdicts[answer.verdict];
       if (answer.verdict != ClaimVerdict::kGranted) {
@@ -75,13 +76,13 @@
 
   ClaimSettings settings;
   LeaseZone zone;
-  /// As every node has it in force; without a declared zone, each zone keeps its own claims.
+  /// Shared by all nodes; no zone is declared, so that each zone stores its own claims.
   configuration::StaticConfigurationView configuration;
   std::map<int, std::unique_ptr<membership::ZoneGossip>> gossips;
   std::map<int, std::unique_ptr<QuorumKeyClaims>> claims;
   std::map<std::string, int> runs;
   std::map<ClaimVerdict, int> verdicts;
-  int asked = 0;
+  int claim_count = 0;
   std::string last_answer;
 };
 
@@ -195,11 +196,11 @@
     CPPUNIT_ASSERT(zone.claim(1, "c") == ClaimVerdict::kGranted);
   }
 
-  /// Keys are asked for again and again at random nodes through random faults. Runs last less than
+  /// Keys are claimed repeatedly at random nodes under random faults. The test runs for less than
   /// the retention, so that no key may run twice.
   void keyRunsAtMostOnceUnderRandomFaults() {
     std::map<ClaimVerdict, int> verdicts;
-    int asked = 0;
+    int claim_count = 0;
     testing::requireProperty("a key runs at most once", kRuns, [&] {
       const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 40U);
       const int nodes = *rc::gen::inRange(3, 8);
@@ -219,9 +220,9 @@
       for (const auto& [verdict, count] : zone.verdicts) {
         verdicts[verdict] += count;
       }
-      asked += zone.asked;
+      claim_count += zone.claim_count;
     });
-    std::cout << "\n  claims " << asked << ": granted " << verdicts[ClaimVerdict::kGranted]
+    std::cout << "\n  claims " << claim_count << ": granted " << verdicts[ClaimVerdict::kGranted]
               << ", completed " << verdicts[ClaimVerdict::kCompleted] << ", in progress "
               << verdicts[ClaimVerdict::kInProgress] << ", uncertain "
               << verdicts[ClaimVerdict::kUncertain] << ", unavailable "
--- a/tests/lease/lease_property_test.cpp
+++ b/tests/lease/lease_property_test.cpp
@@ -48,15 +48,15 @@
   void oneHolderAtATimeUnderRandomFaults() { checkSchedules(false); }
   void oneHolderAtATimeWhileVotersAreReplaced() { checkSchedules(true); }
 
-  /// Never two holders at one true time, epochs only rise, no committed record is lost, and once
-  /// faults end there is a holder again.
-  void checkSchedules(bool calm) {
+  /// There are never two holders at the same true time, epochs only increase, no committed record
+  /// is lost, and a holder is elected once faults end.
+  void checkSchedules(bool spread_out) {
     RunCounts sum;
     std::vector<common::Duration> recoveries;
     testing::requireProperty("one holder at a time", kRuns, [&] {
       const auto seed = *rc::gen::inRange<std::uint64_t>(0, 1ULL << 40U);
-      const int nodes = calm ? *rc::gen::inRange(5, 10) : *rc::gen::inRange(2, 8);
-      const auto faults = *testing::faultSchedule(calm);
+      const int nodes = spread_out ? *rc::gen::inRange(5, 10) : *rc::gen::inRange(2, 8);
+      const auto faults = *testing::faultSchedule(spread_out);
       LeaseZone zone(seed, testing::kClockDrift);
       testing::runFaults(zone, nodes, faults, [] {});
       RC_LOG() << zone.violation;
@@ -88,7 +88,7 @@
               << common::toSeconds(percentile(recoveries, 0.99)) << " s\n";
   }
 
-  /// From the holder's end (killed, paused or cut off) to the next one.
+  /// Bounds the time from the loss of the holder (killed, paused or partitioned) to the next one.
   void electsNextHolderInTimeAfterLoss() {
     std::vector<common::Duration> times;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
--- a/tests/lease/lease_zone.h
+++ b/tests/lease/lease_zone.h
@@ -1,5 +1,5 @@
-/// One zone of nodes with membership and authority in a virtual world, faults at random, and the
-/// checks that must hold after every event.
+/// A zone of nodes with membership and lease in a virtual world, fault injection, and invariants
+/// that are checked after every event.
 #pragma once
 
 #include <algorithm>
@@ -21,14 +21,14 @@
 
 enum class FaultKind : std::uint8_t {
   kKill,
-  kRestart,  ///< ends the process, if it runs, and starts another life at its address
+  kRestart,  ///< ends the process, if it runs, and starts a new incarnation at its address
   kPause,
   kPauseHolder,
-  kCut,  ///< splits the zone in two by the pattern's bits
+  kCut,  ///< partitions the zone in two according to the pattern's bits
   kHeal,
-  kStore,        ///< the store goes down, or comes back
-  kPlannedStop,  ///< planned: announced, ended and listed as gone
-  kReplace,      ///< ended and listed as gone at once
+  kStore,        ///< toggles a store outage
+  kPlannedStop,  ///< announced, then ended and listed as gone
+  kReplace,      ///< ended and listed as gone without notice
 };
 
 /// One step of a fault schedule.
@@ -46,7 +46,7 @@
              << fault.wait_ms << "}";
 }
 
-/// Counts of what happened in a run, so that a test can require that faults really happened.
+/// Counts of events in a run, so that a test can require that faults actually occurred.
 struct RunCounts {
   std::uint64_t kills = 0;
   std::uint64_t restarts = 0;
@@ -56,7 +56,7 @@
   std::uint64_t store_outages = 0;
   std::uint64_t departures = 0;
   std::uint64_t acquisitions = 0;
-  /// Committed voter sets with other members than the set before.
+  /// Committed voter sets whose members differ from those of the previous set.
   std::uint64_t voter_changes = 0;
   std::uint64_t generations = 0;
   std::uint64_t committed_records = 0;
@@ -143,7 +143,8 @@
     }
     return std::nullopt;
   }
-  /// Runs until a node that is not paused holds the lease. \return the time it took, or nothing.
+  /// Runs until a node that is not paused holds the lease.
+  /// \return the time it took, or nothing if `limit` passed
   std::optional<common::Duration> awaitHolder(common::Duration limit) {
     const auto begin = world.now();
     while (world.now() - begin < limit) {
@@ -175,7 +176,7 @@
                         });
   }
 
-  /// Does one fault to a zone of `count` nodes.
+  /// Injects one fault into a zone of `count` nodes.
   void apply(const Fault& fault, int count) {
     const int index = 1 + static_cast<int>(fault.node) % count;
     switch (fault.kind) {
@@ -219,7 +220,7 @@
         break;
     }
   }
-  /// Ends all faults, lets planned stops finish and starts every node that is not running.
+  /// Removes all faults, lets planned stops finish and starts every node that is not running.
   void endFaults(int count) {
     world.healNetwork();
     world.store.down = false;
@@ -233,7 +234,7 @@
     }
   }
 
-  /// \return what each node knows of the zone's voters, for counterexamples.
+  /// \return each node's knowledge of the zone's voters, for counterexamples.
   std::string describe() const {
     std::ostringstream text;
     for (const auto& [index, node] : nodes) {
@@ -270,13 +271,13 @@
 
   VirtualWorld world;
   lease::LeaseSettings lease_settings;
-  /// Speeds of clocks that are not left to chance.
+  /// Fixed clock rates by node; the rates of other nodes are random.
   std::map<int, double> clock_rates;
   std::map<int, Node> nodes;
   RunCounts counts;
   std::function<void(int, VirtualProcess&)> on_start;
   std::function<void(int)> before_stop;
-  /// What was found broken first; empty if nothing.
+  /// The first violated invariant; empty if there is none.
   std::string violation;
 
  private:
@@ -284,7 +285,7 @@
     ++counts.pauses;
     world.pause(address(index), std::chrono::milliseconds(200 + pattern % 3000));
   }
-  /// A machine leaves: announced, then gone from the list with its process.
+  /// Announces that a machine is leaving; later ends its process and lists the machine as gone.
   void depart(int index) {
     if (!nodes.contains(index)) {
       return;
@@ -332,9 +333,9 @@
       report("two holders at once");
     }
   }
-  /// The first set that a holder proposes must have the members of a set of an earlier holder: a
-  /// holder commits the newest set anew before it changes it. Two successive holders that each
-  /// began with a change of the same set could otherwise both find a quorum.
+  /// The first set that a holder proposes must have the members of an earlier set: a holder commits
+  /// the newest set again before it changes it. Otherwise two successive holders that both started
+  /// by changing the same set could each find a quorum.
   void checkProposal(const api::Envelope& envelope) {
     if (envelope.type != lease::LeaseRequest::kType) {
       return;
@@ -349,7 +350,7 @@
         return earlier.first.generation == version.generation && earlier.second == set.members;
       });
       if (!known) {
-        report("first set of term " + std::to_string(version.term) + " is a changed one");
+        report("first set of term " + std::to_string(version.term) + " has changed members");
       }
     }
   }
--- a/tests/lease/store_lease_test.cpp
+++ b/tests/lease/store_lease_test.cpp
@@ -27,11 +27,11 @@
   kKill,
   kPause,
   kPauseHolder,
-  kStoreUnreachable,  ///< one node does not reach the store
+  kStoreUnreachable,  ///< one node cannot reach the store
   kStoreUnreachableForHolder,
   kStoreDown,
   kHeal,
-  kCutPeers,  ///< splits the nodes in two by the pattern's bits; all reach the store
+  kCutPeers,  ///< partitions the nodes in two by the pattern's bits; all can reach the store
 };
 
 struct Fault {
@@ -46,8 +46,8 @@
              << fault.pattern << ", wait " << fault.wait_ms << "}";
 }
 
-/// Nodes that take the lease in the store whenever they believe that it is theirs to take, and a
-/// check after every event of who may act.
+/// A zone of nodes, each of which acquires the lease in the store whenever it considers itself the
+/// next holder. Checks after every event which nodes hold the lease.
 class StoreLeaseZone {
  public:
   struct Node {
@@ -95,7 +95,7 @@
     }
     return std::nullopt;
   }
-  /// Lets every node want the lease that believes to be the one to take it.
+  /// Runs the world; the lease is needed at each node that considers itself the next holder.
   void run(Duration length) {
     const auto end = world.now() + length;
     while (world.now() < end) {
@@ -182,7 +182,8 @@
       violation = what + " at " + std::to_string(common::toSeconds(world.now())) + " s";
     }
   }
-  /// One node acts at a time; the next one not before the gap, and under a higher term.
+  /// Only one node holds the lease at a time; the next one not before the handover gap has passed,
+  /// and under a higher term.
   void check() {
     for (const auto& [index, node] : nodes) {
       const auto epoch = node.lease ? node.lease->heldEpoch() : std::nullopt;
@@ -192,16 +193,16 @@
       const common::NodeId& self = node.membership->self();
       if (self != last_holder_) {
         holders += 1;
-        // Clocks differ by some percents.
+        // Clock rates differ by a few percent.
         const auto least = lease_settings.handover_gap * 19 / 20;
         if (last_held_ && world.now() - *last_held_ < least) {
-          report("two holders within the gap");
+          report("next holder before the end of the handover gap");
         }
         if (*epoch <= last_epoch_) {
-          report("term does not rise");
+          report("term does not increase");
         }
       } else if (*epoch < last_epoch_) {
-        report("term goes back");
+        report("term decreases");
       }
       last_holder_ = self;
       last_epoch_ = *epoch;
@@ -282,9 +283,9 @@
     zone.wanted = false;
     zone.run(2s);
     CPPUNIT_ASSERT(!zone.holder());
-    const auto calm = zone.world.store.writes;
+    const auto idle_writes = zone.world.store.writes;
     zone.run(10s);
-    CPPUNIT_ASSERT_EQUAL(calm, zone.world.store.writes);
+    CPPUNIT_ASSERT_EQUAL(idle_writes, zone.world.store.writes);
   }
 
   void sameHolderReacquiresUnderSameTerm() {
@@ -312,7 +313,7 @@
     CPPUNIT_ASSERT(taken.has_value());
     const Duration gap = zone.lease_settings.handover_gap;
     CPPUNIT_ASSERT(*taken >= gap);
-    // Membership notices the loss first.
+    // Includes the time in which membership detects the loss.
     CPPUNIT_ASSERT(*taken <= gap + zone.lease_settings.duration + 3s);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.violation);
   }
@@ -376,8 +377,9 @@
     });
   }
 
-  /// One node acts at a time, the next one after the gap and under a higher term, whatever becomes
-  /// of nodes, links, store, answers and late writes; and once faults end there is a holder.
+  /// Only one node holds the lease at a time, the next one after the handover gap and under a
+  /// higher term, under faults of nodes, links and the store, lost answers and late writes. Once
+  /// faults end there is a holder.
   void oneHolderAtATimeUnderRandomFaults() {
     std::uint64_t holders = 0;
     std::uint64_t pauses = 0;
@@ -415,8 +417,8 @@
       lost += zone.world.store.answers_lost;
     });
     std::cout << "\n  holders " << holders << ", pauses of the holder " << pauses
-              << ", store hidden from the holder " << hidden << ", late writes in effect " << late
-              << ", answers lost " << lost << "\n";
+              << ", store unreachable for the holder " << hidden << ", late writes in effect "
+              << late << ", answers lost " << lost << "\n";
     CPPUNIT_ASSERT(holders > 2 * kRuns && pauses > kRuns / 2 && hidden > kRuns / 4);
     CPPUNIT_ASSERT(late > kRuns / 4 && lost > kRuns);
   }
--- a/tests/lease/voter_promise_test.cpp
+++ b/tests/lease/voter_promise_test.cpp
@@ -11,7 +11,8 @@
   }
 };
 
-/// A node that joins the voters is given the records first and asked for its grant after.
+/// A node that joins the voters receives the holder's records before the request for its grant. The
+/// records make it promise the holder's epoch, which must not make it refuse the holder's request.
 class VoterPromiseTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(VoterPromiseTest);
   CPPUNIT_TEST(grantsToHolderWhoseRecordsItStores);
--- a/tests/lease/zone_authority_test.cpp
+++ b/tests/lease/zone_authority_test.cpp
@@ -185,8 +185,8 @@
     CPPUNIT_ASSERT(zone.world.store.answers_lost > 0);
   }
 
-  /// Bytes of encoded envelopes that a node of a zone of 13 sends a second for membership and
-  /// lease.
+  /// Limits the bytes of encoded envelopes per second that a node in a zone of 13 sends for
+  /// membership and lease.
   void idleControlTrafficStaysWithinLimit() {
     constexpr int kSeconds = 60;
     LeaseZone zone(12);
@@ -209,8 +209,8 @@
     CPPUNIT_ASSERT(others / kSeconds < 2500);
   }
 
-  /// A holder with a slow clock is cut off; voters with fast clocks elect the next as early as they
-  /// can.
+  /// A holder with a slow clock is partitioned while voters with fast clocks elect the next one as
+  /// early as possible. Without the drift margin both leases would overlap.
   void slowHolderClockNeverOverlapsNextLease() {
     int slow_holders = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
--- a/tests/object_store/http_platform_test.cpp
+++ b/tests/object_store/http_platform_test.cpp
@@ -51,7 +51,7 @@
     const std::string& sent = server_.requests().at(0);
     CPPUNIT_ASSERT(sent.starts_with("PUT /objects/a%2Fb HTTP/1.1"));
     CPPUNIT_ASSERT(sent.ends_with(R"({"change_id":"c","expected_version":2,"value":"v"})"));
-    // The write's own earlier copy took effect.
+    // An earlier attempt of the same write took effect.
     server_.answer(httpAnswer(409, kObject));
     CPPUNIT_ASSERT(write(store_).ok());
     std::string of_another = kObject;
@@ -66,7 +66,7 @@
     CPPUNIT_ASSERT(write(store_).failure().kind == StoreFailure::kUnknownOutcome);
     server_.answer(httpAnswer(200, "{"));
     CPPUNIT_ASSERT(write(store_).failure().kind == StoreFailure::kUnknownOutcome);
-    // Silence until the time limit: the write may have taken effect.
+    // No answer within the time limit: the write may have taken effect.
     CPPUNIT_ASSERT(write(store_).failure().kind == StoreFailure::kUnknownOutcome);
     HttpObjectStore unreachable(curl_, counters_, settingsFor("127.0.0.1:1"));
     CPPUNIT_ASSERT(write(unreachable).failure().kind == StoreFailure::kUnavailable);
--- a/tests/object_store/platform_standin_test.cpp
+++ b/tests/object_store/platform_standin_test.cpp
@@ -1,4 +1,4 @@
-/// The HTTP clients of the platform against the platform stand-in's own front, over real sockets.
+/// The platform's HTTP clients against the platform stand-in, over real sockets.
 #include <asio/io_context.hpp>
 #include <optional>
 #include <string>
@@ -57,7 +57,7 @@
     store_.setFaults(faults);
     CPPUNIT_ASSERT(write("k", 0, "v", "c1").failure().kind == StoreFailure::kUnknownOutcome);
     CPPUNIT_ASSERT_EQUAL(std::string("c1"), get("k").value().change_id);
-    // Sent again, the write finds its own earlier copy.
+    // The repeated write conflicts with its own first attempt, which counts as success.
     CPPUNIT_ASSERT(write("k", 0, "v", "c1").ok());
   }
 
--- a/tests/store_relay/change_history_test.cpp
+++ b/tests/store_relay/change_history_test.cpp
@@ -23,14 +23,14 @@
 
  public:
   void returnsChangesAfterRevision() {
-    ChangeHistory history = begun();
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 10), changeOf(12, 10)}, 12);
     history.add({}, 15);
     history.add({changeOf(16, 10)}, 17);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, history.revision());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, history.changed());
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, history.since(10, kReplyBytes)->size());
-    // The batch up to 12 is given whole to who knows a part of it.
+    // The batch up to 12 is returned whole, even if a part of it is known.
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, history.since(11, kReplyBytes)->size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, history.since(12, kReplyBytes)->size());
     CPPUNIT_ASSERT(history.since(17, kReplyBytes)->empty());
@@ -38,7 +38,7 @@
   }
 
   void oldChangesAreEvicted() {
-    ChangeHistory history = begun();
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 50)}, 11);
     history.add({changeOf(12, 40)}, 12);
     CPPUNIT_ASSERT(history.since(10, kKeptBytes));
@@ -52,7 +52,7 @@
   }
 
   void refusesAnswersAboveLimit() {
-    ChangeHistory history = begun();
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 40)}, 11);
     history.add({changeOf(12, 40)}, 12);
     CPPUNIT_ASSERT(!history.since(10, kReplyBytes));
@@ -60,7 +60,7 @@
   }
 
   void restartDropsHistory() {
-    ChangeHistory history = begun();
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 10)}, 11);
     history.restart(20);
     CPPUNIT_ASSERT(!history.since(11, kReplyBytes));
@@ -69,14 +69,14 @@
   }
 
   void ignoresOlderRevisions() {
-    ChangeHistory history = begun();
+    ChangeHistory history = startedHistory();
     history.add({changeOf(9, 10)}, 9);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, history.revision());
     CPPUNIT_ASSERT(history.since(10, kReplyBytes)->empty());
   }
 
  private:
-  static ChangeHistory begun() {
+  static ChangeHistory startedHistory() {
     ChangeHistory history(kKeptBytes);
     history.restart(10);
     return history;
--- a/tests/store_relay/change_packer_test.cpp
+++ b/tests/store_relay/change_packer_test.cpp
@@ -9,9 +9,9 @@
 using Json = ChangePacker::Json;
 
 constexpr const char* kName = "main";
-/// Bits a second that a busy link of 10 Mbit/s leaves to one more connection.
+/// Bandwidth that a busy 10 Mbit/s link leaves to one more connection.
 constexpr double kBusyLinkBitsPerSecond = 500'000;
-/// Time within which a configuration has to be in force.
+/// Time within which a configuration must take effect.
 constexpr double kSecondsToApply = 2;
 
 Json routes(int count) {
@@ -65,7 +65,7 @@
     CPPUNIT_ASSERT(secondsOnABusyLink(packer.packPut(kName, 4, content)) < kSecondsToApply);
   }
 
-  /// Ten times as many routes, of which a few change.
+  /// A few of 14000 routes change: only the difference is sent.
   void changeOfLargeConfigurationIsSmall() {
     ChangePacker packer;
     ChangePacker peer;
--- a/tests/store_relay/large_zone_test.cpp
+++ b/tests/store_relay/large_zone_test.cpp
@@ -1,4 +1,4 @@
-/// Readers of the store in a zone of hundreds of nodes: announcements and changes go down a tree.
+/// The store relay in a zone of hundreds of nodes, where announcements are forwarded along a tree.
 #include <map>
 
 #include "tests/store_relay/relay_zone.h"
@@ -52,7 +52,7 @@
           static_cast<double>(zone.simulation.network().deliveredMessages() - delivered) / count /
           10;
     }
-    // One announcement in 300 ms comes in at each node.
+    // Each node receives one announcement per 300 ms.
     CPPUNIT_ASSERT(messages[1000] <= 1.2 * messages[30]);
     CPPUNIT_ASSERT(messages[1000] <= 4);
   }
@@ -65,7 +65,7 @@
         zone.simulation.kill(*node.process);
       }
     }
-    // Nobody knows yet who is gone.
+    // The remaining nodes have not detected the losses yet.
     zone.store.put("a", "1");
     zone.run(seconds(2));
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
@@ -95,7 +95,7 @@
     CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
   }
 
-  /// Each node's own listing and first watch came to 590 calls for one topic.
+  /// If each node made its own listing and first watch, that would be 590 calls for one topic.
   void startingZoneMakesFewStoreCalls() {
     RelayZone zone(kNodes, 6);
     zone.run(seconds(3));
@@ -113,12 +113,12 @@
       zone.run(milliseconds(100));
       CPPUNIT_ASSERT(zone.nodes[static_cast<std::size_t>(index)].copy->objects ==
                      zone.store.objects());
-      // Unless it reads for the others, it asks the store nothing itself.
+      // Unless it is a reader, it makes no store call.
       const auto& node = zone.nodes[static_cast<std::size_t>(index)];
       CPPUNIT_ASSERT(zone.reads(node) || node.copy->calls == 0);
-      // The readers go on reading, and the new life may have become one of them.
+      // The readers keep polling, and the new incarnation may be one of them.
       CPPUNIT_ASSERT(zone.store.calls - before <= 5);
-      // From then on it follows as the others do.
+      // It then follows changes as the other nodes do.
       zone.store.put("b", "2");
       zone.run(seconds(1));
       CPPUNIT_ASSERT_EQUAL(0, zone.nodesBehind());
--- a/tests/store_relay/relay_zone.h
+++ b/tests/store_relay/relay_zone.h
@@ -21,7 +21,7 @@
 inline constexpr Topic kTopic = Topic::kListedEngines;
 inline constexpr const char* kZone = "z";
 
-/// A store of one kind of objects: keeps its whole history, and can be silent to some nodes.
+/// A store of one kind of objects that keeps its whole history and can ignore some nodes.
 class ScriptedStore {
  public:
   void put(const std::string& name, std::string content) {
@@ -34,7 +34,7 @@
     log_.push_back({name, revision_, true, ""});
     objects_.erase(name);
   }
-  /// Raises the revision by a change of another kind of objects.
+  /// Increments the revision, as a change of another kind of objects does.
   void changeElsewhere() { ++revision_; }
 
   std::vector<StoreChange> since(std::uint64_t revision) const {
@@ -47,7 +47,7 @@
   const std::map<std::string, std::string>& objects() const { return objects_; }
 
   std::uint64_t calls = 0;
-  /// Addresses of nodes to which the store says nothing.
+  /// Addresses of nodes whose calls the store does not answer.
   std::vector<common::Address> unresponsive_to;
 
  private:
@@ -56,8 +56,8 @@
   std::map<std::string, std::string> objects_;
 };
 
-/// Follows the store as an adapter does: one call at a time, which waits there until something
-/// changes or its poll time is over.
+/// Follows the store as a platform adapter does: one long poll at a time, which ends with a change
+/// or after its poll time.
 class ScriptedCopy final : public StoreCopy {
  public:
   static constexpr common::Duration kLatency = std::chrono::milliseconds(4);
@@ -102,7 +102,7 @@
   std::uint64_t calls = 0;
 
  private:
-  /// Reads everything, then follows.
+  /// Lists all objects, then follows changes.
   void list() {
     asking_ = true;
     ++calls;
@@ -189,8 +189,8 @@
     }
   }
 
-  /// Ends the process of a node and starts another one in its place, which knows nothing but the
-  /// members; the others learn of its new life.
+  /// Replaces the process of a node by a new incarnation, which knows nothing but the members; the
+  /// other nodes learn of it.
   void restart(int number) {
     Node& node = nodes[static_cast<std::size_t>(number)];
     node = makeNode(number);
@@ -213,7 +213,7 @@
            ":7000";
   }
 
-  /// Every node learns who is alive.
+  /// Updates the membership of every node: ended processes become suspect.
   void showMembers() {
     std::vector<membership::Member> members;
     for (const Node& node : nodes) {
@@ -245,7 +245,7 @@
     }
     return found;
   }
-  /// \return nodes alive whose copy isn't what the store holds
+  /// \return the number of live nodes whose copy differs from the store
   int nodesBehind() const {
     return static_cast<int>(std::count_if(nodes.begin(), nodes.end(), [this](const Node& node) {
       return node.process->alive() && node.copy->objects != store.objects();
--- a/tests/store_relay/store_relay_test.cpp
+++ b/tests/store_relay/store_relay_test.cpp
@@ -10,9 +10,9 @@
 using std::chrono::seconds;
 using testing::RelayZone;
 
-/// The shortest bound within which a change must be in force at the deployments seen so far.
+/// Time within which a change must take effect; the shortest bound of the known deployments.
 constexpr common::Duration kChangeBound = seconds(2);
-/// After this each node knows the readers, and no first call of another node waits at the store.
+/// After this each node knows the readers, and no initial store call of another node is pending.
 constexpr common::Duration kSettleTime = seconds(5);
 
 class StoreRelayTest : public CppUnit::TestFixture {
@@ -168,7 +168,8 @@
     CPPUNIT_ASSERT_EQUAL(1.0, zone.total("cypresswall_store_relay_unanswered_total"));
   }
 
-  /// Peers' links and the store's are slow at once.
+  /// Links between peers are slow and the store does not answer the nodes that are no readers. If a
+  /// node dropped replies that arrive after the timeout, it would stay behind.
   void lateRepliesAreApplied() {
     for (const int way : {90, 110, 130, 150, 200, 300, 400}) {
       RelayZone zone(9);
@@ -188,8 +189,8 @@
     }
   }
 
-  /// A storm of configurations after a silent store once broke a bound of 2 s with more
-  /// pending_call_grace.
+  /// A node with a pending store call pulls from a reader only after a short grace period. A longer
+  /// one exceeded the bound of 2 s when many configurations followed a store outage.
   void pendingCallTakesPrecedence() {
     RelayZone zone(3);
     zone.run(kSettleTime);
