--- a/src/cypresswall/idempotency/quorum_key_claims.h
+++ b/src/cypresswall/idempotency/quorum_key_claims.h
@@ -1,6 +1,6 @@
-/// KeyClaims by way of the lease holder of the zone that owns the key, which keeps every claim on a
-/// quorum of its zone's voters. Claims on keys of other zones go to a node there, which passes them
-/// on to its holder; the holder answers the claimer directly.
+/// KeyClaims through the lease holder of the zone that owns the key, which replicates every claim
+/// to a quorum of its zone's voters. A claim on a key of another zone is sent to a node there,
+/// which forwards it to the holder; the holder answers the claimer directly.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 namespace cypresswall::idempotency {
 
-/// Modules of the same node that claims rest on. All must outlive the claims.
+/// Modules of the same node that QuorumKeyClaims depends on. All must outlive it.
 struct ClaimInterfaces {
   lease::AuthorityView& authority;
   lease::QuorumLog& log;
@@ -39,27 +39,26 @@
              std::function<void(ClaimAnswer)> callback) override;
   void complete(const std::string& key, std::string answer) override;
   void release(const std::string& key) override;
-  /// \return true if a report of this node is not yet kept by a quorum; a planned stop waits for
-  /// it.
+  /// \return true if a report of this node is not yet acknowledged; a planned stop waits for it.
   bool reportsPending() const { return !reports_.empty(); }
 
  private:
   /// A claim without an answer yet.
   struct Waiting {
     ClaimRequest request;
-    /// Zone that owns the key; stays the same however the configuration changes meanwhile.
+    /// Zone that owned the key when it was claimed; not affected by later configuration changes.
     common::ZoneName owner;
     common::MonotonicTime deadline;
     std::function<void(ClaimAnswer)> callback;
     std::size_t sent = 0;
   };
-  /// A claim that was granted and has not ended.
+  /// A granted claim that is neither completed nor released.
   struct Running {
     ClaimId claim;
     std::uint64_t digest = 0;
     common::ZoneName owner;
   };
-  /// A claim that was given up; a late grant of it is given back.
+  /// A claim that timed out or was released; a late grant of it is released.
   struct Abandoned {
     ClaimRequest request;
     common::ZoneName owner;
@@ -76,7 +75,7 @@
   template <typename Message>
   void sendToOwner(const common::ZoneName& owner, const Message& message, std::size_t attempt);
   template <typename Message>
-  bool passOn(const Message& message);
+  bool forwardToHolder(const Message& message);
   void handle(const common::NodeId& sender, const ClaimRequest& request);
   void handle(const common::NodeId& sender, const ClaimReply& reply);
   void handle(const common::NodeId& sender, const ClaimReport& report);
@@ -87,7 +86,7 @@
   void rememberAbandoned(Abandoned abandoned);
   void finish(std::uint64_t number, ClaimAnswer answer);
   void end(const std::string& key, bool completed, std::string answer);
-  void giveBackAbandoned(const ClaimReply& reply);
+  void releaseAbandoned(const ClaimReply& reply);
 
   ClaimSettings settings_;
   api::ProcessContext context_;
@@ -103,7 +102,7 @@
   common::Counter& unavailable_count_;
   common::Counter& resent_count_;
   common::Counter& late_count_;
-  common::Counter& passed_on_count_;
+  common::Counter& forwarded_count_;
   common::Counter& report_lost_count_;
 };
 
--- a/src/cypresswall/object_store/store_answer.cpp
+++ b/src/cypresswall/object_store/store_answer.cpp
@@ -20,20 +20,20 @@
   return "status " + std::to_string(response.status);
 }
 
-/// \return true if the status says that a write was not carried out.
+/// \return true if the status means that a write was not carried out.
 bool refusesWrite(int status) {
   return status == kStatusUnavailable ||
          (status >= kStatusBadRequest && status < kStatusServerError);
 }
 
-bool metOwnCopy(const CurlResponse& response,
+bool isOwnWrite(const CurlResponse& response,
                 const std::function<StoredObject(std::string_view)>& parse,
                 const std::function<bool(const StoredObject&)>& own, StoredObject& stored) {
   try {
     stored = parse(response.body);
     return own(stored);
   } catch (const PlatformProtocolError&) {
-    return false;  // The status alone says enough.
+    return false;  // The status alone makes it a conflict.
   }
 }
 
@@ -102,7 +102,7 @@
                                       const std::function<bool(const StoredObject&)>& own) {
   if (const auto failure = writeFailure(response)) {
     StoredObject stored;
-    if (failure->kind == StoreFailure::kConflict && metOwnCopy(response, parse, own, stored)) {
+    if (failure->kind == StoreFailure::kConflict && isOwnWrite(response, parse, own, stored)) {
       return stored;
     }
     return *failure;
--- a/tests/object_store/platform_standin_test.cpp
+++ b/tests/object_store/platform_standin_test.cpp
@@ -1,4 +1,4 @@
-/// The HTTP clients of the platform against the platform stand-in's own front, over real sockets.
+/// The platform's HTTP clients against the platform stand-in, over real sockets.
 #include <asio/io_context.hpp>
 #include <optional>
 #include <string>
@@ -23,10 +23,10 @@
 class PlatformStandinTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformStandinTest);
   CPPUNIT_TEST(writesAreComparedAndSet);
-  CPPUNIT_TEST(lostAnswersAreUnknownAndReadBack);
+  CPPUNIT_TEST(lostAnswersAreUnknownUntilReadBack);
   CPPUNIT_TEST(outagesDoNothing);
-  CPPUNIT_TEST(watchesGiveChanges);
-  CPPUNIT_TEST(watchesEndAtARestore);
+  CPPUNIT_TEST(watchesReturnChanges);
+  CPPUNIT_TEST(watchesFailAfterRestore);
   CPPUNIT_TEST(readsMachines);
   CPPUNIT_TEST_SUITE_END();
 
@@ -51,13 +51,13 @@
     CPPUNIT_ASSERT(list("x").value().objects.empty());
   }
 
-  void lostAnswersAreUnknownAndReadBack() {
+  void lostAnswersAreUnknownUntilReadBack() {
     emulation::ObjectStoreFaults faults;
     faults.lose_next_answers = 1;
     store_.setFaults(faults);
     CPPUNIT_ASSERT(write("k", 0, "v", "c1").failure().kind == StoreFailure::kUnknownOutcome);
     CPPUNIT_ASSERT_EQUAL(std::string("c1"), get("k").value().change_id);
-    // Sent again, the write finds its own earlier copy.
+    // The repeated write conflicts with its own first attempt, which counts as success.
     CPPUNIT_ASSERT(write("k", 0, "v", "c1").ok());
   }
 
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT(get("k").failure().kind == StoreFailure::kNotFound);
   }
 
-  void watchesGiveChanges() {
+  void watchesReturnChanges() {
     const auto start = list("a/").value().revision;
     const auto empty = watch("a/", start);
     CPPUNIT_ASSERT(empty.value().objects.empty());
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("yes"), seen->value().objects.at(0).value);
   }
 
-  void watchesEndAtARestore() {
+  void watchesFailAfterRestore() {
     CPPUNIT_ASSERT(write("a/1", 0, "x", "c1").ok());
     const auto revision = list("a/").value().revision;
     store_.restoreToRevision(0);
--- a/tests/objects_platform/relayed_watch_test.cpp
+++ b/tests/objects_platform/relayed_watch_test.cpp
@@ -73,7 +73,7 @@
 
   void unreadableContentIsNoRunner() {
     begin();
-    other_->watch.takeChanges({{"i-2", 8, false, "{"}, {"i-3", 9, false, kRunner}}, 9);
+    other_->watch.applyPeerChanges({{"i-2", 8, false, "{"}, {"i-3", 9, false, kRunner}}, 9);
     CPPUNIT_ASSERT(other_->runners.findById("i-2") == nullptr);
     CPPUNIT_ASSERT(other_->runners.findById("i-3") != nullptr);
   }
@@ -101,26 +101,26 @@
   /// An own call may have been answered by the store before the change that a peer gave meanwhile.
   void anOlderAnswerOfTheStoreLeavesTheBaseOfDifferences() {
     begin();
-    other_->watch.askStore();
+    other_->watch.fetchFromStore();
     store_relay::ChangePacker peer;
     const auto version = [](int number) {
       return wire::Json{{"version", number}, {"filler", std::string(5000, 'x')}};
     };
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 9, version(1))}, 9));
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 11, version(2))}, 11));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 9, version(1))}, 9));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 11, version(2))}, 11));
     other_->store.answer(200, eventsJson(9, {{objectJson("main", 9, version(1).dump()), false}}));
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 13, version(3))}, 13));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 13, version(3))}, 13));
   }
 
   void aDifferenceThatCannotBeAppliedIsNotTaken() {
     begin();
     store_relay::ChangePacker peer;
     const wire::Json content = {{"filler", std::string(5000, 'x')}};
-    CPPUNIT_ASSERT(other_->watch.takeChanges({peer.packPut("main", 9, content)}, 9));
+    CPPUNIT_ASSERT(other_->watch.applyPeerChanges({peer.packPut("main", 9, content)}, 9));
     store_relay::StoreChange broken{"main", 11, false, "?"};
     broken.encoding = store_relay::ContentEncoding::kPackedDifference;
     broken.base_revision = 9;
-    CPPUNIT_ASSERT(!other_->watch.takeChanges({broken}, 11));
+    CPPUNIT_ASSERT(!other_->watch.applyPeerChanges({broken}, 11));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, other_->watch.revision());
   }
 
@@ -165,7 +165,7 @@
         {second_.process.id(), "", membership::MemberState::kAlive, ""}};
     for (RelayNode* const node : {&first_, &second_}) {
       node->membership.setMembers(members);
-      node->watch.askStore();
+      node->watch.fetchFromStore();
       node->store.answer(200, pageJson(7, {}));
       node->relay.start();
     }
@@ -175,7 +175,7 @@
     other_ = first_reads ? &second_ : &first_;
     simulation_.time().runFor(milliseconds(400));
     other_->store.answer(200, eventsJson(7, {}));
-    CPPUNIT_ASSERT(!other_->watch.asking());
+    CPPUNIT_ASSERT(!other_->watch.callPending());
   }
 
   common::SeededRandom random_{7};
--- a/tests/store_relay/change_history_test.cpp
+++ b/tests/store_relay/change_history_test.cpp
@@ -14,31 +14,31 @@
 
 class ChangeHistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ChangeHistoryTest);
-  CPPUNIT_TEST(givesWhatCameAfter);
-  CPPUNIT_TEST(oldChangesGiveWay);
-  CPPUNIT_TEST(givesNothingTooLarge);
-  CPPUNIT_TEST(restartForgets);
-  CPPUNIT_TEST(neverGoesBack);
+  CPPUNIT_TEST(returnsChangesAfterRevision);
+  CPPUNIT_TEST(oldChangesAreEvicted);
+  CPPUNIT_TEST(refusesAnswersAboveLimit);
+  CPPUNIT_TEST(restartDropsHistory);
+  CPPUNIT_TEST(ignoresOlderRevisions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void givesWhatCameAfter() {
-    ChangeHistory history = begun();
+  void returnsChangesAfterRevision() {
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 10), changeOf(12, 10)}, 12);
     history.add({}, 15);
     history.add({changeOf(16, 10)}, 17);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, history.revision());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{17}, history.changed());
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, history.since(10, kReplyBytes)->size());
-    // The batch up to 12 is given whole to who knows a part of it.
+    // The batch up to 12 is returned whole, even if a part of it is known.
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, history.since(11, kReplyBytes)->size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, history.since(12, kReplyBytes)->size());
     CPPUNIT_ASSERT(history.since(17, kReplyBytes)->empty());
     CPPUNIT_ASSERT(!history.since(9, kReplyBytes));
   }
 
-  void oldChangesGiveWay() {
-    ChangeHistory history = begun();
+  void oldChangesAreEvicted() {
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 50)}, 11);
     history.add({changeOf(12, 40)}, 12);
     CPPUNIT_ASSERT(history.since(10, kKeptBytes));
@@ -51,16 +51,16 @@
     CPPUNIT_ASSERT(history.since(14, kKeptBytes)->empty());
   }
 
-  void givesNothingTooLarge() {
-    ChangeHistory history = begun();
+  void refusesAnswersAboveLimit() {
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 40)}, 11);
     history.add({changeOf(12, 40)}, 12);
     CPPUNIT_ASSERT(!history.since(10, kReplyBytes));
     CPPUNIT_ASSERT(history.since(11, kReplyBytes));
   }
 
-  void restartForgets() {
-    ChangeHistory history = begun();
+  void restartDropsHistory() {
+    ChangeHistory history = startedHistory();
     history.add({changeOf(11, 10)}, 11);
     history.restart(20);
     CPPUNIT_ASSERT(!history.since(11, kReplyBytes));
@@ -68,15 +68,15 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, history.changed());
   }
 
-  void neverGoesBack() {
-    ChangeHistory history = begun();
+  void ignoresOlderRevisions() {
+    ChangeHistory history = startedHistory();
     history.add({changeOf(9, 10)}, 9);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, history.revision());
     CPPUNIT_ASSERT(history.since(10, kReplyBytes)->empty());
   }
 
  private:
-  static ChangeHistory begun() {
+  static ChangeHistory startedHistory() {
     ChangeHistory history(kKeptBytes);
     history.restart(10);
     return history;
