--- a/src/cypresswall/node/node.cpp
+++ b/src/cypresswall/node/node.cpp
@@ -46,7 +46,7 @@
       key_claims_(settings_.claims, context_,
                   idempotency::ClaimInterfaces{authority_, authority_, membership_, gossip_,
                                                configuration_view_}),
-      fleet_part_(settings_.fleet_part, context_, membership_),
+      fleet_part_(settings_.local_share, context_, membership_),
       retries_(settings_.retries, context_, [this] { return fleet_part_.fraction(); }),
       quarantine_(settings_.quarantine, settings_.membership.neighbours, context_, membership_,
                   clients.engines, clients.object_store),
--- a/src/cypresswall/node/node_settings.h
+++ b/src/cypresswall/node/node_settings.h
@@ -51,7 +51,7 @@
   admission::AdmissionSettings admission;
   execution::ExecutionSettings execution;
   fleet_limits::RetryLimitSettings retries;
-  fleet_limits::LocalShareSettings fleet_part;
+  fleet_limits::LocalShareSettings local_share;
   fleet_limits::RateLimitSettings rate_limits;
   quarantine::QuarantineSettings quarantine;
   duties::DutySettings duties;
--- a/src/cypresswall/node/node_state.cpp
+++ b/src/cypresswall/node/node_state.cpp
@@ -178,7 +178,7 @@
     row.used = account->used();
     row.left = account->left();
     row.refused = account->totalRefused();
-    row.part = sources_.fleet_part.fraction();
+    row.part = sources_.local_share.fraction();
     rows.push_back(std::move(row));
   }
   return rows;
--- a/src/cypresswall/node/node_state.h
+++ b/src/cypresswall/node/node_state.h
@@ -32,7 +32,7 @@
   const execution::RequestJournal& model_requests;
   const execution::RequestJournal& service_requests;
   const fleet_limits::RetryBudgets& retries;
-  const fleet_limits::LocalShare& fleet_part;
+  const fleet_limits::LocalShare& local_share;
   fleet_limits::EngineRateLimits& rate_limits;
   const quarantine::FleetQuarantine& quarantine;
   const duties::FleetDuties& duties;
--- a/src/cypresswall/settings/policy_keys.cpp
+++ b/src/cypresswall/settings/policy_keys.cpp
@@ -24,7 +24,7 @@
   key.is_list = true;
   key.apply = [](DaemonSettings& settings, const RawValue& value) {
     const std::set<std::string> regions(value.items.begin(), value.items.end());
-    settings.node.fleet_part.regions = std::max<std::size_t>(1, regions.size());
+    settings.node.local_share.regions = std::max<std::size_t>(1, regions.size());
   };
   return key;
 }
--- a/src/cypresswall/settings/settings_loader.cpp
+++ b/src/cypresswall/settings/settings_loader.cpp
@@ -27,7 +27,7 @@
       throw SettingsError(problems_);
     }
     settings_.node.membership.gateway_address = settings_.server.address;
-    settings_.node.fleet_part.window = settings_.node.retries.window;
+    settings_.node.local_share.window = settings_.node.retries.window;
     return std::move(settings_);
   }
 
@@ -106,7 +106,7 @@
     // This platform counts every request that reaches a back end, even a refused one, across all
     // nodes and their restarts.
     settings.node.execution.charge_refused_attempts = true;
-    settings.node.fleet_part.withhold_after_start = true;
+    settings.node.local_share.withhold_after_start = true;
     settings.node.router.copies_prefixes = settings.copied_prefixes;
     settings.node.execution.first_token_stall_share = kObjectsPlatformStallShare;
     // Its engines have only the roles "prefill" and "decode", and its store outlives the nodes.
--- a/tests/fleet_limits/fleet_retries_test.cpp
+++ b/tests/fleet_limits/fleet_retries_test.cpp
@@ -74,7 +74,7 @@
     const node::NodeSettings deployed = deployedSettings(scenario);
     settings.node.execution = deployed.execution;
     settings.node.retries = deployed.retries;
-    settings.node.fleet_part = deployed.fleet_part;
+    settings.node.local_share = deployed.local_share;
     configuration::ConfigurationChange change;
     change.version = kVersion;
     change.objects = simulation::declarations(settings.topology);
--- a/tests/fleet_limits/simulated_budgets.h
+++ b/tests/fleet_limits/simulated_budgets.h
@@ -97,8 +97,8 @@
                  counters_,
                  transport_,
                  dispatcher_},
-        fleet_part(part, context_, membership),
-        budgets(limits, context_, [this] { return fleet_part.fraction(); }) {}
+        local_share(part, context_, membership),
+        budgets(limits, context_, [this] { return local_share.fraction(); }) {}
   BudgetNode(const BudgetNode&) = delete;
   BudgetNode& operator=(const BudgetNode&) = delete;
 
@@ -115,7 +115,7 @@
   api::ProcessContext context_;
 
  public:
-  fleet_limits::LocalShare fleet_part;
+  fleet_limits::LocalShare local_share;
   fleet_limits::RetryBudgets budgets;
 };
 
