--- a/src/cypresswall/operators/change_builder.h
+++ b/src/cypresswall/operators/change_builder.h
@@ -1,4 +1,4 @@
-/// Turns commands that change the configuration into changes of declared objects.
+/// Translates configuration commands into changes of declared objects.
 #pragma once
 
 #include <string>
@@ -10,20 +10,20 @@
 
 namespace cypresswall::operators {
 
-/// A command that was understood and can't be carried out.
+/// A valid command that can't be executed.
 class CommandError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// The text of a fleet file that came with an `apply` command.
+/// The fleet file sent with an `apply` command.
 struct FleetFileText {
   std::string name;
   std::string text;
 };
 
-/// \return the changes that `command` asks for on top of `current`; empty if nothing differs.
-///   They are not validated yet.
+/// \return the changes that `command` makes to `current`, not yet validated; empty if there are
+///   none.
 /// \throws CommandError, configuration::FleetFileError
 std::vector<configuration::ObjectChange> buildChanges(
     const Command& command, const configuration::FleetConfiguration& current,
--- a/src/cypresswall/operators/command.h
+++ b/src/cypresswall/operators/command.h
@@ -1,4 +1,4 @@
-/// The operators' commands as typed trees; docs/operators.md describes the language.
+/// Syntax trees of operator commands; docs/operators.md describes the language.
 #pragma once
 
 #include <cstdint>
@@ -55,7 +55,7 @@
   bool operator==(const WhyCommand&) const = default;
 };
 
-/// Options that are not given keep what is declared already.
+/// Options that are absent keep their declared values.
 struct DeclareZoneCommand {
   std::string zone;
   std::optional<std::string> region;
@@ -72,7 +72,7 @@
   std::string model;
   std::optional<std::string> version;
   std::optional<std::string> weights;
-  /// Added to the declared ones, or replacing those of the same name.
+  /// Added to the declared adapters; replaces those with the same name.
   std::vector<AdapterClause> adapters;
   bool operator==(const DeclareModelCommand&) const = default;
 };
@@ -119,14 +119,14 @@
 struct DrainCommand {
   DrainTarget target = DrainTarget::kNode;
   std::string name;
-  /// False undoes a drain.
+  /// False for `undrain`.
   bool drained = true;
   bool operator==(const DrainCommand&) const = default;
 };
 
 struct PinCommand {
   std::string engine;
-  /// Nothing gives the role back to the planner.
+  /// Empty for `unpin`: the planner chooses the role again.
   std::optional<engines::EngineRole> role;
   bool operator==(const PinCommand&) const = default;
 };
@@ -138,7 +138,7 @@
   bool operator==(const SetPlanningCommand&) const = default;
 };
 
-/// Applies a fleet file. The client reads it and sends its text along.
+/// Applies a fleet file; the client sends its text with the command.
 struct ApplyCommand {
   std::string file;
   bool operator==(const ApplyCommand&) const = default;
@@ -151,7 +151,7 @@
 };
 
 struct HelpCommand {
-  /// Empty asks for all commands.
+  /// Empty lists all commands.
   std::string topic;
   bool operator==(const HelpCommand&) const = default;
 };
--- a/src/cypresswall/operators/command_api.cpp
+++ b/src/cypresswall/operators/command_api.cpp
@@ -72,7 +72,7 @@
   throw RequestError("unknown status \"" + text + "\"");
 }
 
-/// Text that a command or a file may carry though it is not UTF-8 is shown with replacements.
+/// Commands and files may contain invalid UTF-8, which is replaced.
 std::string dump(const json& source) {
   return source.dump(-1, ' ', false, json::error_handler_t::replace);
 }
--- a/src/cypresswall/operators/command_api.h
+++ b/src/cypresswall/operators/command_api.h
@@ -11,20 +11,20 @@
 
 inline constexpr const char* kCommandPath = "/operators/v1/command";
 
-/// A request body that can't be read.
+/// A malformed request body.
 class RequestError : public common::Error {
  public:
   using common::Error::Error;
 };
 
 nlohmann::json encodeRequest(const CommandRequest& request);
-/// \throws RequestError naming the field at fault; unknown fields are ignored
+/// Ignores unknown fields.
+/// \throws RequestError naming the invalid field
 CommandRequest decodeRequest(const std::string& body);
 
 nlohmann::json encodeResponse(const CommandResponse& response);
 /// \throws RequestError
 CommandResponse decodeResponse(const std::string& body);
-/// \return the HTTP status that goes with an answer.
 int httpStatus(CommandStatus status);
 
 /// \return a handler for paths below /operators/; `service` must outlive it.
--- a/src/cypresswall/operators/command_client.cpp
+++ b/src/cypresswall/operators/command_client.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::operators {
 namespace {
 
-/// Statuses after which another server may do better, since nothing was done.
+/// \return true if nothing was executed and another server may accept the command.
 bool shouldTryNextServer(CommandStatus status) { return status == CommandStatus::kNotReady; }
 
 }  // namespace
@@ -55,7 +55,7 @@
 }
 
 CommandResponse CommandClient::change(const CommandRequest& request, const std::string& body) {
-  // True once an attempt may take effect though its answer was lost.
+  // True once an attempt with a lost response may still take effect.
   bool uncertain = false;
   std::string errors;
   std::optional<CommandResponse> last;
@@ -100,8 +100,8 @@
   throw UnreachableError("no server answered: " + errors);
 }
 
-/// An attempt made for one expected version can't take effect once a later version without it is
-/// in force. Any other refusal says nothing of an earlier attempt.
+/// An attempt with an expected version can't take effect once a later version without the change is
+/// in force. Any other rejection says nothing about earlier attempts.
 bool CommandClient::isConclusive(const CommandRequest& request,
                                  const CommandResponse& response) const {
   return response.status == CommandStatus::kConflict && request.expected_version &&
--- a/src/cypresswall/operators/command_client.h
+++ b/src/cypresswall/operators/command_client.h
@@ -1,5 +1,5 @@
-/// Sends commands to daemons: tries several in turn, and isConclusive what became of a change whose
-/// answer was lost.
+/// Sends commands to daemons: tries several servers in turn, and determines the outcome of a change
+/// whose response was lost.
 #pragma once
 
 #include <functional>
@@ -15,19 +15,19 @@
 enum class PostResult {
   kAnswered,
   kNotSent,  ///< no byte reached the server
-  kUnknown,  ///< the connection broke, or no answer came in time
+  kUnknown,  ///< connection lost or timed out; the server may have executed the command
 };
 
-/// What came of one POST.
+/// The result of one POST.
 struct PostAnswer {
   PostResult result = PostResult::kNotSent;
-  /// With kAnswered: the answer's body.
+  /// The response body, for kAnswered.
   std::string body;
-  /// Otherwise: what went wrong.
+  /// The error, for all other results.
   std::string error;
 };
 
-/// No server could be reached.
+/// No server responded.
 class UnreachableError : public common::Error {
  public:
   using common::Error::Error;
@@ -36,8 +36,8 @@
 struct CommandClientSettings {
   /// "IP:port" of daemons, tried in turn.
   std::vector<common::Address> servers;
-  /// How long the outcome of a change is settled before it is called unknown. Longer than a daemon
-  /// isConclusive a lost answer of the store.
+  /// How long a change is retried before its outcome is reported as unknown. Longer than the time
+  /// in which a daemon resolves a lost response of the store.
   common::Duration outcome_timeout = std::chrono::seconds(20);
   common::Duration retry_interval = std::chrono::milliseconds(500);
 };
@@ -48,12 +48,12 @@
   using Sleep = std::function<void(common::Duration)>;
 
   /// \param post sends one request body to the command path of a server
-  /// \param sleep waits
+  /// \param sleep blocks for the given time
   CommandClient(CommandClientSettings settings, Post post, Sleep sleep)
       : settings_(std::move(settings)), post_(std::move(post)), sleep_(std::move(sleep)) {}
 
-  /// Runs a command. The command is parsed here first, so that a wrong one needs no server.
-  /// \param request with a change_id of its own, if the command is a change
+  /// Parses the command locally, so that syntax errors need no server, and then runs it.
+  /// \param request must have a unique change_id if the command is a change
   /// \throws UnreachableError
   CommandResponse run(const CommandRequest& request);
 
--- a/src/cypresswall/operators/command_service.cpp
+++ b/src/cypresswall/operators/command_service.cpp
@@ -113,8 +113,8 @@
   change.author = request.author.empty() ? "unknown" : request.author;
   change.expected_version = request.expected_version;
   change.late_delivery = request.late_delivery;
-  // A change that was accepted before would differ from what is in force now; only its identifier
-  // counts.
+  // A retry of an accepted change is recognised by its identifier alone: built against the current
+  // configuration, its objects would differ from the accepted ones.
   if (configuration_.log().findChangeId(change.change_id) == nullptr) {
     change.objects = buildChanges(command, *configuration_.current(), request.file);
   }
--- a/src/cypresswall/operators/command_service.h
+++ b/src/cypresswall/operators/command_service.h
@@ -1,4 +1,4 @@
-/// Carries out operators' commands on a daemon.
+/// Executes operator commands on a daemon.
 #pragma once
 
 #include <functional>
@@ -19,39 +19,39 @@
 
 struct CommandRequest {
   std::string command;
-  /// For `apply`.
+  /// Used by `apply`.
   FleetFileText file;
-  /// Refuse a change unless this version is in force.
+  /// Reject a change unless this version is in force.
   std::optional<std::uint64_t> expected_version;
-  /// Answer a change only when it is in force in every zone, or after CommandService::kWaitLimit.
+  /// Respond to a change once it is in force in every zone, or after CommandService::kWaitLimit.
   bool wait = false;
-  /// Unique; the same for each attempt at one change. Made up if empty.
+  /// Unique to a change and the same for all its retries. Generated if empty.
   std::string change_id;
   std::string author;
   bool late_delivery = false;
 };
 
 enum class CommandStatus {
-  kOk,          ///< a query, with its table
-  kAccepted,    ///< a change
+  kOk,          ///< query answered; see `table`
+  kAccepted,    ///< change accepted
   kParseError,  ///< see `position`, `length` and `suggestion`
-  kRefused,     ///< understood, but nothing was done; `message` says why
+  kRefused,     ///< valid, but not executed; `message` gives the reason
   kConflict,
   kInvalid,
   kZoneRefused,
-  kStoreUnavailable,  ///< nothing was done
-  kOutcomeUnknown,    ///< the change may or may not be accepted
+  kStoreUnavailable,  ///< not executed
+  kOutcomeUnknown,    ///< the change may or may not have been accepted
   kNotReady,
 };
 
-/// \return the word used in answers, for example "zone_refused".
+/// \return the name used in responses, for example "zone_refused".
 const char* toString(CommandStatus status);
 
-/// Where an accepted change is in force.
+/// Whether an accepted change is in force in a zone.
 struct ZoneProgress {
   common::ZoneName zone;
   bool in_force = false;
-  /// False if the zone has not been heard of by this node.
+  /// False if this node has no version information from the zone.
   bool heard = true;
 };
 
@@ -59,11 +59,11 @@
   CommandStatus status = CommandStatus::kOk;
   std::string message;
   ResultTable table;
-  /// Place at fault in the command, with kParseError.
+  /// Location of the error in the command, for kParseError.
   std::size_t position = 0;
   std::size_t length = 0;
   std::string suggestion;
-  /// Of changes: the accepted version, or the one in force.
+  /// For changes: the accepted version, or the version in force.
   std::uint64_t version = 0;
   std::string change_id;
   std::vector<ZoneProgress> zones;
@@ -72,11 +72,12 @@
 class CommandService {
  public:
   using Callback = std::function<void(CommandResponse)>;
-  /// The users ask for 7 s; a little more shows that a zone is late, and which.
+  /// Changes are required to be in force everywhere within 7 s; the margin lets the response name
+  /// the zones that are late.
   static constexpr common::Duration kWaitLimit = std::chrono::seconds(10);
 
-  /// \param declared set where the platform declares the fleet: queries read it in place of the
-  ///   replicated configuration, and changes are refused
+  /// \param declared set if the platform declares the fleet: queries read it instead of the
+  ///   replicated configuration, and changes are rejected
   CommandService(const api::ProcessContext& context,
                  configuration::ConfigurationReplica& configuration,
                  const StateProviders& providers,
@@ -84,7 +85,7 @@
   CommandService(const CommandService&) = delete;
   CommandService& operator=(const CommandService&) = delete;
 
-  /// \param callback called exactly once; for queries and errors before the call returns
+  /// \param callback called exactly once; before execute() returns for queries and errors
   void execute(const CommandRequest& request, const Callback& callback);
 
  private:
--- a/src/cypresswall/operators/formatter.cpp
+++ b/src/cypresswall/operators/formatter.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::operators {
 namespace {
 
-/// Writes one command word by word.
+/// Formats one command word by word.
 class Formatter {
  public:
   void operator()(const ShowCommand& command) {
--- a/src/cypresswall/operators/lexer.h
+++ b/src/cypresswall/operators/lexer.h
@@ -1,4 +1,4 @@
-/// Splits an operator's command into words, quoted texts and comparison operators.
+/// Splits a command into words, quoted strings and comparison operators.
 #pragma once
 
 #include <string>
@@ -11,21 +11,21 @@
 
 enum class TokenKind {
   kWord,
-  kQuoted,    ///< a text in double quotes; never a keyword
+  kQuoted,    ///< double-quoted string; never a keyword
   kOperator,  ///< one of = != < <= > >=
   kEnd,
 };
 
 struct Token {
   TokenKind kind = TokenKind::kEnd;
-  /// Without quotes and escapes.
+  /// Unquoted and unescaped.
   std::string text;
-  /// Place in the command, in bytes.
+  /// Byte offset in the command.
   std::size_t position = 0;
   std::size_t length = 0;
 };
 
-/// A command that can't be understood, with the place at fault.
+/// A syntax error and its location.
 class ParseError : public common::Error {
  public:
   ParseError(const std::string& message, std::size_t position, std::size_t length,
@@ -38,9 +38,9 @@
 
   std::size_t position() const { return position_; }
   std::size_t length() const { return length_; }
-  /// Nearest known word; empty if none is near.
+  /// The most similar known word; empty if there is none.
   const std::string& suggestion() const { return suggestion_; }
-  /// Words that could stand at the place, if they can be listed.
+  /// Words that are valid at this position, if they are a fixed set.
   const std::vector<std::string>& expected() const { return expected_; }
 
  private:
@@ -50,17 +50,16 @@
   std::vector<std::string> expected_;
 };
 
-/// Longest command that is read, in bytes.
 inline constexpr std::size_t kMaximumCommandBytes = 64U << 10;
 
 /// \return the tokens, the last of kind kEnd.
-/// \throws ParseError at an unclosed quote, or if the command is too long
+/// \throws ParseError if a quote is not closed or the command is too long
 std::vector<Token> tokenize(std::string_view command);
 
-/// \return `text` as it is, or quoted if it would not be read back as one word.
+/// \return `text`, quoted if it would not be parsed as one word.
 std::string quoteWord(std::string_view text);
 
-/// \return the command with a caret under the place at fault and the message below it.
+/// \return the command, a caret under the error location, and the message below it.
 std::string renderError(std::string_view command, const std::string& message, std::size_t position,
                         std::size_t length, const std::string& suggestion);
 
--- a/src/cypresswall/operators/parser.cpp
+++ b/src/cypresswall/operators/parser.cpp
@@ -10,7 +10,7 @@
 namespace cypresswall::operators {
 namespace {
 
-/// An option of a command: its keyword and what reads its value.
+/// The keyword of an option and the function that parses its value.
 struct Option {
   std::string keyword;
   std::function<void()> read;
@@ -229,7 +229,7 @@
     return text;
   }
 
-  /// Reads one of the known words.
+  /// Parses one of the known words.
   std::string word(const std::string& what, const std::vector<std::string>& known) {
     const Token& token = peek();
     if (token.kind == TokenKind::kWord) {
@@ -286,7 +286,7 @@
     }
   }
 
-  /// Reads options in any order until the end; only those in `repeatable` may stand twice.
+  /// Parses options in any order up to the end; only those in `repeatable` may occur twice.
   void options(const std::vector<Option>& known, const std::vector<std::string>& repeatable = {}) {
     std::vector<std::string> left;
     left.reserve(known.size());
@@ -306,7 +306,7 @@
     }
   }
 
-  /// Reads a word or quoted text of the operator's own.
+  /// Parses a user-defined word or quoted string.
   std::string name(const std::string& what) {
     const Token& token = peek();
     if (token.kind != TokenKind::kWord && token.kind != TokenKind::kQuoted) {
@@ -361,7 +361,8 @@
 Command parseCommand(std::string_view text) { return Parser(text).run(); }
 
 std::vector<std::string> completions(std::string_view text) {
-  // A word that no rule knows stands for the one to be completed.
+  // An unknown word in place of the one to complete makes the parser fail there with the words that
+  // it expects.
   constexpr std::string_view kCompletionPlaceholder = "\x01";
   const std::string probed = std::string(text).append(" ").append(kCompletionPlaceholder);
   try {
--- a/src/cypresswall/operators/parser.h
+++ b/src/cypresswall/operators/parser.h
@@ -1,4 +1,4 @@
-/// Reads and writes commands.
+/// Parses and formats commands.
 #pragma once
 
 #include <string>
@@ -10,14 +10,14 @@
 
 namespace cypresswall::operators {
 
-/// \throws ParseError with the place at fault and the words that could stand there
+/// \throws ParseError with the location and the words that are valid there
 Command parseCommand(std::string_view text);
 
-/// \return the command's text; parseCommand() reads it back as an equal command.
+/// \return text that parseCommand() parses to an equal command.
 std::string formatCommand(const Command& command);
 
-/// \return the words that can follow `text`, which ends between two words; empty where a name of
-///   the operator's own is expected.
+/// \param text ends at a word boundary
+/// \return the words that can follow `text`; empty where a user-defined name is expected.
 std::vector<std::string> completions(std::string_view text);
 
 }  // namespace cypresswall::operators
--- a/src/cypresswall/operators/queries.cpp
+++ b/src/cypresswall/operators/queries.cpp
@@ -156,8 +156,8 @@
   return table;
 }
 
-/// Engines of the own zone; those of another zone, which this node does not watch, only if the
-/// command names that zone.
+/// Lists engines of this zone. Engines of other zones, which this node does not watch, are listed
+/// only if the command names their zone.
 ResultTable Queries::engines(const ShowCommand& command) const {
   ResultTable table = tableOf(Subject::kEngines);
   std::map<common::EngineName, EngineRow> live;
--- a/src/cypresswall/operators/queries.h
+++ b/src/cypresswall/operators/queries.h
@@ -1,4 +1,4 @@
-/// Answers queries from the configuration in force and from what the daemon's parts report.
+/// Answers queries from the configuration in force and the state that daemon components report.
 #pragma once
 
 #include <map>
@@ -15,8 +15,8 @@
 
 class Queries {
  public:
-  /// \param zone this node's own zone
-  /// \param declared read in place of the replicated configuration if it is set
+  /// \param zone this node's zone
+  /// \param declared if set, read instead of the replicated configuration
   Queries(common::ZoneName zone, const configuration::ConfigurationReplica& replica,
           const StateProviders& providers,
           const configuration::ConfigurationView* declared = nullptr)
@@ -26,7 +26,7 @@
         providers_(providers) {}
 
   ResultTable show(const ShowCommand& command) const;
-  /// \throws CommandError if nothing is known of the subject
+  /// \throws CommandError if the subject is not known
   ResultTable why(const WhyCommand& command) const;
   ResultTable history(const HistoryCommand& command) const;
   static ResultTable help(const HelpCommand& command);
@@ -46,7 +46,7 @@
   ResultTable nodes() const;
   ResultTable tenants() const;
   ResultTable requests() const;
-  /// \return what is known of the versions in force in each zone; of a declared fleet only the own
+  /// \return the known configuration versions of each zone; only this zone's for a declared fleet
   std::map<common::ZoneName, configuration::ZoneVersions> zoneVersions() const;
   std::vector<Explanation> explainChange(const std::string& name) const;
 
--- a/src/cypresswall/operators/rendering.cpp
+++ b/src/cypresswall/operators/rendering.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-/// \return the cell without control characters, which could steer a terminal.
+/// \return the cell without control characters, which could inject terminal escape sequences.
 std::string printable(const Cell& cell) {
   std::string text = cellText(cell);
   std::replace_if(
@@ -84,7 +84,7 @@
   }
 }
 
-/// A table as a list of objects with named fields; every other answer as it is.
+/// Converts a table to a list of objects with named fields; other responses stay as they are.
 json toObjects(const CommandResponse& response) {
   if (response.status != CommandStatus::kOk) {
     return encodeResponse(response);
@@ -116,7 +116,7 @@
     }
     emitter << YAML::EndSeq;
   } else if (value.is_string()) {
-    // Quoted, so that a version "1" stays a text.
+    // Quoted, so that a version "1" remains a string.
     emitter << YAML::DoubleQuoted << value.get<std::string>();
   } else {
     emitter << value.dump();
--- a/src/cypresswall/operators/rendering.h
+++ b/src/cypresswall/operators/rendering.h
@@ -1,4 +1,4 @@
-/// Shows answers to people and programs.
+/// Renders responses as a table, JSON or YAML.
 #pragma once
 
 #include <optional>
@@ -11,11 +11,11 @@
 
 enum class OutputFormat { kTable, kJson, kYaml };
 
-/// Reads "table", "json" or "yaml".
+/// Parses "table", "json" or "yaml".
 std::optional<OutputFormat> parseOutputFormat(std::string_view text);
 
-/// \param command for the caret under the word at fault
-/// \return the answer, ending with a line break
+/// \param command shown with a caret under the error if it has a syntax error
+/// \return the rendered response, ending with a line break
 std::string renderResponse(const CommandResponse& response, const std::string& command,
                            OutputFormat format);
 
--- a/src/cypresswall/operators/result_table.h
+++ b/src/cypresswall/operators/result_table.h
@@ -1,4 +1,4 @@
-/// The answer of a query: named columns and typed cells.
+/// The result of a query: named columns and typed cells.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +17,13 @@
   std::vector<std::vector<Cell>> rows;
 };
 
-/// \return the cell as people read it.
+/// \return the cell as human-readable text.
 std::string cellText(const Cell& cell);
 
-/// \return whether `cell` stands in the given relation to `value`: numbers are compared as
-///   numbers, all else as text.
+/// \return the result of comparing `cell` with `value`: numerically for numbers, otherwise as text.
 bool matches(const Cell& cell, Comparison comparison, const std::string& value);
 
-/// Keeps the rows that meet all conditions.
+/// Keeps the rows that satisfy all conditions.
 void filterRows(ResultTable& table, const std::vector<Condition>& conditions);
 
 }  // namespace cypresswall::operators
--- a/src/cypresswall/operators/state_providers.h
+++ b/src/cypresswall/operators/state_providers.h
@@ -1,6 +1,6 @@
-/// What commands show beside the configuration: typed rows about the node's own zone, given by the
-/// parts of the daemon. Each method has an empty default, so that a share that is not wired shows
-/// nothing.
+/// Runtime state that queries show in addition to the configuration: typed rows about the node's
+/// zone, provided by daemon components. Each method has an empty default for components that are
+/// not connected.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 namespace cypresswall::operators {
 
-/// An engine of the own zone as last seen.
+/// The last known state of an engine in this zone.
 struct EngineRow {
   common::EngineName name;
   engines::EngineState state = engines::EngineState::kReady;
-  /// False while no report of the engine is held.
+  /// False if no load report of the engine is available.
   bool seen = false;
   engines::EngineRole role = engines::EngineRole::kMixed;
   common::ModelName model;
@@ -27,11 +27,11 @@
   std::uint32_t waiting_streams = 0;
   std::uint32_t cache_pieces_used = 0;
   std::uint32_t cache_pieces_total = 0;
-  /// How old the report is.
+  /// Age of the load report.
   common::Duration age{0};
 };
 
-/// A request that runs through this node.
+/// A request in flight on this node.
 struct RequestRow {
   std::string id;
   common::TenantName tenant;
@@ -50,64 +50,63 @@
   bool held_here = false;
 };
 
-/// A node of the own zone.
+/// A node of this zone.
 struct NodeRow {
   common::Address address;
   common::MachineName machine;
   std::string state;
   common::Address gateway_address;
   std::uint64_t configuration_version = 0;
-  /// The messages that the node's build handles (api::MessageSet); nodes with less are older.
+  /// The message set that the node's build supports (api::MessageSet); smaller in older builds.
   std::uint64_t message_set = 0;
 };
 
-/// A service's account of repeats at this node.
+/// A service's retry budget on this node.
 struct RetryRow {
   common::ServiceName service;
-  /// Repeats of the last window.
+  /// Retries in the last window.
   double used = 0;
   double left = 0;
-  /// Repeats that were not made, since the account was empty.
+  /// Retries refused because the budget was exhausted.
   std::uint64_t refused = 0;
-  /// Part of the fleet's burst that this node may use now, from 0 to 1.
+  /// Fraction of the fleet's burst that this node may use now, from 0 to 1.
   double share = 0;
 };
 
-/// A request that is kept from engines, since engines end under it.
+/// A request that is not sent to engines because engines crashed while processing it.
 struct QuarantineRow {
   common::RequestFingerprint request = 0;
   common::Duration time_left{0};
 };
 
-/// A limit that an engine or back end named on requests from the whole fleet.
+/// A rate limit that an engine or backend advertises for the whole fleet.
 struct RateLimitRow {
   std::string server;
   double requests_per_second = 0;
-  /// Since an answer last named it.
+  /// Time since a response last advertised it.
   common::Duration age{0};
-  /// The node that gives permits for it.
+  /// The node that grants permits for it.
   common::Address keeper;
-  /// Permits given and refused, on the node that keeps the account.
+  /// Permits granted and refused, known on the node that grants them.
   std::uint64_t granted = 0;
   std::uint64_t refused = 0;
 };
 
-/// A window of time whose requests were counted for the platform, as the node knows that reported
-/// it.
+/// A time window of the usage reports to the platform, as known on the reporting node.
 struct UsageRow {
   std::uint64_t window = 0;
   std::uint64_t requests = 0;
   std::uint64_t tenants = 0;
-  /// "fixed" until the platform has taken the report, then "reported".
+  /// "fixed" until the platform has accepted the report, then "reported".
   std::string state;
   /// Fencing token of the report; zero if there was none.
   std::uint64_t token = 0;
-  /// Nodes that had not told all of it when it was fixed.
+  /// Nodes whose counts were incomplete when the window was closed.
   std::uint64_t nodes_missing = 0;
   common::Duration age{0};
 };
 
-/// Engines of a pool in one location, on the node that orders them.
+/// Engine counts of a pool in one location, as known on the node that does autoscaling.
 struct CapacityRow {
   std::string pool;
   std::string location;
@@ -115,18 +114,18 @@
   std::uint64_t preemptible = 0;
   std::uint64_t wanted_lasting = 0;
   std::uint64_t wanted_preemptible = 0;
-  /// Fencing token of the duty.
+  /// Fencing token of the autoscaling duty.
   std::uint64_t token = 0;
   std::string reason;
 };
 
-/// What this node knows of another zone, in one line.
+/// One-line summary of another zone.
 struct ZoneSummaryRow {
   common::ZoneName zone;
   std::string summary;
 };
 
-/// One line of the answer to `why`.
+/// One line of the response to `why`.
 struct Explanation {
   std::string item;
   std::string value;
@@ -145,10 +144,9 @@
   virtual std::vector<UsageRow> usage() const { return {}; }
   virtual std::vector<CapacityRow> capacity() const { return {}; }
   virtual std::vector<ZoneSummaryRow> zoneSummaries() const { return {}; }
-  /// \return inputs, alternatives and costs of the last decision about an engine's role; empty if
-  ///   there was none.
+  /// \return inputs, alternatives and costs of the last decision on an engine's role; may be empty.
   virtual std::vector<Explanation> explainEngine(const common::EngineName&) const { return {}; }
-  /// \return what became of a request and where it was sent; empty if it is not known.
+  /// \return the state and attempts of a request; empty if it is not known.
   virtual std::vector<Explanation> explainRequest(const std::string&) const { return {}; }
 };
 
--- a/src/cypresswall/operators/vocabulary.cpp
+++ b/src/cypresswall/operators/vocabulary.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::operators {
 namespace {
 
-/// Words longer than this are not compared.
+/// Longer words get no suggestion, which bounds the cost of the edit distance.
 constexpr std::size_t kMaximumComparedLength = 64;
 
 /// Levenshtein distance.
--- a/src/cypresswall/operators/vocabulary.h
+++ b/src/cypresswall/operators/vocabulary.h
@@ -1,4 +1,4 @@
-/// The words of the language: names of enumerations, columns of each subject, and help.
+/// The vocabulary of the command language: enumerator names, columns of each subject, and help.
 #pragma once
 
 #include <array>
@@ -71,7 +71,7 @@
 }};
 inline constexpr std::array<NamedValue<bool>, 2> kSwitches = {{{"on", true}, {"off", false}}};
 
-/// \return the word for `value`, which must be in the table.
+/// \return the name of `value`, which must be in the table.
 template <typename Enumeration, std::size_t Size>
 std::string nameOf(const std::array<NamedValue<Enumeration>, Size>& table, Enumeration value) {
   for (const auto& entry : table) {
@@ -92,7 +92,7 @@
   return names;
 }
 
-/// \return the columns that `show` gives for a subject; the first identifies the row.
+/// \return the columns of `show` for a subject; the first one identifies the row.
 const std::vector<std::string>& columnsOf(Subject subject);
 
 struct CommandHelp {
@@ -100,10 +100,10 @@
   std::string_view syntax;
   std::string_view meaning;
 };
-/// \return every command in the order of the manual.
+/// \return all commands in the order of docs/operators.md.
 const std::vector<CommandHelp>& commandHelp();
 
-/// \return the word of `known` nearest to `word` by edits, if it is near enough to be meant.
+/// \return the word of `known` with the smallest edit distance to `word`; empty if none is similar.
 std::string nearestWord(std::string_view word, const std::vector<std::string>& known);
 
 }  // namespace cypresswall::operators
--- a/tests/operators/command_client_test.cpp
+++ b/tests/operators/command_client_test.cpp
@@ -72,7 +72,7 @@
   }
 
  private:
-  /// Runs a command before three servers; the last of `answers` is repeated.
+  /// Runs a command with three servers, which give `answers` in turn; the last one is repeated.
   CommandResponse run(const std::string& command, std::vector<PostAnswer> answers) {
     bodies_.clear();
     CommandClient client(
--- a/tests/operators/command_generators.h
+++ b/tests/operators/command_generators.h
@@ -10,7 +10,7 @@
 
 namespace cypresswall::operators::testing {
 
-/// Names with every kind of character that needs care.
+/// Names with all kinds of characters that need quoting or escaping.
 inline rc::Gen<std::string> anyName() {
   return rc::gen::oneOf(
       rc::gen::container<std::string>(rc::gen::elementOf(std::string("abcxyz019-._/:"))),
--- a/tests/operators/command_service_test.cpp
+++ b/tests/operators/command_service_test.cpp
@@ -34,7 +34,7 @@
   }
 };
 
-/// Answers of an HTTP call.
+/// Records the response to an HTTP request.
 class RecordingResponder final : public http::Responder {
  public:
   void respond(int given_status, const std::vector<http::Header>&, std::string given) override {
