--- a/src/cypresswall/request_trace/concurrent_failures.cpp
+++ b/src/cypresswall/request_trace/concurrent_failures.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// Names beyond these are not needed to tell one from many.
+/// Bounds memory; larger sets give no more information about whether one or many failed.
 constexpr std::size_t kMaximumNames = 10'000;
 
 void addName(std::set<std::string>& names, const std::string& name) {
@@ -19,7 +19,7 @@
          std::holds_alternative<AttemptFailed>(record.event);
 }
 
-/// Puts failures behind all else, and later lines behind earlier ones.
+/// Orders failures after other events, and later lines after earlier ones.
 bool lessSignificant(const LogRecord& left, const LogRecord& right) {
   return std::pair(isFailure(left), left.time) < std::pair(isFailure(right), right.time);
 }
--- a/src/cypresswall/request_trace/concurrent_failures.h
+++ b/src/cypresswall/request_trace/concurrent_failures.h
@@ -1,4 +1,5 @@
-/// What else failed around a request: one engine, one node, or all of them.
+/// Counts other failures at the time of a request's failure, which tell a fault of one engine or
+/// node from one of many.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +12,25 @@
 
 namespace cypresswall::request_trace {
 
-/// Failures within this time of a request's own are counted.
+/// Failures within this time before and after the request's own failure are counted.
 inline constexpr Milliseconds kConcurrentFailureWindow{1'000};
 
-/// Counts, without the request's own.
+/// Counts exclude the request itself.
 struct ConcurrentFailureCounts {
-  /// Requests that failed for the same kind of reason at the node where this one failed.
+  /// Requests that failed for the same reason on the same node.
   std::uint64_t same_failures_here = 0;
   std::uint64_t same_failures_elsewhere = 0;
-  /// Other nodes with such failures, and other nodes whose logs have any line of that time.
+  /// Other nodes with such failures, and other nodes with any log line in the window.
   std::set<std::string> failing_nodes;
   std::set<std::string> other_nodes;
-  /// Engines at which attempts failed, and at which attempts gave their first token.
+  /// Engines with failed attempts, and engines that returned a first token.
   std::set<std::string> failing_engines;
   std::set<std::string> answering_engines;
 };
 
-/// Counts while the logs are read.
 class ConcurrentFailures {
  public:
-  /// \param lines of at least one line
+  /// \param lines must not be empty
   explicit ConcurrentFailures(const RequestLines& lines);
 
   void add(const LogRecord& record);
@@ -40,7 +40,7 @@
   void countFailure(const LogRecord& record);
 
   std::string request_;
-  /// The request's last failure, or its last line if it did not fail.
+  /// The request's last failure, or its last line if it has none.
   LogRecord failure_;
   std::optional<FailureReason> reason_;
   ConcurrentFailureCounts counts_;
--- a/src/cypresswall/request_trace/context_lines.cpp
+++ b/src/cypresswall/request_trace/context_lines.cpp
@@ -5,17 +5,17 @@
 
 constexpr Milliseconds kUntilReplaced = Milliseconds::max();
 
-/// How a line bears on the request.
+/// The relevance of a line to the request.
 struct Relevance {
-  /// Of the lines before the request, the newest about each subject is kept; empty: no relevance.
+  /// Only the newest line before the request is kept for each subject. Empty: not relevant.
   std::string subject;
-  /// How long what the line tells was in force.
+  /// How long the state that the line describes remains valid.
   Milliseconds validity{kUntilReplaced};
-  /// How long after it happened a line may be written.
+  /// Maximum delay between the event and its line.
   Milliseconds report_delay{0};
 };
 
-/// Tells of each event how a line with it bears on a request of this scope.
+/// Determines the relevance of each event type to a request with this scope.
 class RelevanceOf {
  public:
   RelevanceOf(const RequestScope& scope, const std::string& node) : scope_(scope), node_(node) {}
--- a/src/cypresswall/request_trace/context_lines.h
+++ b/src/cypresswall/request_trace/context_lines.h
@@ -1,4 +1,4 @@
-/// Lines without the request's identifier that tell what was in force around it.
+/// Log lines without the request's identifier that show the state of its nodes and engines.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,26 @@
 
 namespace cypresswall::request_trace {
 
-/// How long before a request a store failure, or the stop of a node, still counts as in force.
+/// A store failure or a node stop is relevant to requests that start up to this much later.
 inline constexpr Milliseconds kFailureRelevancePeriod{60'000};
-/// A node tells of lines it dropped with the next one that it can write.
+/// A node reports dropped lines with the next line that it can write, at most this much later.
 inline constexpr Milliseconds kDroppedLinesReportDelay{10'000};
 
-/// Chooses, by the request's scope:
-/// - of its nodes: the start, and the versions of the configuration: the newest before the request
-/// and
-///   all during it; failures of the store, and changes of who reads it; their stop; dropped lines
-/// - of its engines: ejections, told by any node, that were not over when the request came; changes
-///   of role: the newest before and all during it
+/// Selects lines by the request's scope:
+/// - of its nodes: starts, stops, configuration versions, store failures, changes of the source
+///   that store data is read from, and dropped lines
+/// - of its engines: role changes, and ejections logged by any node that had not expired when the
+///   request arrived
+/// Selects all such lines during the request and the newest one of each kind before it, if that one
+/// was still valid when the request arrived.
 class ContextLines {
  public:
   explicit ContextLines(RequestScope scope) : scope_(std::move(scope)) {}
 
   void add(const LogRecord& record);
-  /// \return the lines chosen, in no order
+  /// \return the selected lines, unordered
   std::vector<LogRecord> records() const;
-  /// Lines during the request beyond kMaximumKeptLines.
+  /// Number of lines during the request beyond kMaximumKeptLines.
   std::uint64_t omittedLines() const { return omitted_lines_; }
 
  private:
--- a/src/cypresswall/request_trace/diagnosis.cpp
+++ b/src/cypresswall/request_trace/diagnosis.cpp
@@ -10,7 +10,8 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// A time is called long if it is more than this many times what was expected, and by this much.
+/// A duration is abnormally long if it exceeds the expected one both by this factor and this
+/// margin.
 constexpr int kLongFactor = 2;
 constexpr Milliseconds kLongMargin{100};
 
@@ -26,7 +27,7 @@
   return last;
 }
 
-/// Whether one engine failed, or many did at once.
+/// Describes whether one engine failed or several at once.
 std::string describeEngines(const ConcurrentFailureCounts& counts, const std::string& engine) {
   const std::size_t others = counts.failing_engines.size() - counts.failing_engines.count(engine);
   if (others > 0) {
@@ -43,7 +44,7 @@
                    counts.answering_engines.size());
 }
 
-/// Whether one node refused, or many did.
+/// Describes whether one node or several failed requests for the same reason.
 std::string describeNodes(const ConcurrentFailureCounts& counts) {
   return fmt::format(
       "within a second {} more requests failed so here, and {} at {} of {} other nodes",
@@ -132,7 +133,7 @@
       toText(*attempt.first_token), route.engine, toText(route.expected_first_token));
 }
 
-/// \return what earlier attempts took of the request's time; empty if none failed
+/// Describes the time lost to failed attempts; empty if none failed.
 std::string timeLostToFailedAttempts(const TimeLine& time_line) {
   const Attempt* last = lastFailedAttempt(time_line);
   if (last == nullptr) {
@@ -146,7 +147,7 @@
                      failed, failed == 1 ? "" : "s", attemptCause(*last->failure));
 }
 
-/// \param ended how it ended, like "its time limit passed"
+/// \param ended how the request ended, for example "its time was over"
 std::string inProgressCause(const TimeLine& time_line, const std::string& ended) {
   if (time_line.attempts.empty()) {
     return ended + " before a line tells of an engine or back end that had it; " +
@@ -239,7 +240,7 @@
                                  : result;
 }
 
-/// Of a service's answer that is passed on, the reason is its status.
+/// For a backend response that is passed through, the logged reason is its status code.
 std::string frontEndCause(const RequestEnded& ended) {
   const bool status =
       !ended.reason.empty() && ended.reason.find_first_not_of("0123456789") == std::string::npos;
--- a/src/cypresswall/request_trace/diagnosis.h
+++ b/src/cypresswall/request_trace/diagnosis.h
@@ -1,4 +1,4 @@
-/// What came of a request, and why most likely.
+/// The outcome of a request and its most likely cause.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
   std::string cause;
 };
 
-/// A judgement by rules from what the lines tell; lines that are missing are not guessed.
+/// Applies fixed rules to the available lines; makes no assumptions about missing lines.
 Diagnosis diagnose(const TimeLine& time_line);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/event_text.cpp
+++ b/src/cypresswall/request_trace/event_text.cpp
@@ -13,7 +13,7 @@
   return text + fmt::format(", {} holders known", event.known_holders);
 }
 
-/// Writes each event of a line that stood at `time`.
+/// Describes an event that was logged at `time`.
 struct EventDescriber {
   WallTime time;
 
--- a/src/cypresswall/request_trace/event_text.h
+++ b/src/cypresswall/request_trace/event_text.h
@@ -1,4 +1,4 @@
-/// Each event in words.
+/// Human-readable text of log events.
 #pragma once
 
 #include <string>
@@ -7,17 +7,17 @@
 
 namespace cypresswall::request_trace {
 
-/// \return what the line tells, with the inputs that decided it; names and texts as they stand in
-/// it
+/// \return a description of the event and of the inputs that decided it; names and texts from the
+/// log are copied unchanged
 std::string toText(const LogRecord& record);
 
-/// \return the time of day, like 22:17:20.285
+/// \return the time of day, for example 22:17:20.285
 std::string timeOfDay(WallTime time);
 
-/// \return the day, like 2026-06-17
+/// \return the date, for example 2026-06-17
 std::string dayOf(WallTime time);
 
-/// \return like `45 ms`
+/// \return for example `45 ms`
 std::string toText(Milliseconds duration);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/explanation.h
+++ b/src/cypresswall/request_trace/explanation.h
@@ -1,4 +1,4 @@
-/// From logs and a request's identifier to its time line.
+/// Builds the time line of a request from log files.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace cypresswall::request_trace {
 
-/// No readable line of the logs names the request.
+/// The request's identifier occurs in no readable log line.
 class UnknownRequestError : public common::Error {
  public:
   using common::Error::Error;
@@ -18,12 +18,12 @@
 struct Explanation {
   TimeLine time_line;
   std::vector<ScanCount> counts;
-  /// Lines beyond what is kept of one request.
+  /// Lines dropped because of kMaximumKeptLines.
   std::uint64_t omitted_lines = 0;
 };
 
-/// Reads the logs twice, first for the request's lines and then for those in force around them, and
-/// keeps no others, so that memory does not grow with the logs.
+/// Reads the logs twice: first for the request's own lines, then for the lines that give their
+/// context. No other lines are kept, so that memory use does not grow with the size of the logs.
 /// \throws LogFileError, UnknownRequestError
 Explanation explainRequest(const std::vector<std::string>& paths, const std::string& request);
 
--- a/src/cypresswall/request_trace/failure_reason.cpp
+++ b/src/cypresswall/request_trace/failure_reason.cpp
@@ -10,7 +10,7 @@
   FailureReason reason;
 };
 
-/// The first phrase that stands in the text decides.
+/// The first phrase that occurs in the text determines the reason.
 constexpr auto kPhrases = std::to_array<Phrase>({
     {"this node was paused", FailureReason::kNodePaused},
     {"can meet the request's limits now", FailureReason::kNoEngineWithinLimits},
--- a/src/cypresswall/request_trace/failure_reason.h
+++ b/src/cypresswall/request_trace/failure_reason.h
@@ -1,4 +1,4 @@
-/// The kinds of reason that nodes give when a request or an attempt fails.
+/// Classifies the reasons that nodes log when a request or an attempt fails.
 #pragma once
 
 #include <string_view>
@@ -20,7 +20,7 @@
   kOther,
 };
 
-/// \param reason the text as it stands in the log
+/// \param reason the text from the log
 FailureReason failureReasonOf(std::string_view reason);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/log_fields.cpp
+++ b/src/cypresswall/request_trace/log_fields.cpp
@@ -12,7 +12,7 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kHexDigits = 2;
 
-/// \return the line from its `time=` on; empty if it has none
+/// \return the line starting at `time=`; empty if it has none
 std::string_view withoutPrefix(std::string_view line) {
   std::size_t start = line.find(kTimeStart);
   while (start != std::string_view::npos && start > 0 &&
@@ -22,7 +22,7 @@
   return start == std::string_view::npos ? std::string_view() : line.substr(start);
 }
 
-/// \return the position of the quote that ends the value which starts at `text`, or npos
+/// \return the position of the closing quote of the value at the start of `text`, or npos
 std::size_t closingQuote(std::string_view text) {
   for (std::size_t position = 0; position < text.size(); ++position) {
     if (text[position] == '\\') {
@@ -34,7 +34,7 @@
   return std::string_view::npos;
 }
 
-/// Takes the escape behind a backslash off the front of `rest`.
+/// Removes the escape sequence after a backslash from the front of `rest`.
 char consumeEscape(std::string_view& rest) {
   const char kind = rest.front();
   rest.remove_prefix(1);
--- a/src/cypresswall/request_trace/log_record.h
+++ b/src/cypresswall/request_trace/log_record.h
@@ -1,5 +1,5 @@
-/// The events of a node's log that tell what became of a request, each as its own type. Values that
-/// older nodes did not write are optional.
+/// Typed log events that describe the course of a request. Values that older builds do not log are
+/// optional.
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,7 @@
 
 namespace cypresswall::request_trace {
 
-/// Time of day as a node's own clock gave it; clocks of two nodes may differ.
+/// Wall-clock time of the node that wrote the line; clocks of different nodes may differ.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 using Milliseconds = std::chrono::milliseconds;
 
@@ -21,7 +21,7 @@
   std::string request;
   std::string service;
   std::string engine;
-  /// Empty if `engine` computes the prompt itself.
+  /// Empty if `engine` does the prefill itself.
   std::string prefill_engine;
   std::optional<std::int64_t> tokens_given;
   std::int64_t prompt_tokens = 0;
@@ -35,7 +35,7 @@
   Milliseconds time_left{0};
 };
 
-/// No engine could serve a request in time; this one would have come nearest.
+/// No engine could meet a request's limits; the closest one is logged.
 struct LatencyRefusal {
   std::string request;
   std::string service;
@@ -47,7 +47,7 @@
   Milliseconds retry_after{0};
 };
 
-/// The front refused a request before any engine was looked for.
+/// The front end rejected a request before routing.
 struct FrontEndRefusal {
   std::string request;
   std::int64_t status = 0;
@@ -74,7 +74,6 @@
   std::string reason;
 };
 
-/// Which kind of request failed.
 enum class RequestKind { kModel, kService };
 
 struct RequestFailed {
@@ -94,13 +93,13 @@
   std::optional<std::int64_t> output_tokens;
 };
 
-/// A node took a version of the configuration into force.
+/// A node applied a configuration version.
 struct ConfigurationApplied {
   std::int64_t version = 0;
   std::optional<std::int64_t> runners;
 };
 
-/// A node gives an engine no work for a while; it is readmitted when the while is over.
+/// A node sends no requests to an engine until `duration` has passed.
 struct EngineEjected {
   std::string engine;
   std::string source;
@@ -146,12 +145,12 @@
   std::int64_t in_flight = 0;
 };
 
-/// Lines that the node could not write since their reader stalled.
+/// Lines that the node could not write because the reader of its output stalled.
 struct LinesDropped {
   std::int64_t lines = 0;
 };
 
-/// An event that this command does not use.
+/// An event that is not used for explanations.
 struct OtherEvent {};
 
 using Event =
@@ -160,7 +159,7 @@
                  EngineEjected, EngineChangeStarted, EngineChangeEnded, StoreWatchFailed,
                  StoreSourceChanged, NodeStarted, NodeStopping, LinesDropped>;
 
-/// Where a line stands: the how many-th log, and the line within it, from 1.
+/// Index of the log, and number of the line within it, counted from 1.
 struct LogPosition {
   std::size_t log = 0;
   std::uint64_t line = 0;
@@ -178,7 +177,7 @@
   LogPosition position{};
 };
 
-/// \return the request that the event is about; empty if it is about none
+/// \return the identifier of the event's request; empty if it has none
 std::string requestOf(const Event& event);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/log_record_parser.cpp
+++ b/src/cypresswall/request_trace/log_record_parser.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kTimeShape = "dddd-dd-ddTdd:dd:dd.dddZ";
 
-/// Reads the values of one event and remembers whether one that must be there is missing.
+/// Reads the values of one event and records whether a mandatory one is missing.
 class FieldReader {
  public:
   explicit FieldReader(const LogFields& fields) : fields_(fields) {}
@@ -58,7 +58,7 @@
   return event;
 }
 
-/// Both the front and the router write `request_refused`; only the front answers with a status.
+/// Both the front end and the router log `request_refused`; only the front end logs a status.
 Event readRefused(FieldReader& fields) {
   if (fields.has("status")) {
     return FrontEndRefusal{fields.text("request"), fields.number("status"), fields.text("code"),
@@ -181,7 +181,7 @@
   return OtherEvent{};
 }
 
-/// \return the digits of `text` from `start` on as a number
+/// \return the `count` digits of `text` at `start` as a number
 int digitsAt(std::string_view text, std::size_t start, std::size_t count) {
   int number = 0;
   std::from_chars(text.data() + start, text.data() + start + count, number);
--- a/src/cypresswall/request_trace/log_record_parser.h
+++ b/src/cypresswall/request_trace/log_record_parser.h
@@ -1,4 +1,4 @@
-/// From one line of a node's log to its record.
+/// Parses a line of a node's log into a record.
 #pragma once
 
 #include <optional>
@@ -8,12 +8,12 @@
 
 namespace cypresswall::request_trace {
 
-/// Takes any bytes.
-/// \return nothing if the line can't be read: it is not made of pairs, is cut, has no time or no
-/// event, or lacks a value that its event always has
+/// Accepts arbitrary bytes.
+/// \return nothing if the line is malformed: it does not consist of pairs, is truncated, has no
+/// time or no event, or lacks a mandatory value of its event
 std::optional<LogRecord> parseLogRecord(std::string_view line);
 
-/// \return nothing unless `text` is like 2026-06-17T22:17:20.285Z
+/// Parses times such as 2026-06-17T22:17:20.285Z.
 std::optional<WallTime> parseWallTime(std::string_view text);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/log_scan.cpp
+++ b/src/cypresswall/request_trace/log_scan.cpp
@@ -12,9 +12,9 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// Takes the next line without its end.
+/// Reads the next line without its line break.
+/// \param too_long set to whether the line did not fit into the buffer and was skipped
 /// \return false at the end of the log
-/// \param too_long set if the line did not fit and was passed over
 bool readLine(std::istream& log, std::vector<char>& buffer, std::string_view& line,
               bool& too_long) {
   log.getline(buffer.data(), static_cast<std::streamsize>(buffer.size()));
@@ -44,7 +44,7 @@
 std::ifstream openLog(const std::string& path) {
   std::error_code error;
   if (std::filesystem::exists(path, error) && !std::filesystem::is_regular_file(path, error)) {
-    throw LogFileError(path + ": is no regular file, and logs are read twice");
+    throw LogFileError(path + ": is not a regular file; logs are read twice");
   }
   std::ifstream file(path, std::ios::binary);
   if (!file) {
@@ -76,7 +76,7 @@
     }
   }
   if (log.bad()) {
-    throw LogFileError(name + ": reading stopped at line " + std::to_string(count.lines));
+    throw LogFileError(name + ": read error at line " + std::to_string(count.lines));
   }
   return count;
 }
--- a/src/cypresswall/request_trace/log_scan.h
+++ b/src/cypresswall/request_trace/log_scan.h
@@ -1,4 +1,4 @@
-/// Reads logs line by line, however long they are.
+/// Reads logs of any size line by line.
 #pragma once
 
 #include <cstddef>
@@ -13,33 +13,34 @@
 
 namespace cypresswall::request_trace {
 
-/// A log that can't be opened or read.
+/// A log can't be opened or read.
 class LogFileError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// A longer line can't be read; no node writes one.
+/// Longer lines count as unreadable; nodes never write them.
 inline constexpr std::size_t kMaximumLineBytes = std::size_t{64} << 10U;
 
-/// What was found in one log.
+/// Line counts of one log.
 struct ScanCount {
   std::string log;
   std::uint64_t lines = 0;
   std::uint64_t unreadable = 0;
-  /// Counted from 1; 0 if every line could be read.
+  /// Line number, counted from 1; 0 if there is none.
   std::uint64_t first_unreadable = 0;
 };
 
 using RecordVisitor = std::function<void(const LogRecord& record)>;
 
-/// Passes each readable line of `log` to `visitor`. Empty lines are neither readable nor
-/// unreadable. \param index of the log among those that are read, for the position of its lines
+/// Passes each readable line of `log` to `visitor`. Empty lines are skipped and not counted as
+/// unreadable.
+/// \param index index of the log, for LogPosition
 ScanCount scanLog(std::istream& log, const std::string& name, std::size_t index,
                   const RecordVisitor& visitor);
 
-/// Passes each readable line of the files to `visitor`, one file after the other.
-/// \throws LogFileError if one is no regular file, can't be opened or read
+/// Passes each readable line of the files to `visitor`, file by file.
+/// \throws LogFileError if a file is not a regular file or can't be opened or read
 std::vector<ScanCount> scanLogFiles(const std::vector<std::string>& paths,
                                     const RecordVisitor& visitor);
 
--- a/src/cypresswall/request_trace/request_lines.h
+++ b/src/cypresswall/request_trace/request_lines.h
@@ -1,4 +1,4 @@
-/// The lines of one request, and where and when it was, by which other lines are chosen.
+/// The log lines of one request, and the nodes, engines and time span that they cover.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 namespace cypresswall::request_trace {
 
-/// More lines of one kind are counted, not kept.
+/// Further lines are only counted.
 inline constexpr std::size_t kMaximumKeptLines = 10'000;
 
-/// Keeps the lines that name the request.
+/// Collects the lines that name the request.
 class RequestLines {
  public:
   explicit RequestLines(std::string request) : request_(std::move(request)) {}
@@ -21,7 +21,7 @@
   void add(const LogRecord& record);
   const std::string& request() const { return request_; }
   const std::vector<LogRecord>& records() const { return records_; }
-  /// Lines of the request beyond kMaximumKeptLines.
+  /// Number of lines of the request beyond kMaximumKeptLines.
   std::uint64_t omittedLines() const { return omitted_lines_; }
 
  private:
@@ -30,17 +30,17 @@
   std::uint64_t omitted_lines_ = 0;
 };
 
-/// Where and when a request was.
+/// Nodes, engines and time span of a request.
 struct RequestScope {
   std::string request;
   std::set<std::string> nodes;
-  /// Engines that it was sent to, or that were weighed when it was refused.
+  /// Engines that it was routed to, or that were considered when it was refused.
   std::set<std::string> engines;
   WallTime first{};
   WallTime last{};
 };
 
-/// \param lines of at least one line
+/// \param lines must not be empty
 RequestScope scopeOf(const RequestLines& lines);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/time_line.cpp
+++ b/src/cypresswall/request_trace/time_line.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// Follows the attempts of a request from line to line.
+/// Reconstructs the attempts of a request from its lines.
 class AttemptTracker {
  public:
   void add(const LogRecord& record) {
@@ -36,7 +36,7 @@
   template <typename Other>
   static void apply(const Other&, Attempt&) {}
 
-  /// \return the newest attempt of the node if neither it nor the request has ended
+  /// \return the newest attempt of the node, or nullptr if the attempt or the request has ended
   Attempt* inProgressAt(const std::string& node) {
     const auto newest =
         std::find_if(attempts_.rbegin(), attempts_.rend(),
--- a/src/cypresswall/request_trace/time_line.h
+++ b/src/cypresswall/request_trace/time_line.h
@@ -1,4 +1,4 @@
-/// One request from its first line to its last, over all nodes.
+/// The course of one request across all nodes.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 
 namespace cypresswall::request_trace {
 
-/// One try of a request at an engine.
+/// One attempt of a request on an engine.
 struct Attempt {
   RequestRouted route;
   WallTime routed_at{};
@@ -19,24 +19,24 @@
   std::optional<Milliseconds> first_token;
   std::optional<AttemptFailed> failure;
   std::optional<WallTime> failed_at;
-  /// How the request ended while this attempt was under way.
+  /// Set if the request ended during this attempt.
   std::optional<RequestEnded> end;
 };
 
 struct TimeLine {
   std::string request;
-  /// The request's own lines and those in force around it, in order of time.
+  /// The request's own lines and its context lines, ordered by time.
   std::vector<LogRecord> records;
   std::vector<Attempt> attempts;
   ConcurrentFailureCounts concurrent_failures;
 };
 
-/// Orders lines by time; those of the same millisecond by their position in the logs.
-/// Then follows the attempts through them.
+/// Orders lines by time, and lines of the same millisecond by their position in the logs; then
+/// derives the attempts from them.
 TimeLine makeTimeLine(const std::string& request, std::vector<LogRecord> records,
                       ConcurrentFailureCounts concurrent_failures);
 
-/// \return the newest event of this type that is about the request, or nullptr
+/// \return the newest event of this type in the time line, or nullptr
 template <typename RequestEvent>
 const RequestEvent* lastOf(const TimeLine& time_line) {
   const RequestEvent* last = nullptr;
--- a/src/cypresswall/request_trace/time_line_rendering.cpp
+++ b/src/cypresswall/request_trace/time_line_rendering.cpp
@@ -9,7 +9,8 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// A log may hold what a caller sent; none of it may steer a terminal.
+/// Replaces control characters: logs contain client-supplied text, which could inject terminal
+/// escape sequences.
 std::string printable(std::string text) {
   constexpr unsigned char kDelete = 0x7f;
   std::replace_if(
@@ -29,7 +30,7 @@
   return own == time_line.records.end() ? WallTime{} : own->time;
 }
 
-/// Lines that don't name the request have a star.
+/// Marks lines that don't name the request with an asterisk.
 std::string renderRecord(const LogRecord& record, const std::string& request, WallTime start) {
   const char mark = requestOf(record.event) == request ? ' ' : '*';
   const auto offset = (record.time - start).count();
--- a/src/cypresswall/request_trace/time_line_rendering.h
+++ b/src/cypresswall/request_trace/time_line_rendering.h
@@ -1,4 +1,4 @@
-/// A time line as text for a terminal.
+/// Renders a time line as terminal output.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 namespace cypresswall::request_trace {
 
-/// \return the lines in order, the attempts, and last the diagnosis in one line. Control characters
-/// that a log may hold are shown as `?`.
+/// \return the lines in order, the attempts, and the diagnosis in the last line. Control characters
+/// from the logs are replaced by `?`.
 std::string renderTimeLine(const TimeLine& time_line, const Diagnosis& diagnosis);
 
-/// \return a line for each log with lines that can't be read; empty if there is none
+/// \return one line for each log with unreadable lines; empty if there is none
 std::string renderUnreadable(const std::vector<ScanCount>& counts);
 
 }  // namespace cypresswall::request_trace
--- a/tests/request_trace/diagnosis_test.cpp
+++ b/tests/request_trace/diagnosis_test.cpp
@@ -199,7 +199,7 @@
   }
 
  private:
-  /// Another engine computes the prompt; times are since the route.
+  /// A separate engine does the prefill; times are relative to the routing decision.
   static Log lateLog(int prompt_computed, int first_token) {
     const std::string none = "prefill_engine=\"\"";
     std::string route = routedPairs("a1", "i-1");
--- a/tests/request_trace/log_file.h
+++ b/tests/request_trace/log_file.h
@@ -1,4 +1,4 @@
-/// A log on the disk, for tests.
+/// Log files on disk for tests.
 #pragma once
 
 #include <unistd.h>
@@ -12,7 +12,7 @@
 
 namespace cypresswall::request_trace::testing {
 
-/// A log file that is removed with the test.
+/// A temporary log file, deleted by the destructor.
 class LogFile {
  public:
   explicit LogFile(const Log& lines) {
--- a/tests/request_trace/log_lines.h
+++ b/tests/request_trace/log_lines.h
@@ -1,4 +1,4 @@
-/// Lines as the daemon writes them, for tests.
+/// Log lines in the daemon's format for tests.
 #pragma once
 
 #include <sstream>
@@ -16,7 +16,7 @@
 inline constexpr const char* kNodeOne = "10.1.0.34:8667";
 inline constexpr const char* kNodeTwo = "10.2.0.16:8667";
 
-/// \param time_of_day like 20:25:49.070
+/// \param time_of_day for example 20:25:49.070
 /// \param pairs the event and its values
 inline std::string lineOf(const std::string& time_of_day, const std::string& node,
                           const std::string& pairs) {
@@ -66,7 +66,7 @@
   }
 }
 
-/// The time line as explainRequest() makes it, of logs in memory.
+/// Builds the same time line as explainRequest(), from logs in memory.
 inline TimeLine timeLineOf(const std::string& request, const std::vector<Log>& logs) {
   RequestLines own(request);
   readLogs(logs, [&own](const LogRecord& record) { own.add(record); });
--- a/tests/request_trace/log_scan_test.cpp
+++ b/tests/request_trace/log_scan_test.cpp
@@ -78,7 +78,7 @@
   static std::string good() {
     return lineOf("20:25:49.070", kNodeOne, endedPairs("a1", "done", "stop"));
   }
-  /// The last line has no line end.
+  /// Scans the lines; the last one has no line break.
   ScanCount scan(const Log& lines) {
     std::stringstream stream;
     const char* separator = "";
--- a/tests/request_trace/time_line_test.cpp
+++ b/tests/request_trace/time_line_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr const char* kConnectFailure = "Failed to connect to 10.3.64.36 port 8665 after 500 ms";
 
-/// Each line of the time line in words.
+/// The text of each line of the time line.
 std::vector<std::string> textsOf(const TimeLine& time_line) {
   std::vector<std::string> words;
   for (const LogRecord& record : time_line.records) {
@@ -20,7 +20,7 @@
   return words;
 }
 
-/// A log with a line before, one during and one behind a request that lasts one second.
+/// A log with one line before, one during and one after a request that lasts one second.
 Log around(const std::string& before, const std::string& during, const std::string& behind) {
   return {lineOf("20:25:40.000", kNodeOne, before),
           lineOf("20:25:49.000", kNodeOne, routedPairs("a1", "i-1")),
