--- a/src/cypresswall/node/node.h
+++ b/src/cypresswall/node/node.h
@@ -1,5 +1,5 @@
-/// One daemon's deciding modules, put together: the same object runs in cypresswalld and in the
-/// simulator. It does no I/O; clock, timers, transport and clients are injected.
+/// Composes the modules of one daemon without I/O: clock, timers, transport and clients are
+/// injected, so that the same object runs in cypresswalld and in the simulator.
 #pragma once
 
 #include <functional>
@@ -39,18 +39,18 @@
 
 namespace cypresswall::node {
 
-/// Clients of everything outside the system. All must outlive the node.
+/// Clients of external systems. All must outlive the node.
 struct NodeClients {
   object_store::ObjectStore& object_store;
   object_store::MachineList& machine_list;
   engines::EngineClient& engines;
   services::ServiceClient& services;
-  /// Set where the platform itself declares the fleet: followed in place of the replicated
-  /// configuration, which then takes no changes.
+  /// Set if the platform declares the fleet: used instead of the replicated configuration, which
+  /// then accepts no changes.
   configuration::ConfigurationView* declared = nullptr;
-  /// Set where the platform has duties for one node of the whole fleet.
+  /// Set if the platform assigns fleet-wide duties to a single node.
   duties::DutyPlatform* duties = nullptr;
-  /// Needed where usage is reported.
+  /// Required for usage reports.
   common::TimeOfDay time_of_day = {};
 };
 
@@ -62,14 +62,14 @@
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  /// Joins the zone and begins to work.
+  /// Joins the zone and starts all modules.
   void start();
-  /// \return true once a configuration is held, so that requests can be judged, and until the node
-  ///   drains.
+  /// \return true if a configuration is available, so that requests can be admitted and routed, and
+  ///   the node is not draining.
   bool ready() const { return hasConfiguration() && !draining_; }
 
-  /// Planned stop: takes no new requests, gives up the lease and its place as a voter, and calls
-  /// `done` once nothing runs here that an end of the process would cut, or after
+  /// Graceful shutdown: accepts no new requests, resigns the lease and the voter role, and calls
+  /// `done` once no work would be interrupted by the end of the process, or after
   /// NodeSettings::stop_limit. A second call replaces `done`.
   void beginStop(std::function<void()> done);
   bool draining() const { return draining_; }
@@ -77,9 +77,9 @@
   membership::Membership& membership() { return membership_; }
   membership::ZoneGossip& gossip() { return gossip_; }
   lease::ZoneAuthority& authority() { return authority_; }
-  /// The replicated configuration; empty and not running if the platform declares the fleet.
+  /// The replicated configuration; empty and not started if the platform declares the fleet.
   configuration::ConfigurationReplica& configuration() { return configuration_; }
-  /// What this node works by, whoever declared it.
+  /// The effective configuration, declared or replicated.
   configuration::ConfigurationView& configurationView() { return configuration_view_; }
   routing::EngineDirectory& engines() { return engines_; }
   orders::ZoneController& controller() { return controller_; }
@@ -92,9 +92,9 @@
 
  private:
   bool hasConfiguration() const;
-  /// Tells the other nodes which version of a declared fleet this node holds.
+  /// Publishes the version of the declared fleet to the other nodes through the membership digest.
   void publishDeclaredVersion();
-  /// Stops taking new work; what runs goes on.
+  /// Stops accepting work; requests in flight continue.
   void drain();
   lease::AuthorityView& makeOrdersAuthority(object_store::ObjectStore& store);
   void startAuthority();
@@ -105,7 +105,7 @@
   api::ProcessContext context_;
   membership::Membership membership_;
   membership::ZoneGossip gossip_;
-  /// Runs unless the lease is in the store.
+  /// Not started if the lease is in the store.
   lease::ZoneAuthority authority_;
   std::optional<lease::StoreLease> store_lease_;
   lease::AuthorityView& orders_authority_;
--- a/src/cypresswall/node/node_settings.h
+++ b/src/cypresswall/node/node_settings.h
@@ -26,13 +26,14 @@
 namespace cypresswall::node {
 
 struct NodeSettings {
-  /// Nodes of a zone up to which all hear all and decide about all engines. Put into
-  /// `membership.neighbours`, `directory.groups` and the relay of the store.
+  /// Up to this many nodes in a zone, every node exchanges messages with all others and makes
+  /// decisions for all engines. Copied to `membership.neighbours`, `directory.groups` and the relay
+  /// of the store.
   std::size_t shared_zone_nodes = 24;
   membership::MembershipSettings membership;
   lease::LeaseSettings lease;
-  /// The lease for orders is an object of the platform's store; otherwise, and for idempotency
-  /// keys always, a quorum of the zone's nodes grants it.
+  /// The lease for orders is an object in the platform's store instead of being granted by a quorum
+  /// of the zone's nodes. Idempotency keys always use the quorum lease.
   bool lease_in_store = false;
   lease::StoreLeaseSettings store_lease;
   idempotency::ClaimSettings claims;
@@ -41,9 +42,9 @@
   routing::RouterSettings router;
   routing::PlacementSettings placement;
   orders::ControllerSettings controller;
-  /// Makes the planner of roles; empty takes the cost-based one.
+  /// Creates the role planner; the cost-based planner if empty.
   std::function<std::unique_ptr<planning::Planner>()> make_planner = {};
-  /// Makes the router; empty takes the cost-based one. Set by experiments only.
+  /// Creates the router; the cost-based router if empty. Only set in experiments.
   std::function<std::unique_ptr<routing::Router>(const api::ProcessContext&,
                                                  routing::EngineDirectory&)>
       make_router = {};
@@ -56,9 +57,9 @@
   quarantine::QuarantineSettings quarantine;
   duties::DutySettings duties;
   autoscaling::AutoscalingSettings autoscaling;
-  /// A planned stop waits no longer than this for requests that run.
+  /// Maximum time that a graceful shutdown waits for requests in flight.
   common::Duration stop_limit = std::chrono::minutes(10);
-  /// How often a planned stop looks whether anything still runs.
+  /// Interval at which a graceful shutdown checks for remaining work.
   common::Duration stop_check_interval = std::chrono::milliseconds(20);
 };
 
--- a/src/cypresswall/node/node_state.h
+++ b/src/cypresswall/node/node_state.h
@@ -1,5 +1,5 @@
-/// What operators' queries read from one node: its zone's engines, nodes and lease, and why the
-/// zone's controller acted as it did.
+/// State of one node for operator queries: engines, nodes and lease of its zone, and the reasons
+/// for the zone controller's decisions.
 #pragma once
 
 #include <string>
@@ -21,7 +21,7 @@
 
 namespace cypresswall::node {
 
-/// The modules that queries read. All must outlive the reader.
+/// The modules that queries read. All must outlive NodeState.
 struct NodeStateSources {
   const common::Clock& clock;
   const membership::Membership& membership;
--- a/tests/node/declared_fleet_test.cpp
+++ b/tests/node/declared_fleet_test.cpp
@@ -1,5 +1,6 @@
-/// Nodes of a fleet that the platform declares: they follow its configuration, and requests that
-/// are passed through keep their bytes and their promises when an engine dies.
+/// Nodes of a fleet declared by the platform. Guards against nodes that ignore or modify the
+/// declared configuration, and against corrupted or repeated pass-through requests after an engine
+/// crash.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <memory>
@@ -177,7 +178,7 @@
         [this, call] { caller_handle_ = node().modelExecutor().start(call, caller_); });
   }
 
-  /// \return the address of the engine that had begun the answer
+  /// \return the address of the engine that had started the response
   std::string crashEngineMidStream() {
     CPPUNIT_ASSERT(
         fleet_->time().runUntilTrue([this] { return !caller_.body.empty(); }, seconds(10)));
--- a/tests/node/large_zone_fleet_test.cpp
+++ b/tests/node/large_zone_fleet_test.cpp
@@ -1,5 +1,5 @@
-/// Whole nodes of one large zone, in which few decide about an engine: requests taken anywhere get
-/// their own whole answer or a true refusal, whatever happens to the nodes that decide.
+/// Complete nodes of one large zone, in which only a few nodes make decisions for an engine. Guards
+/// against wrong, truncated or lost responses when those nodes crash, pause, stop or restart.
 #include <algorithm>
 #include <memory>
 
@@ -21,7 +21,7 @@
 constexpr std::uint32_t kEngines = 36;
 constexpr std::uint64_t kVersion = 41;
 
-/// A fleet that the platform declares, as on the users' platform.
+/// A fleet declared by the platform, as in production.
 class LargeZone {
  public:
   explicit LargeZone(std::uint64_t seed) {
@@ -38,7 +38,7 @@
     fleet->bringUp();
   }
 
-  /// One request a step, at any node that runs.
+  /// Sends one request per step to a random node; skips steps whose node is down.
   void sendRequests(int count, common::Duration step) {
     for (int i = 0; i < count; ++i) {
       const std::size_t node = fleet->simulation().random().below(kNodes);
