--- a/apps/cypressctl/console.cpp
+++ b/apps/cypressctl/console.cpp
@@ -1,6 +1,6 @@
 #include "apps/cypressctl/console.h"
 
-// readline's headers need stdio before them.
+// The readline headers require <cstdio> before them.
 #include <cstdio>
 #include <cstdlib>
 #include <cstring>
@@ -19,7 +19,7 @@
 
 constexpr int kHistoryLength = 1000;
 
-/// Candidates of the completion under way; readline's interface has no room for state.
+/// Candidates of the current completion; global because readline callbacks take no user data.
 std::vector<std::string>& candidates() {
   static std::vector<std::string> words;
   return words;
@@ -43,7 +43,7 @@
 char** complete(const char* text, int start, int) {
   candidates() = operators::completions(std::string_view(rl_line_buffer, start));
   if (candidates().empty()) {
-    return nullptr;  // file names, as for apply
+    return nullptr;  // default file name completion, for example for apply
   }
   rl_attempted_completion_over = 1;
   return rl_completion_matches(text, &nextCandidate);
--- a/apps/cypressctl/console.h
+++ b/apps/cypressctl/console.h
@@ -1,4 +1,4 @@
-/// The interactive mode: a prompt with history and completion.
+/// Interactive mode: a prompt with history and completion.
 #pragma once
 
 #include <functional>
@@ -6,7 +6,7 @@
 
 namespace cypresswall::cypressctl {
 
-/// Reads commands until the end of the input, "exit" or "quit", and hands each to `run`.
+/// Reads commands until end of input, "exit" or "quit", and passes each to `run`.
 void runConsole(const std::function<void(const std::string& command)>& run);
 
 }  // namespace cypresswall::cypressctl
--- a/apps/cypressctl/explain.h
+++ b/apps/cypressctl/explain.h
@@ -1,4 +1,4 @@
-/// The command `explain LOGFILES... --request ID`, which asks no daemon.
+/// The command `explain LOGFILES... --request ID`, which runs locally, without a daemon.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace cypresswall::cypressctl {
 
-/// Prints the time line of the request, and on standard error how many lines can't be read.
+/// Prints the time line of the request, and the number of unreadable lines on standard error.
 /// \return kRefused if no log names the request, kUsage if a log can't be read
 operators::ExitCode explain(const std::vector<std::string>& logs, const std::string& request);
 
--- a/apps/cypressctl/http_post.cpp
+++ b/apps/cypressctl/http_post.cpp
@@ -25,7 +25,7 @@
   return bytes;
 }
 
-/// \return true if the failure proves that the request was not sent.
+/// \return true if the error implies that the request was not sent.
 bool provesNotSent(CURLcode code, CURL* handle) {
   if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST ||
       code == CURLE_URL_MALFORMAT) {
--- a/apps/cypressctl/http_post.h
+++ b/apps/cypressctl/http_post.h
@@ -1,4 +1,4 @@
-/// One blocking HTTP POST to a daemon's operator API, by libcurl.
+/// Blocking HTTP POST to a daemon's operator API, using libcurl.
 #pragma once
 
 #include <string>
--- a/apps/cypressctl/main.cpp
+++ b/apps/cypressctl/main.cpp
@@ -1,4 +1,4 @@
-/// cypressctl: the operators' client. docs/operators.md describes the language and exit codes.
+/// cypressctl: the operator client. docs/operators.md describes its language and exit codes.
 #include <curl/curl.h>
 #include <gflags/gflags.h>
 #include <unistd.h>
@@ -40,7 +40,7 @@
 using operators::CommandRequest;
 using operators::ExitCode;
 
-/// A file that can't be read, or flags that make no sense.
+/// An unreadable file or invalid flags.
 class UsageError : public common::Error {
  public:
   using common::Error::Error;
@@ -83,7 +83,7 @@
   return text.str();
 }
 
-/// Words of the shell that need quotes to stay one word of the language get them.
+/// Joins shell arguments to a command; quotes those that would not be parsed as one word.
 std::string joinWords(const std::vector<std::string>& words) {
   if (words.size() == 1) {
     return words.front();
@@ -110,7 +110,7 @@
   return request;
 }
 
-/// Adds the file's text to an `apply` command.
+/// Attaches the fleet file's text to an `apply` command.
 void attachFile(CommandRequest& request) {
   try {
     const auto command = operators::parseCommand(request.command);
@@ -138,7 +138,7 @@
   return code;
 }
 
-/// Runs a command and reports errors that are no answers.
+/// Runs a command and prints errors other than error responses.
 ExitCode runAndReportErrors(const std::string& command, operators::OutputFormat format) {
   try {
     return runCommand(command, format);
@@ -154,7 +154,7 @@
   }
 }
 
-/// Runs a file of commands up to the first that fails; empty lines and those with # are skipped.
+/// Runs the commands in a file up to the first failure; skips empty lines and # comments.
 ExitCode runScript(const std::string& path, operators::OutputFormat format) {
   std::istringstream lines(readFile(path));
   for (std::string line; std::getline(lines, line);) {
--- a/apps/cypresswall-bench/main.cpp
+++ b/apps/cypresswall-bench/main.cpp
@@ -1,4 +1,4 @@
-/// Load and experiment tool. "cypresswall-bench load" puts load on real processes,
+/// Benchmark tool. "cypresswall-bench load" generates load on running processes,
 /// "cypresswall-bench simulate SCENARIO..." runs scenarios in virtual time.
 #include <gflags/gflags.h>
 
@@ -79,7 +79,7 @@
   settings.targets.push_back(std::move(target));
 }
 
-/// \throws common::Error for flags that can't be used
+/// \throws common::Error for invalid flags
 bench::LoadRunSettings settingsFromFlags() {
   bench::LoadRunSettings settings;
   addTarget(settings, "direct", bench::Dialect::kEngine, FLAGS_direct);
@@ -106,7 +106,8 @@
   return settings;
 }
 
-/// \return true if no answer was cut, altered or left unknown, and few requests were refused.
+/// \return true if no response was truncated, altered or of unknown outcome, and few requests were
+/// refused.
 bool allComplete(const std::vector<bench::TargetReport>& reports) {
   constexpr double kMinimumCompletedFraction = 0.9;
   for (const bench::TargetReport& report : reports) {
--- a/apps/cypresswalld/daemon.cpp
+++ b/apps/cypresswalld/daemon.cpp
@@ -14,7 +14,7 @@
 using common::LogLevel;
 
 constexpr int kExitForced = 1;
-/// After the drain, the last answers and messages get this long to leave.
+/// Maximum time after the drain for sending the remaining responses and messages.
 constexpr auto kFlushTimeout = std::chrono::seconds(2);
 constexpr auto kFlushCheckInterval = std::chrono::milliseconds(10);
 
@@ -24,7 +24,7 @@
   return (static_cast<std::uint64_t>(device()) << kHalfBits) | device();
 }
 
-/// Grows with each life of a process on one address: microseconds since 1970.
+/// Increases with each restart on the same address: microseconds since 1970.
 std::uint64_t newIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
--- a/apps/cypresswalld/daemon.h
+++ b/apps/cypresswalld/daemon.h
@@ -1,4 +1,4 @@
-/// The parts of one cypresswalld process, put together on one thread and one event loop.
+/// Composes the components of a cypresswalld process on one thread and one event loop.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -23,7 +23,7 @@
 
 class Daemon {
  public:
-  /// Reads the settings again; used on SIGHUP. Throws settings::SettingsError if they are wrong.
+  /// Reloads the settings on SIGHUP. Throws settings::SettingsError if they are invalid.
   using Reload = std::function<settings::DaemonSettings()>;
 
   /// Listens on all addresses. \throws runtime::TransportError, http::ListenError
@@ -33,14 +33,15 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Works until a planned stop is over. \return the program's exit code
+  /// Runs until the shutdown is complete. \return the exit code of the program
   int run();
 
  private:
   api::ProcessContext processContext();
   http::ServerSettings serverSettings();
   http::ServerSettings managementServerSettings();
-  /// Adds the daemon's own paths to the routes of its own server, or to the callers'.
+  /// Adds the health, metrics and operator paths to the management server, or to the gateway's
+  /// routes if there is no such server.
   void mountManagementPaths();
   void startServers();
   Readiness readiness() const;
@@ -48,16 +49,16 @@
   void handleSignal(int signal);
   void reload();
   void applyReloadable(const settings::DaemonSettings& settings);
-  /// Says at once that this node isn't ready; requests are still taken for the lame-duck time, in
-  /// which whoever sends callers here takes note.
+  /// Reports the node as not ready at once, and accepts requests for the lame-duck period, in which
+  /// load balancers notice it.
   void beginStop();
   void stopNode();
-  /// Ends the event loop once the last answers are out, or after a short limit.
+  /// Ends the event loop once all responses and messages are sent, or at `limit`.
   void finishStop(common::MonotonicTime limit);
 
   settings::DaemonSettings settings_;
   Reload reload_;
-  // The order of the members is the order of dependence: each uses those above it.
+  // Members are ordered by dependency: each uses only those above it.
   asio::io_context context_{1};
   runtime::AsioClock clock_;
   runtime::AsioScheduler scheduler_{context_};
@@ -74,7 +75,7 @@
   gateway::HttpRoutes routes_;
   gateway::HttpRoutes management_routes_;
   std::unique_ptr<http::Server> server_;
-  /// Null if the daemon's own paths are served with the callers'.
+  /// Null if the management paths are served by the gateway server.
   std::unique_ptr<http::Server> management_server_;
   asio::signal_set signals_;
   bool stopping_ = false;
--- a/apps/cypresswalld/health.h
+++ b/apps/cypresswalld/health.h
@@ -1,4 +1,4 @@
-/// The daemon's own HTTP paths: /healthz, /readyz and /metrics.
+/// The daemon's health and metrics endpoints: /healthz, /readyz and /metrics.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace cypresswall::daemon {
 
-/// Whether callers should be sent to this node.
+/// Whether load balancers should send requests to this node.
 enum class Readiness : std::uint8_t { kReady, kNoConfiguration, kDraining };
 
 /// Adds the paths to `routes`. \pre `counters` outlives the routes
--- a/apps/cypresswalld/main.cpp
+++ b/apps/cypresswalld/main.cpp
@@ -1,4 +1,4 @@
-/// cypresswalld: the one daemon of cypresswall. Every machine runs the same.
+/// cypresswalld: the daemon of cypresswall, identical on every machine.
 #include <gflags/gflags.h>
 #ifdef __SANITIZE_ADDRESS__
 #include <sanitizer/lsan_interface.h>
@@ -22,7 +22,7 @@
 DEFINE_bool(print_settings_table, false, "print the table of docs/settings.md and exit");
 
 namespace GFLAGS_NAMESPACE {
-/// What gflags calls on a wrong command line; declared by none of its headers.
+/// Called by gflags on an invalid command line; not declared in its public headers.
 extern void (*gflags_exitfunc)(int);
 }  // namespace GFLAGS_NAMESPACE
 
@@ -68,9 +68,9 @@
   }
 }
 
-/// Ends the process without the destructors of static objects: log4cplus joins its threads there,
-/// which a process that ends need not wait for. On the users' platform that never returned, so that
-/// each stop lasted until the platform's SIGKILL.
+/// Ends the process without running static destructors: log4cplus joins its threads there, which an
+/// ending process need not wait for. In production that join never returned, so that each shutdown
+/// lasted until the platform sent SIGKILL.
 [[noreturn]] void endProcess(int exit_code) {
 #ifdef __SANITIZE_ADDRESS__
   __lsan_do_leak_check();
--- a/tests/cypressctl/explain_test.cpp
+++ b/tests/cypressctl/explain_test.cpp
@@ -1,4 +1,4 @@
-/// cypressctl explain as a process: output and exit codes.
+/// Output and exit codes of a `cypressctl explain` process.
 #include "tests/daemon/child_process.h"
 #include "tests/request_trace/log_file.h"
 
--- a/tests/daemon/child_process.h
+++ b/tests/daemon/child_process.h
@@ -1,4 +1,4 @@
-/// A program run by a test: its output is read line by line, and it is ended with the test.
+/// A child process of a test: its output is captured, and it is killed by the destructor.
 #pragma once
 
 #include <poll.h>
@@ -47,7 +47,7 @@
   ~ChildProcess() {
     if (running_) {
       kill(process_, SIGKILL);
-      // A process is reaped after all its threads that somebody traces.
+      // A process can only be reaped after all its traced threads.
       for (const pid_t thread : frozen_) {
         waitpid(thread, nullptr, __WALL);
       }
@@ -60,7 +60,7 @@
 
   void signal(int number) const { kill(process_, number); }
 
-  /// Reads until `text` was seen. \return false at the end of the output or the time limit
+  /// Reads until the output contains `text`. \return false at the end of the output or on time-out
   bool waitForText(const std::string& text) {
     while (seen_.find(text) == std::string::npos) {
       if (!readMore()) {
@@ -70,7 +70,7 @@
     return true;
   }
 
-  /// Reads to the end of the output. \return the exit code, -1 if a signal ended the process
+  /// Reads to the end of the output. \return the exit code, or -1 if a signal killed the process
   int waitForExit() {
     while (readMore()) {
     }
@@ -82,8 +82,8 @@
 
   const std::string& output() const { return seen_; }
 
-  /// Freezes all threads but the first, as a platform may that gives them no turn.
-  /// \return how many these are
+  /// Freezes all threads but the main thread, as on a platform that does not schedule them.
+  /// \return the number of frozen threads
   std::size_t freezeOtherThreads() {
     const auto tasks = "/proc/" + std::to_string(process_) + "/task";
     for (const auto& entry : std::filesystem::directory_iterator(tasks)) {
@@ -97,7 +97,7 @@
     return frozen_.size();
   }
 
-  /// \return true if the process ends within the time limit, though threads are frozen
+  /// \return true if the process ends within the time limit despite frozen threads
   bool endsWithFrozenThreads() {
     while (readMore()) {
     }
@@ -123,7 +123,7 @@
 
   pid_t process_ = 0;
   bool running_ = true;
-  /// The output was closed.
+  /// The output pipe was closed.
   bool ended_ = false;
   int output_ = -1;
   std::string seen_;
--- a/tests/daemon/command_line_test.cpp
+++ b/tests/daemon/command_line_test.cpp
@@ -1,4 +1,4 @@
-/// cypresswalld as a process: flags, settings, exit codes and signals.
+/// Flags, settings, exit codes and signals of a cypresswalld process.
 #include <unistd.h>
 
 #include <algorithm>
@@ -46,7 +46,7 @@
   }
 
   void checkSettingsOpensNoSockets() {
-    // Both ports are taken, which only an attempt to listen would show.
+    // Both ports are in use, so that an attempt to listen would fail.
     const BoundPort peer;
     const BoundPort gateway;
     writeSettings(peer.address(), gateway.address(), "");
@@ -86,7 +86,7 @@
     CPPUNIT_ASSERT(daemon.waitForText("event=settings_not_reloaded"));
     writeSettings(peer, gateway, "log: {level: error}\n");
     daemon.signal(SIGHUP);
-    // At level error neither the reload nor the stop is logged.
+    // At log level error, neither the reload nor the shutdown is logged.
     daemon.signal(SIGTERM);
     CPPUNIT_ASSERT_EQUAL(0, daemon.waitForExit());
     CPPUNIT_ASSERT(daemon.output().find("event=daemon_stopped") == std::string::npos);
--- a/tests/daemon/free_address.h
+++ b/tests/daemon/free_address.h
@@ -1,4 +1,4 @@
-/// Addresses of the loopback for tests that start processes.
+/// Loopback addresses for tests that start processes.
 #pragma once
 
 #include <arpa/inet.h>
@@ -11,10 +11,10 @@
 
 namespace cypresswall::testing {
 
-/// A bound port of the loopback, which nobody else can take while this lives.
+/// Binds a loopback port for the lifetime of the object, so that no other process can use it.
 class BoundPort {
  public:
-  /// \param port zero for any that is free
+  /// \param port 0 for any free port
   explicit BoundPort(std::uint16_t port = 0) : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -30,7 +30,7 @@
   ~BoundPort() { close(socket_); }
   BoundPort(const BoundPort&) = delete;
   BoundPort& operator=(const BoundPort&) = delete;
-  /// \return "IP:port", or nothing if the port was not free
+  /// \return "IP:port"; empty if the port was in use
   const std::string& address() const { return text_; }
 
  private:
@@ -38,9 +38,8 @@
   std::string text_;
 };
 
-/// \return an address whose port was free a moment ago. The ports lie below those that the system
-///   gives to outgoing connections, so that none of these takes one in between, and each process
-///   begins at another one.
+/// \return an address whose port was free during the call. Ports are below the ephemeral range, so
+///   that outgoing connections don't take them, and each test process starts at a different port.
 inline std::string freeAddress() {
   constexpr std::uint32_t kFirstPort = 12000;
   constexpr std::uint32_t kPorts = 20000;
--- a/tests/daemon/planned_stop_test.cpp
+++ b/tests/daemon/planned_stop_test.cpp
@@ -1,4 +1,4 @@
-/// A planned stop of cypresswalld as callers and whoever sends them see it.
+/// Graceful shutdown of cypresswalld as seen by clients and load balancers.
 #include <unistd.h>
 
 #include <asio/io_context.hpp>
@@ -41,7 +41,8 @@
     CPPUNIT_ASSERT_EQUAL(200, get(readiness_, "/metrics").status);
     CPPUNIT_ASSERT_EQUAL(std::string("no configuration held yet\n"),
                          get(readiness_, "/readyz").body);
-    // The callers' address knows none of them; without a configuration it can only refuse.
+    // The gateway address does not serve management paths; without a configuration it rejects all
+    // requests.
     CPPUNIT_ASSERT_EQUAL(503, get(gateway_, "/healthz").status);
   }
 
@@ -57,13 +58,13 @@
     CPPUNIT_ASSERT_EQUAL(std::string("draining\n"), ready.body);
     CPPUNIT_ASSERT_EQUAL(503, get(gateway_, "/v1/nothing").status);
     CPPUNIT_ASSERT(daemon.output().find("event=drain_started") == std::string::npos);
-    // A second signal ends it at once, as in every planned stop.
+    // A second signal ends the process at once, as in every graceful shutdown.
     daemon.signal(SIGTERM);
     CPPUNIT_ASSERT_EQUAL(1, daemon.waitForExit());
   }
 
-  /// On the users' platform the end of each process waited for a thread of log4cplus until SIGKILL
-  /// (incidents 6d94, 4b2c).
+  /// Guards against a shutdown that waits for log4cplus threads: in production each process then
+  /// lasted until SIGKILL (incidents 6d94, 4b2c).
   void blockedLibraryThreadsDoNotDelayExit() {
     writeSettings("");
     ChildProcess daemon(CYPRESSWALL_DAEMON, {"--settings", file_});
@@ -87,7 +88,7 @@
   }
 
  private:
-  /// \param more lines after those of the section "platform"
+  /// \param more lines appended after the section "platform"
   void writeSettings(const std::string& more) const {
     std::ofstream file(file_);
     file << "node:\n  peer_address: " << freeAddress() << "\n  gateway_address: " << gateway_
