--- a/apps/cypresswall-bench/main.cpp
+++ b/apps/cypresswall-bench/main.cpp
@@ -1,4 +1,4 @@
-/// Load and experiment tool. "cypresswall-bench load" puts load on real processes,
+/// Benchmark tool. "cypresswall-bench load" generates load on running processes,
 /// "cypresswall-bench simulate SCENARIO..." runs scenarios in virtual time.
 #include <gflags/gflags.h>
 
@@ -79,7 +79,7 @@
   settings.targets.push_back(std::move(target));
 }
 
-/// \throws common::Error for flags that can't be used
+/// \throws common::Error for invalid flags
 bench::LoadRunSettings settingsFromFlags() {
   bench::LoadRunSettings settings;
   addTarget(settings, "direct", bench::Dialect::kEngine, FLAGS_direct);
@@ -106,15 +106,18 @@
   return settings;
 }
 
-/// \return true if no answer was cut, altered or left unknown, and few requests were refused.
-bool allWhole(const std::vector<bench::TargetReport>& reports) {
-  constexpr double kLeastDoneShare = 0.9;
+/// \return true if no response was truncated, altered or of unknown outcome, and few requests were
+/// refused.
+bool allComplete(const std::vector<bench::TargetReport>& reports) {
+  constexpr double kMinimumCompletedFraction = 0.9;
   for (const bench::TargetReport& report : reports) {
     const bench::KindResult total = report.result.total();
     const std::uint64_t done = total.count(bench::RequestEnd::kDone);
     const std::uint64_t refused = total.count(bench::RequestEnd::kRefused);
-    const auto least_done = kLeastDoneShare * static_cast<double>(total.requests());
-    if (done == 0 || done + refused != total.requests() || static_cast<double>(done) < least_done) {
+    const auto minimum_completed =
+        kMinimumCompletedFraction * static_cast<double>(total.requests());
+    if (done == 0 || done + refused != total.requests() ||
+        static_cast<double>(done) < minimum_completed) {
       return false;
     }
   }
@@ -139,7 +142,7 @@
     std::ofstream file(FLAGS_csv);
     bench::writeCsv(file, reports);
   }
-  return FLAGS_require_whole && !allWhole(reports) ? kExitFailed : kExitDone;
+  return FLAGS_require_whole && !allComplete(reports) ? kExitFailed : kExitDone;
 }
 
 /// \throws common::Error for an unknown policy
--- a/src/cypresswall/request_trace/verdict.h
+++ b/src/cypresswall/request_trace/diagnosis.h
@@ -1,4 +1,4 @@
-/// What came of a request, and why most likely.
+/// The outcome of a request and its most likely cause.
 #pragma once
 
 #include <string>
@@ -7,12 +7,12 @@
 
 namespace cypresswall::request_trace {
 
-struct Verdict {
+struct Diagnosis {
   std::string outcome;
   std::string cause;
 };
 
-/// A judgement by rules from what the lines tell; lines that are missing are not guessed.
-Verdict judge(const TimeLine& time_line);
+/// Applies fixed rules to the available lines; makes no assumptions about missing lines.
+Diagnosis diagnose(const TimeLine& time_line);
 
 }  // namespace cypresswall::request_trace
--- /dev/null
+++ b/src/cypresswall/request_trace/event_text.h
@@ -0,0 +1,23 @@
+/// Human-readable text of log events.
+#pragma once
+
+#include <string>
+
+#include "cypresswall/request_trace/log_record.h"
+
+namespace cypresswall::request_trace {
+
+/// \return a description of the event and of the inputs that decided it; names and texts from the
+/// log are copied unchanged
+std::string toText(const LogRecord& record);
+
+/// \return the time of day, for example 22:17:20.285
+std::string timeOfDay(WallTime time);
+
+/// \return the date, for example 2026-06-17
+std::string dayOf(WallTime time);
+
+/// \return for example `45 ms`
+std::string toText(Milliseconds duration);
+
+}  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/failure_reason.cpp
+++ b/src/cypresswall/request_trace/failure_reason.cpp
@@ -10,27 +10,27 @@
   FailureReason reason;
 };
 
-/// The first phrase that stands in the text decides.
+/// The first phrase that occurs in the text determines the reason.
 constexpr auto kPhrases = std::to_array<Phrase>({
     {"this node was paused", FailureReason::kNodePaused},
-    {"can meet the request's limits now", FailureReason::kNoEngineInTime},
+    {"can meet the request's limits now", FailureReason::kNoEngineWithinLimits},
     {"is available now", FailureReason::kNoEngineAvailable},
     {"requests of this urgency are shed", FailureReason::kShed},
-    {"time limit has passed", FailureReason::kTimeLimitPassed},
+    {"time limit has passed", FailureReason::kDeadlineExceeded},
     {"first token can't be given in time", FailureReason::kFirstTokenTooLate},
-    {"Failed to connect", FailureReason::kNotReached},
-    {"Could not connect", FailureReason::kNotReached},
-    {"Couldn't connect", FailureReason::kNotReached},
-    {"Connection timeout after", FailureReason::kNotReached},
-    {"Connection timed out after", FailureReason::kNotReached},
-    {"silent for too long", FailureReason::kBackEndSilent},
-    {"Operation timed out", FailureReason::kBackEndSilent},
+    {"Failed to connect", FailureReason::kUnreachable},
+    {"Could not connect", FailureReason::kUnreachable},
+    {"Couldn't connect", FailureReason::kUnreachable},
+    {"Connection timeout after", FailureReason::kUnreachable},
+    {"Connection timed out after", FailureReason::kUnreachable},
+    {"silent for too long", FailureReason::kBackendTimeout},
+    {"Operation timed out", FailureReason::kBackendTimeout},
     {" came after event ", FailureReason::kEventsOutOfOrder},
     {"Connection reset", FailureReason::kConnectionLost},
     {"Empty reply", FailureReason::kConnectionLost},
     {"closed", FailureReason::kConnectionLost},
-    {"caller went away", FailureReason::kCallerGone},
-    {"connection ended", FailureReason::kCallerGone},
+    {"caller went away", FailureReason::kClientDisconnected},
+    {"connection ended", FailureReason::kClientDisconnected},
 });
 
 }  // namespace
--- a/src/cypresswall/request_trace/failure_reason.h
+++ b/src/cypresswall/request_trace/failure_reason.h
@@ -1,4 +1,4 @@
-/// The kinds of reason that nodes give when a request or an attempt fails.
+/// Classifies the reasons that nodes log when a request or an attempt fails.
 #pragma once
 
 #include <string_view>
@@ -7,20 +7,20 @@
 
 enum class FailureReason {
   kNoEngineAvailable,
-  kNoEngineInTime,
+  kNoEngineWithinLimits,
   kShed,
   kNodePaused,
-  kTimeLimitPassed,
+  kDeadlineExceeded,
   kFirstTokenTooLate,
-  kBackEndSilent,
-  kNotReached,
+  kBackendTimeout,
+  kUnreachable,
   kConnectionLost,
   kEventsOutOfOrder,
-  kCallerGone,
+  kClientDisconnected,
   kOther,
 };
 
-/// \param reason the text as it stands in the log
+/// \param reason the text from the log
 FailureReason failureReasonOf(std::string_view reason);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/log_fields.cpp
+++ b/src/cypresswall/request_trace/log_fields.cpp
@@ -12,7 +12,7 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kHexDigits = 2;
 
-/// \return the line from its `time=` on; empty if it has none
+/// \return the line starting at `time=`; empty if it has none
 std::string_view withoutPrefix(std::string_view line) {
   std::size_t start = line.find(kTimeStart);
   while (start != std::string_view::npos && start > 0 &&
@@ -22,7 +22,7 @@
   return start == std::string_view::npos ? std::string_view() : line.substr(start);
 }
 
-/// \return the position of the quote that ends the value which starts at `text`, or npos
+/// \return the position of the closing quote of the value at the start of `text`, or npos
 std::size_t closingQuote(std::string_view text) {
   for (std::size_t position = 0; position < text.size(); ++position) {
     if (text[position] == '\\') {
@@ -34,8 +34,8 @@
   return std::string_view::npos;
 }
 
-/// Takes the escape behind a backslash off the front of `rest`.
-char takeEscaped(std::string_view& rest) {
+/// Removes the escape sequence after a backslash from the front of `rest`.
+char consumeEscape(std::string_view& rest) {
   const char kind = rest.front();
   rest.remove_prefix(1);
   unsigned char code = 0;
@@ -57,7 +57,7 @@
   LogFields fields;
   fields.fields_.reserve(kUsualFields);
   while (!rest.empty()) {
-    if (!fields.takeField(rest)) {
+    if (!fields.consumeField(rest)) {
       return std::nullopt;
     }
     rest.remove_prefix(std::min(rest.find_first_not_of(kBlanks), rest.size()));
@@ -65,7 +65,7 @@
   return fields.fields_.empty() ? std::nullopt : std::optional(std::move(fields));
 }
 
-bool LogFields::takeField(std::string_view& rest) {
+bool LogFields::consumeField(std::string_view& rest) {
   const std::size_t equals = rest.find('=');
   if (equals == 0 || equals == std::string_view::npos || rest.find_first_of(kBlanks) < equals) {
     return false;
@@ -99,7 +99,7 @@
   while (!rest.empty()) {
     const char next = rest.front();
     rest.remove_prefix(1);
-    text += next == '\\' && !rest.empty() ? takeEscaped(rest) : next;
+    text += next == '\\' && !rest.empty() ? consumeEscape(rest) : next;
   }
   return text;
 }
--- a/tests/request_trace/log_lines.h
+++ b/tests/request_trace/log_lines.h
@@ -1,11 +1,11 @@
-/// Lines as the daemon writes them, for tests.
+/// Log lines in the daemon's format for tests.
 #pragma once
 
 #include <sstream>
 #include <string>
 #include <vector>
 
-#include "cypresswall/request_trace/in_force_lines.h"
+#include "cypresswall/request_trace/context_lines.h"
 #include "cypresswall/request_trace/log_record_parser.h"
 #include "cypresswall/request_trace/log_scan.h"
 #include "cypresswall/request_trace/time_line.h"
@@ -16,7 +16,7 @@
 inline constexpr const char* kNodeOne = "10.1.0.34:8667";
 inline constexpr const char* kNodeTwo = "10.2.0.16:8667";
 
-/// \param time_of_day like 20:25:49.070
+/// \param time_of_day for example 20:25:49.070
 /// \param pairs the event and its values
 inline std::string lineOf(const std::string& time_of_day, const std::string& node,
                           const std::string& pairs) {
@@ -66,20 +66,20 @@
   }
 }
 
-/// The time line as explainRequest() makes it, of logs in memory.
+/// Builds the same time line as explainRequest(), from logs in memory.
 inline TimeLine timeLineOf(const std::string& request, const std::vector<Log>& logs) {
   RequestLines own(request);
-  readLogs(logs, [&own](const LogRecord& record) { own.take(record); });
-  InForceLines in_force(scopeOf(own));
-  NeighbourFailures neighbours(own);
+  readLogs(logs, [&own](const LogRecord& record) { own.add(record); });
+  ContextLines context(scopeOf(own));
+  ConcurrentFailures concurrent_failures(own);
   readLogs(logs, [&](const LogRecord& record) {
-    in_force.take(record);
-    neighbours.take(record);
+    context.add(record);
+    concurrent_failures.add(record);
   });
   std::vector<LogRecord> records = own.records();
-  const auto others = in_force.records();
+  const auto others = context.records();
   records.insert(records.end(), others.begin(), others.end());
-  return makeTimeLine(request, records, neighbours.counts());
+  return makeTimeLine(request, records, concurrent_failures.counts());
 }
 
 inline bool contains(const std::string& text, const std::string& part) {
