--- a/src/cypresswall/simulation/fleet/fault_schedule.cpp
+++ b/src/cypresswall/simulation/fleet/fault_schedule.cpp
@@ -46,7 +46,7 @@
                 << fault.other << ")";
 }
 
-void FaultPlayer::play(const std::vector<ScheduledFault>& schedule) {
+void FaultInjector::play(const std::vector<ScheduledFault>& schedule) {
   for (const ScheduledFault& fault : schedule) {
     fleet_.time().schedule(fault.at, [this, fault, round = round_] {
       if (round == round_) {
@@ -61,25 +61,25 @@
   }
 }
 
-std::size_t FaultPlayer::nodeOf(const ScheduledFault& fault) const {
+std::size_t FaultInjector::nodeOf(const ScheduledFault& fault) const {
   return fault.target % fleet_.nodeCount();
 }
 
-std::uint32_t FaultPlayer::zoneOf(std::uint32_t number) const {
+std::uint32_t FaultInjector::zoneOf(std::uint32_t number) const {
   return number % fleet_.settings().topology.zones;
 }
 
-common::Address FaultPlayer::engineOf(const ScheduledFault& fault) const {
+common::Address FaultInjector::engineOf(const ScheduledFault& fault) const {
   const auto& engines = fleet_.engines().all();
   return std::next(engines.begin(), fault.target % engines.size())->first;
 }
 
-common::Address FaultPlayer::serviceOf(const ScheduledFault& fault) const {
+common::Address FaultInjector::serviceOf(const ScheduledFault& fault) const {
   const auto& services = fleet_.services().all();
   return std::next(services.begin(), fault.target % services.size())->first;
 }
 
-void FaultPlayer::beginCut(const ScheduledFault& fault) {
+void FaultInjector::beginCut(const ScheduledFault& fault) {
   auto& network = fleet_.simulation().network();
   const auto zone = zoneOf(fault.target);
   const auto other = zoneOf(fault.other);
@@ -103,7 +103,7 @@
   }
 }
 
-void FaultPlayer::setEngineFaults(const ScheduledFault& fault) {
+void FaultInjector::setEngineFaults(const ScheduledFault& fault) {
   const auto address = engineOf(fault);
   emulation::EmulatedEngine& engine = *fleet_.engines().find(address);
   emulation::EngineFaults faults = engine.faults();
@@ -116,7 +116,7 @@
   engine.setFaults(faults);
 }
 
-void FaultPlayer::setServiceFaults(const ScheduledFault& fault) {
+void FaultInjector::setServiceFaults(const ScheduledFault& fault) {
   const auto address = serviceOf(fault);
   emulation::EmulatedService& service = *fleet_.services().find(address);
   emulation::ServiceFaults faults = service.faults();
@@ -138,7 +138,7 @@
   service.setFaults(faults);
 }
 
-void FaultPlayer::countStruck() {
+void FaultInjector::countStruck() {
   for (const auto& address : planned_crashes_) {
     const bool struck = !fleet_.engines().find(address)->faults().crash_in_next_change;
     fleet_.faults().add(FaultKind::kEngineCrashInChange, struck ? 1 : 0);
@@ -161,7 +161,7 @@
   planned_service_faults_.clear();
 }
 
-void FaultPlayer::begin(const ScheduledFault& fault) {
+void FaultInjector::begin(const ScheduledFault& fault) {
   switch (fault.action) {
     case FaultAction::kKillNode:
     case FaultAction::kReplaceNode:
@@ -219,7 +219,7 @@
   }
 }
 
-void FaultPlayer::end(const ScheduledFault& fault) {
+void FaultInjector::end(const ScheduledFault& fault) {
   switch (fault.action) {
     case FaultAction::kKillNode:
     case FaultAction::kStopNode:
@@ -251,7 +251,7 @@
   }
 }
 
-void FaultPlayer::endAll() {
+void FaultInjector::endAll() {
   ++round_;
   countStruck();
   fleet_.simulation().network().healAll();
--- a/src/cypresswall/simulation/fleet/fault_schedule.h
+++ b/src/cypresswall/simulation/fleet/fault_schedule.h
@@ -55,9 +55,9 @@
 std::ostream& operator<<(std::ostream& stream, const ScheduledFault& fault);
 
 /// Plays a schedule on a fleet.
-class FaultPlayer {
+class FaultInjector {
  public:
-  explicit FaultPlayer(SimulatedFleet& fleet) : fleet_(fleet) {}
+  explicit FaultInjector(SimulatedFleet& fleet) : fleet_(fleet) {}
   /// Plans every fault of `schedule`, counted from now.
   void play(const std::vector<ScheduledFault>& schedule);
   /// Ends every fault: heals cuts, brings the store up, starts missing nodes. Paused processes are
--- a/tests/properties/answers/refusals_test.cpp
+++ b/tests/properties/answers/refusals_test.cpp
@@ -85,7 +85,7 @@
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
       planRequests(fleet, {.requests = 600, .within = kAskingTime});
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kAskingTime + seconds(10));
       player.endAll();
--- a/tests/properties/answers/whole_answers_test.cpp
+++ b/tests/properties/answers/whole_answers_test.cpp
@@ -68,7 +68,7 @@
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
       planRequests(fleet, {.within = kAskingTime});
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kAskingTime + seconds(10));
       player.endAll();
--- a/tests/properties/authority/one_holder_test.cpp
+++ b/tests/properties/authority/one_holder_test.cpp
@@ -60,7 +60,7 @@
       simulation::SimulatedFleet fleet(run.seed, lossyFleet(run));
       fleet.bringUp();
       LeaseHistory history(fleet);
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kFaultTime);
       player.endAll();
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -130,7 +130,7 @@
       ConfigurationHistory history(fleet);
       Operators operators(fleet);
       operators.work(kChanges, kRaces, kWorkingTime);
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kWorkingTime + seconds(10));
       player.endAll();
--- a/tests/properties/leaving/leaving_machine_test.cpp
+++ b/tests/properties/leaving/leaving_machine_test.cpp
@@ -94,7 +94,7 @@
       planRequests(fleet, {.requests = 150, .within = kAskingTime + seconds(10)});
       LeavingEngines leaving(fleet, simulation::PlatformSettings{}.machine_list_lag);
       leaving.plan();
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kAskingTime + seconds(10));
       player.endAll();
--- a/tests/properties/leaving/leaving_services_test.cpp
+++ b/tests/properties/leaving/leaving_services_test.cpp
@@ -127,7 +127,7 @@
   planBookings(fleet, workload);
   LeavingMachines leaving(fleet);
   plan(leaving);
-  simulation::FaultPlayer player(fleet);
+  simulation::FaultInjector player(fleet);
   player.play(run.faults);
   fleet.time().runFor(workload.within);
   player.endAll();
--- a/tests/properties/once/at_most_once_test.cpp
+++ b/tests/properties/once/at_most_once_test.cpp
@@ -54,7 +54,7 @@
       fleet.services().faults.late_by = seconds(6);
       fleet.services().faults.late_kind = FaultKind::kServiceAnswerLate;
       planBookings(fleet, BookingWorkload{});
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(BookingWorkload{}.within + seconds(10));
       player.endAll();
--- a/tests/properties/once_across_zones/once_across_zones_test.cpp
+++ b/tests/properties/once_across_zones/once_across_zones_test.cpp
@@ -163,7 +163,7 @@
       fleet.bringUp();
       planBookings(fleet, BookingWorkload{});
       planHolderFaults(fleet, 3, BookingWorkload{}.within);
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(BookingWorkload{}.within + seconds(10));
       player.endAll();
@@ -218,7 +218,7 @@
       workload.within = seconds(140);
       planBookings(fleet, workload);
       planZoneChanges(fleet, zone, accepted);
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(workload.within + seconds(20));
       player.endAll();
--- a/tests/properties/orders/fenced_orders_test.cpp
+++ b/tests/properties/orders/fenced_orders_test.cpp
@@ -181,7 +181,7 @@
       planRequests(fleet, {.requests = 100, .within = kWorkingTime});
       RolePins pins(fleet);
       pins.plan();
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kWorkingTime + seconds(10));
       player.endAll();
--- a/tests/properties/replay/replay_test.cpp
+++ b/tests/properties/replay/replay_test.cpp
@@ -32,7 +32,7 @@
   simulation::SimulatedFleet fleet(run.seed, settings);
   fleet.bringUp();
   planRequests(fleet, {});
-  simulation::FaultPlayer player(fleet);
+  simulation::FaultInjector player(fleet);
   player.play(run.faults);
   fleet.time().runFor(seconds(30));
   player.endAll();
--- a/tests/properties/stopping/planned_stop_test.cpp
+++ b/tests/properties/stopping/planned_stop_test.cpp
@@ -67,7 +67,7 @@
       fleet.bringUp();
       planRequests(fleet, {.within = kAskingTime});
       planBookings(fleet);
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kAskingTime + seconds(10));
       player.endAll();
