--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -221,8 +221,8 @@
   return record;
 }
 
-CallerRecord& SimulatedFleet::askModel(std::size_t index, std::uint32_t prompt_tokens,
-                                       std::uint32_t maximum_tokens) {
+CallerRecord& SimulatedFleet::sendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
+                                               std::uint32_t maximum_tokens) {
   const auto content = simulation_.deriveSeed("prompt", records_.size() + 1);
   return askModelAgain(index, prompt_tokens, maximum_tokens, content);
 }
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -90,8 +90,8 @@
 
   /// Sends a model request to a node.
   /// \return its record, valid as long as the fleet
-  CallerRecord& askModel(std::size_t index, std::uint32_t prompt_tokens,
-                         std::uint32_t maximum_tokens);
+  CallerRecord& sendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
+                                 std::uint32_t maximum_tokens);
   /// The same for a request that its caller has sent before, under another identifier.
   /// \param content hash of the prompt's text, by which nodes and engines know the request again
   CallerRecord& askModelAgain(std::size_t index, std::uint32_t prompt_tokens,
--- a/tests/fleet_limits/fleet_retries_test.cpp
+++ b/tests/fleet_limits/fleet_retries_test.cpp
@@ -87,7 +87,7 @@
   void sendRequests(common::Duration duration) {
     const common::Duration step = common::Duration(seconds(1)) / scenario_.requests_per_second;
     for (common::Duration spent{0}; spent < duration; spent += step) {
-      fleet_->askModel(fleet_->simulation().random().below(scenario_.nodes), 300, 2);
+      fleet_->sendModelRequest(fleet_->simulation().random().below(scenario_.nodes), 300, 2);
       fleet_->time().runFor(step);
     }
   }
--- a/tests/fleet_limits/rate_limits/engine_rate_limits_test.cpp
+++ b/tests/fleet_limits/rate_limits/engine_rate_limits_test.cpp
@@ -71,7 +71,7 @@
         if (number_++ % 10 == 0) {
           fleet_->poll(node);
         } else {
-          fleet_->askModel(node, 300, 4);
+          fleet_->sendModelRequest(node, 300, 4);
         }
       }
       fleet_->time().runFor(scenario_.between_requests);
--- a/tests/node/large_zone_fleet_test.cpp
+++ b/tests/node/large_zone_fleet_test.cpp
@@ -43,7 +43,7 @@
     for (int i = 0; i < count; ++i) {
       const std::size_t node = fleet->simulation().random().below(kNodes);
       if (fleet->running(node)) {
-        fleet->askModel(node, 300, 8);
+        fleet->sendModelRequest(node, 300, 8);
       }
       fleet->time().runFor(step);
     }
--- a/tests/properties/support/workload.cpp
+++ b/tests/properties/support/workload.cpp
@@ -10,7 +10,7 @@
       const auto index = random.below(fleet.nodeCount());
       const auto prompt = static_cast<std::uint32_t>(1 + random.below(workload.longest_prompt));
       const auto answer = static_cast<std::uint32_t>(1 + random.below(workload.longest_answer));
-      fleet.askModel(index, prompt, answer);
+      fleet.sendModelRequest(index, prompt, answer);
     });
   }
 }
--- a/tests/quarantine/crashing_requests_test.cpp
+++ b/tests/quarantine/crashing_requests_test.cpp
@@ -75,7 +75,7 @@
       if (number++ % scenario_.crashing_request_interval == 0) {
         fleet_->askModelAgain(anyNode(), kPromptTokens, kAnswerTokens, kCrashingContent);
       } else {
-        fleet_->askModel(anyNode(), kPromptTokens, kAnswerTokens);
+        fleet_->sendModelRequest(anyNode(), kPromptTokens, kAnswerTokens);
       }
       fleet_->time().runFor(kStep);
     }
