--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -224,11 +224,12 @@
 CallerRecord& SimulatedFleet::sendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
                                                std::uint32_t maximum_tokens) {
   const auto content = simulation_.deriveSeed("prompt", records_.size() + 1);
-  return askModelAgain(index, prompt_tokens, maximum_tokens, content);
+  return resendModelRequest(index, prompt_tokens, maximum_tokens, content);
 }
 
-CallerRecord& SimulatedFleet::askModelAgain(std::size_t index, std::uint32_t prompt_tokens,
-                                            std::uint32_t maximum_tokens, std::uint64_t content) {
+CallerRecord& SimulatedFleet::resendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
+                                                 std::uint32_t maximum_tokens,
+                                                 std::uint64_t content) {
   CallerRecord& record = newRecord("model");
   record.content_hash = content;
   record.maximum_tokens = maximum_tokens;
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -94,8 +94,8 @@
                                  std::uint32_t maximum_tokens);
   /// The same for a request that its caller has sent before, under another identifier.
   /// \param content hash of the prompt's text, by which nodes and engines know the request again
-  CallerRecord& askModelAgain(std::size_t index, std::uint32_t prompt_tokens,
-                              std::uint32_t maximum_tokens, std::uint64_t content);
+  CallerRecord& resendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
+                                   std::uint32_t maximum_tokens, std::uint64_t content);
   /// Sends a booking, which may run at most once, to a node.
   /// \param key idempotency key, empty for none
   CallerRecord& book(std::size_t index, const std::string& key);
--- a/tests/quarantine/crashing_requests_test.cpp
+++ b/tests/quarantine/crashing_requests_test.cpp
@@ -73,7 +73,7 @@
     int number = 0;
     for (common::Duration spent{0}; spent < duration; spent += kStep) {
       if (number++ % scenario_.crashing_request_interval == 0) {
-        fleet_->askModelAgain(anyNode(), kPromptTokens, kAnswerTokens, kCrashingContent);
+        fleet_->resendModelRequest(anyNode(), kPromptTokens, kAnswerTokens, kCrashingContent);
       } else {
         fleet_->sendModelRequest(anyNode(), kPromptTokens, kAnswerTokens);
       }
