--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -172,7 +172,7 @@
   }
 }
 
-bool SimulatedFleet::everyNodeHas(std::uint64_t version) const {
+bool SimulatedFleet::everyNodeHasVersion(std::uint64_t version) const {
   return std::all_of(slots_.begin(), slots_.end(), [version](const NodeSlot& slot) {
     return slot.node == nullptr || slot.node->configurationView().current()->version >= version;
   });
@@ -209,7 +209,7 @@
     throw FleetError(std::string("the declarations were not accepted: ") +
                      configuration::toString(result.status) + " " + result.message);
   }
-  if (!time().runUntilTrue([&] { return everyNodeHas(result.version); }, kBringUpLimit)) {
+  if (!time().runUntilTrue([&] { return everyNodeHasVersion(result.version); }, kBringUpLimit)) {
     throw FleetError("the declarations did not reach every node");
   }
 }
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -112,7 +112,7 @@
   /// \return the whole answer that `record` should get.
   static std::string expectedAnswer(const CallerRecord& record);
   /// \return true if every running node has at least this version in force.
-  bool everyNodeHas(std::uint64_t version) const;
+  bool everyNodeHasVersion(std::uint64_t version) const;
 
  private:
   node::NodeSettings nodeSettings(const NodeSlot& slot) const;
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -109,7 +109,8 @@
            << '\n';
   RC_ASSERT(last.result->status == CommitStatus::kAccepted);
   const auto version = last.result->version;
-  RC_ASSERT(fleet.time().runUntilTrue([&] { return fleet.everyNodeHas(version); }, kInForceWithin));
+  RC_ASSERT(fleet.time().runUntilTrue([&] { return fleet.everyNodeHasVersion(version); },
+                                      kInForceWithin));
 }
 
 class AcceptedConfigurationTest : public CppUnit::TestFixture {
