--- a/bench/simulate/scenario_fleet.cpp
+++ b/bench/simulate/scenario_fleet.cpp
@@ -128,16 +128,16 @@
       engine.incarnation = 1;
       engine.ledger_limit = 0;
       engines_.add(engineAddress(zone, number), zoneName(zone), std::move(engine));
-      platform_.machines().setAtOnce({machineName("accelerator", zone, number),
-                                      zoneName(zone),
-                                      object_store::MachineState::kLive,
-                                      {engineIp(zone, number)}});
+      platform_.machines().setWithoutLag({machineName("accelerator", zone, number),
+                                          zoneName(zone),
+                                          object_store::MachineState::kLive,
+                                          {engineIp(zone, number)}});
     }
     for (std::uint32_t number = 0; number < scenario_.fleet.nodes_per_zone; ++number) {
-      platform_.machines().setAtOnce({machineName("node", zone, number),
-                                      zoneName(zone),
-                                      object_store::MachineState::kLive,
-                                      {nodeIp(zone, number)}});
+      platform_.machines().setWithoutLag({machineName("node", zone, number),
+                                          zoneName(zone),
+                                          object_store::MachineState::kLive,
+                                          {nodeIp(zone, number)}});
     }
   }
 }
--- a/src/cypresswall/emulation/machine_list.cpp
+++ b/src/cypresswall/emulation/machine_list.cpp
@@ -24,7 +24,7 @@
   }
 }
 
-void EmulatedMachineList::setAtOnce(object_store::Machine machine) {
+void EmulatedMachineList::setWithoutLag(object_store::Machine machine) {
   auto& changes = changes_[machine.name];
   changes.clear();
   changes.push_back({common::MonotonicTime::min() + lag_, std::move(machine)});
--- a/src/cypresswall/emulation/machine_list.h
+++ b/src/cypresswall/emulation/machine_list.h
@@ -22,7 +22,7 @@
   /// Adds or replaces a machine; readers see it after the lag.
   void set(object_store::Machine machine);
   /// Adds or replaces a machine that readers see at once.
-  void setAtOnce(object_store::Machine machine);
+  void setWithoutLag(object_store::Machine machine);
   void setLag(common::Duration lag) { lag_ = lag; }
   void setDown(bool down) { down_ = down; }
   /// \return the machines that readers see now, ordered by name; all zones if `zone` is empty.
--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -30,7 +30,7 @@
 
 void SimulatedFleet::addMachine(std::uint32_t zone, const common::MachineName& name,
                                 const common::Address& address) {
-  platform_.machines().setAtOnce(
+  platform_.machines().setWithoutLag(
       {name, zoneName(zone), object_store::MachineState::kLive, {ipOf(address)}});
 }
 
--- a/standins/fronts/platform_front.cpp
+++ b/standins/fronts/platform_front.cpp
@@ -174,7 +174,7 @@
   machine.state = parseState(fieldOr<std::string>(body, "state", "live"));
   machine.addresses = requiredField<std::vector<std::string>>(body, "addresses");
   if (fieldOr(body, "at_once", false)) {
-    machines_.setAtOnce(std::move(machine));
+    machines_.setWithoutLag(std::move(machine));
   } else {
     machines_.set(std::move(machine));
   }
--- a/tests/emulation/platform_test.cpp
+++ b/tests/emulation/platform_test.cpp
@@ -20,7 +20,7 @@
  public:
   void machineListLags() {
     EmulatedMachineList list(seconds(2), time_, time_);
-    list.setAtOnce({"m", "z", object_store::MachineState::kLive, {"127.0.0.1"}});
+    list.setWithoutLag({"m", "z", object_store::MachineState::kLive, {"127.0.0.1"}});
     list.set({"m", "z", object_store::MachineState::kLeaving, {"127.0.0.1"}});
     time_.runFor(seconds(1));
     CPPUNIT_ASSERT(list.visible("z")[0].state == object_store::MachineState::kLive);
--- a/tests/object_store/platform_standin_test.cpp
+++ b/tests/object_store/platform_standin_test.cpp
@@ -93,8 +93,8 @@
   }
 
   void readsMachines() {
-    machines_.setAtOnce({"m1", "hall a&b", MachineState::kLeaving, {"127.0.0.1", "127.0.0.2"}});
-    machines_.setAtOnce({"m2", "other", MachineState::kLive, {}});
+    machines_.setWithoutLag({"m1", "hall a&b", MachineState::kLeaving, {"127.0.0.1", "127.0.0.2"}});
+    machines_.setWithoutLag({"m2", "other", MachineState::kLive, {}});
     HttpMachineListSettings settings;
     settings.address = "127.0.0.1:" + std::to_string(server_->port());
     HttpMachineList list(curl_, settings);
--- a/tests/simulation/simulated_clients_test.cpp
+++ b/tests/simulation/simulated_clients_test.cpp
@@ -191,7 +191,8 @@
 
   void machineListShowsLeavingAfterItsLag() {
     World world;
-    world.platform.machines().setAtOnce({"machine-1", "a", object_store::MachineState::kLive, {}});
+    world.platform.machines().setWithoutLag(
+        {"machine-1", "a", object_store::MachineState::kLive, {}});
     SimulatedMachineList list(world.simulation, world.process, world.platform);
     object_store::MachineState seen = object_store::MachineState::kLive;
     const auto read = [&] {
