--- a/src/cypresswall/emulation/engine.cpp
+++ b/src/cypresswall/emulation/engine.cpp
@@ -200,12 +200,12 @@
   if (faults_.load_lag > common::Duration{0}) {
     lagged = load_history_.at(clock_.now() - faults_.load_lag);
   }
-  engines::EngineLoad report = lagged == nullptr ? presentLoad() : *lagged;
+  engines::EngineLoad report = lagged == nullptr ? currentLoad() : *lagged;
   report.age = lagged == nullptr ? common::Duration{0} : faults_.load_lag;
   return report;
 }
 
-engines::EngineLoad EmulatedEngine::presentLoad() const {
+engines::EngineLoad EmulatedEngine::currentLoad() const {
   engines::EngineLoad report;
   report.incarnation = incarnation_;
   const bool away = change_ && takesEngineAway(*change_);
@@ -255,7 +255,7 @@
   const common::MonotonicTime now = clock_.now();
   // Work that comes and goes within a slot is not worth a report; a change of state is.
   if (load_history_.startsSlot(now) || streams_.empty() || change_) {
-    load_history_.record(now, presentLoad());
+    load_history_.record(now, currentLoad());
     load_history_.dropBefore(now - faults_.load_lag);
   }
 }
--- a/src/cypresswall/emulation/engine.h
+++ b/src/cypresswall/emulation/engine.h
@@ -99,7 +99,7 @@
   void onStepEnd(std::function<void()> listener) { step_listener_ = std::move(listener); }
 
   /// The engine as it is now, without lag. Tests and offline planners only.
-  engines::EngineLoad presentLoad() const;
+  engines::EngineLoad currentLoad() const;
   bool down() const { return down_; }
   std::uint64_t incarnation() const { return incarnation_; }
   const EngineLedger& ledger() const { return ledger_; }
--- a/src/cypresswall/simulation/simulated_engines.cpp
+++ b/src/cypresswall/simulation/simulated_engines.cpp
@@ -35,7 +35,7 @@
   if (engine == nullptr || engine->down()) {
     return;
   }
-  simulation_.faults().add(engine->presentLoad().state == engines::EngineState::kChanging
+  simulation_.faults().add(engine->currentLoad().state == engines::EngineState::kChanging
                                ? FaultKind::kEngineCrashInChange
                                : FaultKind::kEngineCrash);
   engine->crash();
--- a/tests/emulation/engine_test.cpp
+++ b/tests/emulation/engine_test.cpp
@@ -82,8 +82,8 @@
             RC_ASSERT(observers[index].in_order);
             RC_ASSERT(observers[index].answer == EngineFixture::answerTo(requests[index]));
           }
-          RC_ASSERT(engine.presentLoad().running_streams == 0U);
-          RC_ASSERT(engine.presentLoad().queued_prefill_tokens == 0U);
+          RC_ASSERT(engine.currentLoad().running_streams == 0U);
+          RC_ASSERT(engine.currentLoad().queued_prefill_tokens == 0U);
         });
   }
 
@@ -192,7 +192,7 @@
     engine.startStream(EngineFixture::request("a", 8000, 500), observer);
     fixture_.time.runFor(milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, engine.load()->queued_prefill_tokens);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8000}, engine.presentLoad().queued_prefill_tokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8000}, engine.currentLoad().queued_prefill_tokens);
     fixture_.time.runFor(milliseconds(200));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8000}, engine.load()->queued_prefill_tokens);
     CPPUNIT_ASSERT(engine.load()->age == faults.load_lag);
--- a/tests/engines/engine_standin_test.cpp
+++ b/tests/engines/engine_standin_test.cpp
@@ -84,7 +84,7 @@
     auto stream = client_.startStream(endpoint(), request(4000), handler);
     CPPUNIT_ASSERT(runUntil(context_, [&] { return !handler.text.empty(); }));
     stream.reset();
-    CPPUNIT_ASSERT(runUntil(context_, [&] { return engine_.presentLoad().running_streams == 0; }));
+    CPPUNIT_ASSERT(runUntil(context_, [&] { return engine_.currentLoad().running_streams == 0; }));
     CPPUNIT_ASSERT(!handler.ended());
   }
 
--- a/tests/orders/zone_controller_test.cpp
+++ b/tests/orders/zone_controller_test.cpp
@@ -49,7 +49,7 @@
     zone.script.wanted = {{"e101", EngineRole::kDecode}};
     zone.run(kWarmUp + 10 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.roleChanges());
-    CPPUNIT_ASSERT(zone.engine(1).presentLoad().role == EngineRole::kDecode);
+    CPPUNIT_ASSERT(zone.engine(1).currentLoad().role == EngineRole::kDecode);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.streamsCutByOrders());
     CPPUNIT_ASSERT(zone.nodes[1].streams->finished > 100);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.unsettled());
@@ -83,12 +83,12 @@
       zone.run(kSecond);
       int serving = 0;
       for (int i = 0; i < 5; ++i) {
-        serving += zone.engine(i).presentLoad().state == engines::EngineState::kReady ? 1 : 0;
+        serving += zone.engine(i).currentLoad().state == engines::EngineState::kReady ? 1 : 0;
       }
       CPPUNIT_ASSERT(serving >= 4);
     }
     for (int i = 0; i < 5; ++i) {
-      CPPUNIT_ASSERT_EQUAL(std::string("2"), zone.engine(i).presentLoad().version);
+      CPPUNIT_ASSERT_EQUAL(std::string("2"), zone.engine(i).currentLoad().version);
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.streamsCutByOrders());
   }
@@ -99,13 +99,13 @@
     zone.setConfiguration();
     zone.run(10 * kSecond);
     for (int i = 0; i < 3; ++i) {
-      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.engine(i).presentLoad().adapters.size());
+      CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.engine(i).currentLoad().adapters.size());
     }
     zone.fleet.models["m"].adapters.clear();
     zone.setConfiguration();
     zone.run(30 * kSecond);
     for (int i = 0; i < 3; ++i) {
-      CPPUNIT_ASSERT(zone.engine(i).presentLoad().adapters.empty());
+      CPPUNIT_ASSERT(zone.engine(i).currentLoad().adapters.empty());
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, zone.streamsCutByOrders());
   }
@@ -116,7 +116,7 @@
     zone.script.wanted = {{"e101", EngineRole::kDecode}};
     zone.setConfiguration();
     zone.run(kWarmUp + 10 * kSecond);
-    CPPUNIT_ASSERT(zone.engine(1).presentLoad().role == EngineRole::kPrefill);
+    CPPUNIT_ASSERT(zone.engine(1).currentLoad().role == EngineRole::kPrefill);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.roleChanges());
   }
 
@@ -151,7 +151,7 @@
     zone.script.wanted = {{"e101", EngineRole::kDecode}};
     zone.run(kWarmUp + 30 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, zone.engine(1).ledger().crashes);
-    CPPUNIT_ASSERT(zone.engine(1).presentLoad().role == EngineRole::kDecode);
+    CPPUNIT_ASSERT(zone.engine(1).currentLoad().role == EngineRole::kDecode);
     CPPUNIT_ASSERT_EQUAL(std::string(), zone.unsettled());
   }
 
@@ -233,7 +233,7 @@
     CPPUNIT_ASSERT(zone.lease_state.needed_by.contains(zone.lease_state.planner));
     zone.giveLease(1);
     zone.run(15 * kSecond);
-    CPPUNIT_ASSERT(zone.engine(2).presentLoad().role == EngineRole::kPrefill);
+    CPPUNIT_ASSERT(zone.engine(2).currentLoad().role == EngineRole::kPrefill);
     CPPUNIT_ASSERT(zone.lease_state.needed_by.empty());
     CPPUNIT_ASSERT(zone.audit.violations.empty());
   }
--- a/tests/properties/orders/fenced_orders_test.cpp
+++ b/tests/properties/orders/fenced_orders_test.cpp
@@ -65,7 +65,7 @@
     const auto configuration = fleet_.slot(index).node->configuration().current();
     for (const auto& [name, pin] : configuration->engine_overrides) {
       const auto& address = configuration->engines.at(name).address;
-      const auto load = fleet_.engines().find(address)->presentLoad();
+      const auto load = fleet_.engines().find(address)->currentLoad();
       if (load.state != engines::EngineState::kReady || load.role != pin.role) {
         wrong.push_back(name);
       }
