--- a/src/cypresswall/emulation/service.cpp
+++ b/src/cypresswall/emulation/service.cpp
@@ -21,15 +21,15 @@
   EmulatedServiceAnswer answer;
   answer.rate_limit = faults_.rate_limit;
   if (takeOne(faults_.refuse_next)) {
-    answer.end = EmulatedServiceEnd::kRefused;
+    answer.end = EmulatedServiceOutcome::kRefused;
     answer.status = 503;
     answer.body = R"({"error":"busy"})";
   } else if (takeOne(faults_.break_before_run)) {
-    answer.end = EmulatedServiceEnd::kBroken;
+    answer.end = EmulatedServiceOutcome::kBroken;
   } else {
     execute(call);
-    answer.end = takeOne(faults_.break_after_run) ? EmulatedServiceEnd::kBroken
-                                                  : EmulatedServiceEnd::kAnswered;
+    answer.end = takeOne(faults_.break_after_run) ? EmulatedServiceOutcome::kBroken
+                                                  : EmulatedServiceOutcome::kAnswered;
     answer.body = expectedBody(call);
   }
   scheduler_.schedule(answer_time_ + faults_.delay,
--- a/src/cypresswall/emulation/service.h
+++ b/src/cypresswall/emulation/service.h
@@ -36,10 +36,10 @@
   std::string body;
 };
 
-enum class EmulatedServiceEnd : std::uint8_t { kAnswered, kRefused, kBroken };
+enum class EmulatedServiceOutcome : std::uint8_t { kAnswered, kRefused, kBroken };
 
 struct EmulatedServiceAnswer {
-  EmulatedServiceEnd end = EmulatedServiceEnd::kAnswered;
+  EmulatedServiceOutcome end = EmulatedServiceOutcome::kAnswered;
   int status = 200;
   std::string body;
   /// ServiceFaults::rate_limit as it was when the call came.
--- a/src/cypresswall/simulation/simulated_services.cpp
+++ b/src/cypresswall/simulation/simulated_services.cpp
@@ -49,14 +49,14 @@
     return response;
   }
   switch (answer->end) {
-    case emulation::EmulatedServiceEnd::kAnswered:
+    case emulation::EmulatedServiceOutcome::kAnswered:
       response.outcome = services::ServiceOutcome::kAnswered;
       break;
-    case emulation::EmulatedServiceEnd::kRefused:
+    case emulation::EmulatedServiceOutcome::kRefused:
       response.outcome = services::ServiceOutcome::kRefused;
       response.headers.push_back({kOutcomeHeader, "not-run"});
       break;
-    case emulation::EmulatedServiceEnd::kBroken:
+    case emulation::EmulatedServiceOutcome::kBroken:
       response.outcome = services::ServiceOutcome::kBroken;
       response.error = "connection closed";
       return response;
--- a/standins/fronts/service_front.cpp
+++ b/standins/fronts/service_front.cpp
@@ -31,14 +31,14 @@
     std::vector<http::Header> headers = rateLimitHeaders(answer.rate_limit);
     headers.push_back({"Content-Type", "application/json"});
     switch (answer.end) {
-      case emulation::EmulatedServiceEnd::kAnswered:
+      case emulation::EmulatedServiceOutcome::kAnswered:
         responder->respond(answer.status, headers, answer.body);
         return;
-      case emulation::EmulatedServiceEnd::kRefused:
+      case emulation::EmulatedServiceOutcome::kRefused:
         headers.push_back({"X-Cypresswall-Outcome", "not-run"});
         responder->respond(answer.status, headers, answer.body);
         return;
-      case emulation::EmulatedServiceEnd::kBroken:
+      case emulation::EmulatedServiceOutcome::kBroken:
         responder->abort();
         return;
     }
--- a/tests/emulation/platform_test.cpp
+++ b/tests/emulation/platform_test.cpp
@@ -36,21 +36,21 @@
     faults.break_before_run = 1;
     faults.break_after_run = 1;
     service.setFaults(faults);
-    std::vector<EmulatedServiceEnd> ends;
+    std::vector<EmulatedServiceOutcome> ends;
     const EmulatedServiceCall call{"r", "k", "POST", "/book", "body"};
     const std::vector<std::uint32_t> runs_after = {0, 0, 1, 2};
     for (const std::uint32_t runs : runs_after) {
       service.handle(call, [&](const EmulatedServiceAnswer& answer) {
         ends.push_back(answer.end);
-        CPPUNIT_ASSERT(answer.end != EmulatedServiceEnd::kAnswered ||
+        CPPUNIT_ASSERT(answer.end != EmulatedServiceOutcome::kAnswered ||
                        answer.body == service.expectedBody(call));
       });
       time_.runFor(milliseconds(1));
       CPPUNIT_ASSERT_EQUAL(runs, service.executionsOfKey("k"));
     }
-    const std::vector<EmulatedServiceEnd> expected = {
-        EmulatedServiceEnd::kRefused, EmulatedServiceEnd::kBroken, EmulatedServiceEnd::kBroken,
-        EmulatedServiceEnd::kAnswered};
+    const std::vector<EmulatedServiceOutcome> expected = {
+        EmulatedServiceOutcome::kRefused, EmulatedServiceOutcome::kBroken,
+        EmulatedServiceOutcome::kBroken, EmulatedServiceOutcome::kAnswered};
     CPPUNIT_ASSERT(ends == expected);
   }
 
