--- a/src/cypresswall/emulation/engine.cpp
+++ b/src/cypresswall/emulation/engine.cpp
@@ -66,7 +66,7 @@
   auto stream = std::make_shared<ActiveStream>();
   stream->observer = &observer;
   stream->arrival = ++arrivals_;
-  stream->fails = stream->arrival % kStreamsPerDeal < faults_.failing_of_ten;
+  stream->fails = stream->arrival % kStreamsPerDeal < faults_.failures_per_ten_streams;
   stream->seed = answerSeed(model_, version_, request.adapter, request.shape.content_hash);
   stream->answer_length =
       expectedLength(stream->seed, request.maximum_tokens, settings_.minimum_answer_share);
--- a/src/cypresswall/emulation/engine_settings.h
+++ b/src/cypresswall/emulation/engine_settings.h
@@ -76,7 +76,7 @@
   bool refuse = false;
   /// Of ten streams taken in a row, how many break in place of their first token, though load
   /// reports look well.
-  std::uint32_t failing_of_ten = 0;
+  std::uint32_t failures_per_ten_streams = 0;
   /// The engine crashes in place of the first token of a stream with this
   /// PromptShape::content_hash; zero for none.
   std::uint64_t crashing_content = 0;
--- a/tests/fleet_limits/fleet_retries_test.cpp
+++ b/tests/fleet_limits/fleet_retries_test.cpp
@@ -96,7 +96,7 @@
     std::uint32_t number = 0;
     for (const auto& [address, engine] : fleet_->engines().all()) {
       emulation::EngineFaults faults;
-      faults.failing_of_ten = number++ % 5 == 0 ? 0 : 8;
+      faults.failures_per_ten_streams = number++ % 5 == 0 ? 0 : 8;
       engine->setFaults(faults);
     }
   }
