--- a/src/cypresswall/emulation/engine_settings.h
+++ b/src/cypresswall/emulation/engine_settings.h
@@ -79,7 +79,7 @@
   std::uint32_t failures_per_ten_streams = 0;
   /// The engine crashes in place of the first token of a stream with this
   /// PromptShape::content_hash; zero for none.
-  std::uint64_t crashing_content = 0;
+  std::uint64_t crash_on_content_hash = 0;
   /// Requests a second that the engine says in its answers it takes from all nodes; it runs
   /// whatever comes.
   std::optional<double> rate_limit = {};
--- a/src/cypresswall/emulation/engine_steps.cpp
+++ b/src/cypresswall/emulation/engine_steps.cpp
@@ -158,8 +158,8 @@
     finishStream(stream);
     return;
   }
-  if (faults_.crashing_content != 0 &&
-      stream.request.shape.content_hash == faults_.crashing_content) {
+  if (faults_.crash_on_content_hash != 0 &&
+      stream.request.shape.content_hash == faults_.crash_on_content_hash) {
     crash();
     return;
   }
--- a/tests/quarantine/crashing_requests_test.cpp
+++ b/tests/quarantine/crashing_requests_test.cpp
@@ -61,7 +61,7 @@
     fleet_ = std::make_unique<SimulatedFleet>(seed, settings);
     fleet_->bringUp();
     emulation::EngineFaults faults;
-    faults.crashing_content = kCrashingContent;
+    faults.crash_on_content_hash = kCrashingContent;
     for (const auto& [address, engine] : fleet_->engines().all()) {
       engine->setFaults(faults);
     }
