--- a/bench/simulate/scenario_fleet.cpp
+++ b/bench/simulate/scenario_fleet.cpp
@@ -388,7 +388,7 @@
     sum.prompt_tokens += ledger.prompt_tokens;
     sum.cached_prompt_tokens += ledger.cached_prompt_tokens;
     sum.kv_bytes_imported += ledger.kv_bytes_imported;
-    sum.time_away += ledger.time_away;
+    sum.unavailable_time += ledger.unavailable_time;
   }
   return sum;
 }
--- a/bench/simulate/scenario_report.cpp
+++ b/bench/simulate/scenario_report.cpp
@@ -34,7 +34,7 @@
       {"cut_by_order", 0,
        [](const RunOutcome& run) { return static_cast<double>(run.engines.streams_cut_by_order); }},
       {"seconds_away", 1,
-       [](const RunOutcome& run) { return common::toSeconds(run.engines.time_away); }},
+       [](const RunOutcome& run) { return common::toSeconds(run.engines.unavailable_time); }},
       {"first_token_p50_ms", 1,
        [](const RunOutcome& run) { return milliseconds(run.total().first_token.percentile(0.5)); }},
       {"first_token_p95_ms", 1,
--- a/src/cypresswall/emulation/engine_changes.cpp
+++ b/src/cypresswall/emulation/engine_changes.cpp
@@ -134,7 +134,7 @@
   }
   if (takesEngineAway(content)) {
     cache_.clear();
-    ledger_.time_away += clock_.now() - change_started_;
+    ledger_.unavailable_time += clock_.now() - change_started_;
   }
   recordLoad();
 }
@@ -149,7 +149,7 @@
   scheduler_.cancel(change_timer_);
   step_running_ = false;
   if (change_ && takesEngineAway(*change_)) {
-    ledger_.time_away += clock_.now() - change_started_;
+    ledger_.unavailable_time += clock_.now() - change_started_;
   }
   change_.reset();
   breakAllStreams(StreamEnd::kCrashed);
--- a/src/cypresswall/emulation/engine_ledger.h
+++ b/src/cypresswall/emulation/engine_ledger.h
@@ -62,7 +62,7 @@
   std::uint64_t prompt_tokens = 0;
   std::uint64_t cached_prompt_tokens = 0;
   std::uint64_t kv_bytes_imported = 0;
-  common::Duration time_away{0};
+  common::Duration unavailable_time{0};
 };
 
 }  // namespace cypresswall::emulation
--- a/tests/emulation/engine_changes_test.cpp
+++ b/tests/emulation/engine_changes_test.cpp
@@ -75,7 +75,7 @@
     fixture_.time.runFor(seconds(2));
     CPPUNIT_ASSERT(engine.load()->state == engines::EngineState::kReady);
     CPPUNIT_ASSERT(engine.load()->role == EngineRole::kDecode);
-    CPPUNIT_ASSERT(engine.ledger().time_away == seconds(4));
+    CPPUNIT_ASSERT(engine.ledger().unavailable_time == seconds(4));
   }
 
   void modelLoadWaitsForTheWeights() {
