--- a/src/cypresswall/simulation/simulation.h
+++ b/src/cypresswall/simulation/simulation.h
@@ -34,7 +34,7 @@
   /// Pauses a process and wakes it after `duration` of true time.
   void pauseFor(SimulatedProcess& process, common::Duration duration);
   /// Calls `listener` when a process woke from a pause, before it runs anything.
-  void onWake(std::function<void(SimulatedProcess&)> listener) {
+  void onResume(std::function<void(SimulatedProcess&)> listener) {
     wake_listener_ = std::move(listener);
   }
 
--- a/tests/properties/authority/lease_history.cpp
+++ b/tests/properties/authority/lease_history.cpp
@@ -3,7 +3,7 @@
 namespace cypresswall::testing {
 
 LeaseHistory::LeaseHistory(simulation::SimulatedFleet& fleet) : fleet_(fleet) {
-  fleet_.simulation().onWake([this](simulation::SimulatedProcess& process) {
+  fleet_.simulation().onResume([this](simulation::SimulatedProcess& process) {
     for (std::size_t index = 0; index < fleet_.nodeCount(); ++index) {
       if (fleet_.slot(index).process == &process) {
         ask(fleet_.slot(index));
