--- a/src/cypresswall/emulation/engine.cpp
+++ b/src/cypresswall/emulation/engine.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Failures are dealt out among so many streams in a row.
-constexpr std::uint64_t kStreamsPerDeal = 10;
+constexpr std::uint64_t kStreamsPerFailureGroup = 10;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
   if (down_) {
     return {StartResult::kUnreachable, "engine is down"};
   }
-  const std::string reason = refusalReason(request);
+  const std::string reason = rejectionReason(request);
   if (!reason.empty()) {
     ++ledger_.streams_refused;
     return {StartResult::kRefused, reason};
@@ -66,7 +66,7 @@
   auto stream = std::make_shared<ActiveStream>();
   stream->observer = &observer;
   stream->arrival = ++arrivals_;
-  stream->fails = stream->arrival % kStreamsPerDeal < faults_.failures_per_ten_streams;
+  stream->fails = stream->arrival % kStreamsPerFailureGroup < faults_.failures_per_ten_streams;
   stream->seed = answerSeed(model_, version_, request.adapter, request.shape.content_hash);
   stream->answer_length =
       expectedLength(stream->seed, request.maximum_tokens, settings_.minimum_answer_share);
@@ -92,11 +92,11 @@
   return {};
 }
 
-std::string EmulatedEngine::refusalReason(const engines::StreamRequest& request) const {
+std::string EmulatedEngine::rejectionReason(const engines::StreamRequest& request) const {
   if (faults_.refuse) {
     return "engine refuses streams";
   }
-  if (change_ && takesEngineAway(*change_)) {
+  if (change_ && makesUnavailable(*change_)) {
     return "engine is changing";
   }
   if (request.model != model_ || (!request.version.empty() && request.version != version_)) {
@@ -106,7 +106,7 @@
       std::find(adapters_.begin(), adapters_.end(), request.adapter) == adapters_.end()) {
     return "adapter is not loaded";
   }
-  if (!roleTakes(request.phase)) {
+  if (!roleAccepts(request.phase)) {
     return std::string("engine is in the role ") + engines::toString(role_);
   }
   if (waiting_.size() >= settings_.maximum_waiting) {
@@ -118,7 +118,7 @@
   return {};
 }
 
-bool EmulatedEngine::roleTakes(StreamPhase phase) const {
+bool EmulatedEngine::roleAccepts(StreamPhase phase) const {
   switch (role_) {
     case engines::EngineRole::kMixed:
       return true;
@@ -156,13 +156,13 @@
                           static_cast<double>(kv->bytes) / settings_.speed.kv_bytes_per_second);
                       scheduler_.schedule(transfer, [this, alive, stream, kv = *kv] {
                         if (*alive && stream->stage == Stage::kImporting) {
-                          kvArrived(stream, kv);
+                          kvImportCompleted(stream, kv);
                         }
                       });
                     });
 }
 
-void EmulatedEngine::kvArrived(const StreamPointer& stream, const KvExport& kv) {
+void EmulatedEngine::kvImportCompleted(const StreamPointer& stream, const KvExport& kv) {
   stream->imported_tokens = kv.tokens;
   ledger_.kv_bytes_imported += kv.bytes;
   enqueue(stream);
@@ -180,12 +180,12 @@
 }
 
 std::optional<KvExport> EmulatedEngine::exportKv(const std::string& stream_id) {
-  const auto kept = kept_kv_.find(stream_id);
-  if (down_ || kept == kept_kv_.end()) {
+  const auto kept = retained_kv_.find(stream_id);
+  if (down_ || kept == retained_kv_.end()) {
     return std::nullopt;
   }
-  const KeptKv kv = kept->second;
-  kept_kv_.erase(kept);
+  const RetainedKv kv = kept->second;
+  retained_kv_.erase(kept);
   if (kv.expires_at <= clock_.now()) {
     return std::nullopt;
   }
@@ -208,7 +208,7 @@
 engines::EngineLoad EmulatedEngine::currentLoad() const {
   engines::EngineLoad report;
   report.incarnation = incarnation_;
-  const bool away = change_ && takesEngineAway(*change_);
+  const bool away = change_ && makesUnavailable(*change_);
   report.state = down_  ? engines::EngineState::kFailed
                  : away ? engines::EngineState::kChanging
                         : engines::EngineState::kReady;
@@ -254,7 +254,7 @@
   }
   const common::MonotonicTime now = clock_.now();
   // Work that comes and goes within a slot is not worth a report; a change of state is.
-  if (load_history_.startsSlot(now) || streams_.empty() || change_) {
+  if (load_history_.startsInterval(now) || streams_.empty() || change_) {
     load_history_.record(now, currentLoad());
     load_history_.dropBefore(now - faults_.load_lag);
   }
--- a/src/cypresswall/emulation/engine.h
+++ b/src/cypresswall/emulation/engine.h
@@ -113,7 +113,7 @@
   /// Priority first, then arrival.
   using WaitingKey = std::pair<int, std::uint64_t>;
   using StreamPointer = std::shared_ptr<ActiveStream>;
-  struct KeptKv {
+  struct RetainedKv {
     std::uint32_t tokens = 0;
     common::MonotonicTime expires_at;
   };
@@ -123,10 +123,10 @@
     std::uint32_t tokens = 0;
   };
 
-  std::string refusalReason(const engines::StreamRequest& request) const;
-  bool roleTakes(engines::StreamPhase phase) const;
+  std::string rejectionReason(const engines::StreamRequest& request) const;
+  bool roleAccepts(engines::StreamPhase phase) const;
   void importKv(const StreamPointer& stream);
-  void kvArrived(const StreamPointer& stream, const KvExport& kv);
+  void kvImportCompleted(const StreamPointer& stream, const KvExport& kv);
   void enqueue(const StreamPointer& stream);
 
   void beginStep();
@@ -139,7 +139,7 @@
   void finishStep();
   void finishPrefills();
   void decodeStreams();
-  void giveToken(ActiveStream& stream);
+  void emitToken(ActiveStream& stream);
   void finishStream(ActiveStream& stream);
   void breakStream(ActiveStream& stream);
   void endStream(ActiveStream& stream, StreamEnd end);
@@ -149,11 +149,11 @@
 
   void beginChange(const engines::OrderContent& content);
   void fetchWeights();
-  void weightsArrived(std::uint64_t change, const WeightTransfer& transfer);
-  void awayFor(common::Duration duration);
+  void weightsFetched(std::uint64_t change, const WeightTransfer& transfer);
+  void becomeUnavailable(common::Duration duration);
   void finishChange();
-  bool alreadyThere(const engines::OrderContent& content) const;
-  bool takesEngineAway(const engines::OrderContent& content) const;
+  bool alreadyInEffect(const engines::OrderContent& content) const;
+  bool makesUnavailable(const engines::OrderContent& content) const;
   void restart();
   void recordLoad();
 
@@ -188,7 +188,7 @@
   /// Ended streams that code up the stack may still use.
   std::vector<StreamPointer> ended_;
   std::uint64_t arrivals_ = 0;
-  std::map<std::string, KeptKv> kept_kv_;
+  std::map<std::string, RetainedKv> retained_kv_;
 
   common::TimerId step_timer_ = 0;
   bool step_running_ = false;
--- a/src/cypresswall/emulation/engine_changes.cpp
+++ b/src/cypresswall/emulation/engine_changes.cpp
@@ -12,7 +12,7 @@
   if (down_) {
     return std::nullopt;
   }
-  const FenceSituation situation{incarnation_, change_.has_value(), idle()};
+  const FenceContext situation{incarnation_, change_.has_value(), idle()};
   engines::OrderReply reply;
   reply.verdict = fence_.judge(order, situation);
   ++ledger_.orders_received;
@@ -28,7 +28,7 @@
   return reply;
 }
 
-bool EmulatedEngine::alreadyThere(const engines::OrderContent& content) const {
+bool EmulatedEngine::alreadyInEffect(const engines::OrderContent& content) const {
   switch (content.kind) {
     case OrderKind::kRaiseFence:
       return true;
@@ -44,12 +44,12 @@
   return true;
 }
 
-bool EmulatedEngine::takesEngineAway(const engines::OrderContent& content) const {
+bool EmulatedEngine::makesUnavailable(const engines::OrderContent& content) const {
   return content.kind == OrderKind::kChangeRole || content.kind == OrderKind::kLoadModel;
 }
 
 void EmulatedEngine::beginChange(const engines::OrderContent& content) {
-  if (alreadyThere(content)) {
+  if (alreadyInEffect(content)) {
     recordLoad();
     return;
   }
@@ -61,19 +61,19 @@
   change_ = content;
   change_started_ = clock_.now();
   ++change_number_;
-  if (takesEngineAway(content)) {
+  if (makesUnavailable(content)) {
     breakAllStreams(StreamEnd::kCutByOrder);
-    kept_kv_.clear();
+    retained_kv_.clear();
   }
   switch (content.kind) {
     case OrderKind::kChangeRole:
-      awayFor(settings_.role_change_time);
+      becomeUnavailable(settings_.role_change_time);
       break;
     case OrderKind::kLoadModel:
       fetchWeights();
       break;
     default:
-      awayFor(settings_.adapter_load_time);
+      becomeUnavailable(settings_.adapter_load_time);
       break;
   }
   recordLoad();
@@ -81,29 +81,29 @@
 
 void EmulatedEngine::fetchWeights() {
   if (weights_ == nullptr) {
-    awayFor(settings_.model_load_time);
+    becomeUnavailable(settings_.model_load_time);
     return;
   }
   weights_->fetch("weights://" + change_->model + "/" + change_->version,
                   [this, alive = alive_, change = change_number_](const WeightTransfer& transfer) {
                     if (*alive) {
-                      weightsArrived(change, transfer);
+                      weightsFetched(change, transfer);
                     }
                   });
 }
 
-void EmulatedEngine::weightsArrived(std::uint64_t change, const WeightTransfer& transfer) {
+void EmulatedEngine::weightsFetched(std::uint64_t change, const WeightTransfer& transfer) {
   if (!change_ || change != change_number_) {
     return;
   }
   if (transfer.complete) {
-    awayFor(settings_.model_load_time);
+    becomeUnavailable(settings_.model_load_time);
     return;
   }
   change_timer_ = scheduler_.schedule(transfer.retry_after, [this] { fetchWeights(); });
 }
 
-void EmulatedEngine::awayFor(common::Duration duration) {
+void EmulatedEngine::becomeUnavailable(common::Duration duration) {
   if (faults_.crash_in_next_change) {
     faults_.crash_in_next_change = false;
     change_timer_ = scheduler_.schedule(duration / 2, [this] { crash(); });
@@ -132,7 +132,7 @@
     default:
       break;
   }
-  if (takesEngineAway(content)) {
+  if (makesUnavailable(content)) {
     cache_.clear();
     ledger_.unavailable_time += clock_.now() - change_started_;
   }
@@ -148,12 +148,12 @@
   scheduler_.cancel(step_timer_);
   scheduler_.cancel(change_timer_);
   step_running_ = false;
-  if (change_ && takesEngineAway(*change_)) {
+  if (change_ && makesUnavailable(*change_)) {
     ledger_.unavailable_time += clock_.now() - change_started_;
   }
   change_.reset();
   breakAllStreams(StreamEnd::kCrashed);
-  kept_kv_.clear();
+  retained_kv_.clear();
   cache_.forget();
   load_history_.clear();
   fence_ = OrderFence();
--- a/src/cypresswall/emulation/engine_settings.h
+++ b/src/cypresswall/emulation/engine_settings.h
@@ -53,7 +53,7 @@
   /// From a crash until the engine answers again.
   common::Duration restart_time = std::chrono::seconds(5);
   /// How long the KV cache of a "prefill" stream is kept for export.
-  common::Duration kv_keep_time = std::chrono::seconds(30);
+  common::Duration kv_retention_time = std::chrono::seconds(30);
   /// Shortest answer as a share of the maximum asked for; 1 makes each answer as long as asked.
   double minimum_answer_share = 1.0;
   /// Incarnation of the first life.
--- a/src/cypresswall/emulation/engine_steps.cpp
+++ b/src/cypresswall/emulation/engine_steps.cpp
@@ -39,7 +39,7 @@
   if (stream->imported_tokens > 0) {
     stream->prefill_remaining = needed - std::min(needed, stream->imported_tokens);
   } else {
-    const std::uint32_t cached_pieces = cache_.useLongestPrefix(request.shape.pieces);
+    const std::uint32_t cached_pieces = cache_.touchLongestPrefix(request.shape.pieces);
     stream->cached_tokens = cached_pieces * common::kTokensPerCachePiece;
     // The last token is always computed: its result is the first output token.
     const std::uint32_t usable = needed == 0 ? 0 : needed - 1;
@@ -119,7 +119,7 @@
   for (std::size_t position = 0; position < running_.size(); ++position) {
     ActiveStream& stream = *running_[position];
     for (std::uint32_t step = 0; step < decode_steps_ && stream.stage == Stage::kDecode; ++step) {
-      giveToken(stream);
+      emitToken(stream);
     }
   }
 }
@@ -141,19 +141,20 @@
     cache_.store(stream.request.shape.pieces);
     if (stream.request.phase == StreamPhase::kPrefillOnly) {
       const common::MonotonicTime now = clock_.now();
-      std::erase_if(kept_kv_, [now](const auto& kept) { return kept.second.expires_at <= now; });
-      kept_kv_[stream.request.stream_id] = {stream.request.shape.tokens,
-                                            now + settings_.kv_keep_time};
+      std::erase_if(retained_kv_,
+                    [now](const auto& kept) { return kept.second.expires_at <= now; });
+      retained_kv_[stream.request.stream_id] = {stream.request.shape.tokens,
+                                                now + settings_.kv_retention_time};
       finishStream(stream);
       continue;
     }
     stream.stage = Stage::kDecode;
-    giveToken(stream);
+    emitToken(stream);
   }
   chunks_.clear();
 }
 
-void EmulatedEngine::giveToken(ActiveStream& stream) {
+void EmulatedEngine::emitToken(ActiveStream& stream) {
   if (stream.next_index >= stream.answer_length) {
     finishStream(stream);
     return;
--- a/src/cypresswall/emulation/load_history.cpp
+++ b/src/cypresswall/emulation/load_history.cpp
@@ -4,13 +4,13 @@
 
 namespace cypresswall::emulation {
 
-bool LoadHistory::startsSlot(common::MonotonicTime now) const {
-  return entries_.empty() ||
-         entries_.back().made_at.time_since_epoch() / kSlot != now.time_since_epoch() / kSlot;
+bool LoadHistory::startsInterval(common::MonotonicTime now) const {
+  return entries_.empty() || entries_.back().made_at.time_since_epoch() / kReportInterval !=
+                                 now.time_since_epoch() / kReportInterval;
 }
 
 void LoadHistory::record(common::MonotonicTime now, engines::EngineLoad load) {
-  if (startsSlot(now)) {
+  if (startsInterval(now)) {
     entries_.push_back({now, std::move(load)});
   } else {
     entries_.back() = {now, std::move(load)};
--- a/src/cypresswall/emulation/load_history.h
+++ b/src/cypresswall/emulation/load_history.h
@@ -8,13 +8,13 @@
 
 namespace cypresswall::emulation {
 
-/// Keeps at most one report for each slot of kSlot, the last made in it.
+/// Keeps at most one report for each slot of kReportInterval, the last made in it.
 class LoadHistory {
  public:
-  static constexpr common::Duration kSlot = std::chrono::milliseconds(20);
+  static constexpr common::Duration kReportInterval = std::chrono::milliseconds(20);
 
   /// \return true if a report made at `now` would be the first of its slot.
-  bool startsSlot(common::MonotonicTime now) const;
+  bool startsInterval(common::MonotonicTime now) const;
   void record(common::MonotonicTime now, engines::EngineLoad load);
   /// \return the newest report made at or before `time`, else the oldest kept; null if none.
   const engines::EngineLoad* at(common::MonotonicTime time) const;
--- a/src/cypresswall/emulation/object_store.cpp
+++ b/src/cypresswall/emulation/object_store.cpp
@@ -132,7 +132,7 @@
   for (const auto& [watch, pending] : watches_) {
     ObjectListing changes = changesAfter(pending.prefix, pending.revision);
     if (!changes.objects.empty()) {
-      leaveGap(changes);
+      dropForGap(changes);
       answers.emplace_back(watch, std::move(changes));
     }
   }
@@ -141,7 +141,7 @@
   }
 }
 
-void EmulatedObjectStore::leaveGap(ObjectListing& listing) {
+void EmulatedObjectStore::dropForGap(ObjectListing& listing) {
   if (!faults_.watch_gap) {
     return;
   }
--- a/src/cypresswall/emulation/object_store.h
+++ b/src/cypresswall/emulation/object_store.h
@@ -105,7 +105,7 @@
   void answerWatches();
   void endWatch(std::uint64_t watch, object_store::StoreResult<object_store::ObjectListing> result);
   void failWatches(object_store::StoreFailure failure, std::uint64_t ahead_of);
-  void leaveGap(object_store::ObjectListing& listing);
+  void dropForGap(object_store::ObjectListing& listing);
 
   const common::Clock& clock_;
   common::Scheduler& scheduler_;
--- a/src/cypresswall/emulation/order_fence.cpp
+++ b/src/cypresswall/emulation/order_fence.cpp
@@ -4,7 +4,7 @@
 
 using engines::OrderVerdict;
 
-OrderVerdict OrderFence::judge(const engines::EngineOrder& order, const FenceSituation& situation) {
+OrderVerdict OrderFence::judge(const engines::EngineOrder& order, const FenceContext& situation) {
   const auto refused = refusal(order, situation);
   if (refused) {
     return *refused;
@@ -16,7 +16,7 @@
 }
 
 std::optional<OrderVerdict> OrderFence::refusal(const engines::EngineOrder& order,
-                                                const FenceSituation& situation) const {
+                                                const FenceContext& situation) const {
   if (order.engine_incarnation != situation.incarnation) {
     return OrderVerdict::kWrongIncarnation;
   }
--- a/src/cypresswall/emulation/order_fence.h
+++ b/src/cypresswall/emulation/order_fence.h
@@ -9,7 +9,7 @@
 namespace cypresswall::emulation {
 
 /// What the fence has to know of the engine to judge an order.
-struct FenceSituation {
+struct FenceContext {
   std::uint64_t incarnation = 0;
   bool change_in_progress = false;
   /// True if no stream runs or waits.
@@ -21,14 +21,14 @@
 class OrderFence {
  public:
   /// Judges `order`; one that is accepted becomes the last order.
-  engines::OrderVerdict judge(const engines::EngineOrder& order, const FenceSituation& situation);
+  engines::OrderVerdict judge(const engines::EngineOrder& order, const FenceContext& situation);
 
   const common::Epoch& highestEpoch() const { return highest_epoch_; }
   std::uint64_t lastSequence() const { return last_sequence_; }
 
  private:
   std::optional<engines::OrderVerdict> refusal(const engines::EngineOrder& order,
-                                               const FenceSituation& situation) const;
+                                               const FenceContext& situation) const;
 
   common::Epoch highest_epoch_;
   std::uint64_t last_sequence_ = 0;
--- a/src/cypresswall/emulation/prefix_cache.cpp
+++ b/src/cypresswall/emulation/prefix_cache.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 /// Events that an engine keeps for readers; older ones are a gap to a reader that is far behind.
-constexpr std::size_t kKeptEvents = 4096;
+constexpr std::size_t kRetainedEvents = 4096;
 /// Most events in one batch.
-constexpr std::size_t kBatchEvents = 1024;
+constexpr std::size_t kMaximumBatchEvents = 1024;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
                          common::RandomSource& random)
     : capacity_(capacity), clock_(clock), random_(random) {}
 
-std::uint32_t PrefixCache::useLongestPrefix(const std::vector<common::PieceHash>& pieces) {
+std::uint32_t PrefixCache::touchLongestPrefix(const std::vector<common::PieceHash>& pieces) {
   std::uint32_t found = 0;
   for (const common::PieceHash piece : pieces) {
     const auto entry = entries_.find(piece);
@@ -69,7 +69,7 @@
       [](std::uint64_t sequence, const PublishedEvent& e) { return sequence < e.event.sequence; });
   const common::MonotonicTime visible_until = clock_.now() - event_faults_.delay;
   for (auto event = first; event != published_.end(); ++event) {
-    if (event->made_at > visible_until || batch.events.size() == kBatchEvents) {
+    if (event->made_at > visible_until || batch.events.size() == kMaximumBatchEvents) {
       break;
     }
     batch.events.push_back(event->event);
@@ -90,7 +90,7 @@
     return;
   }
   published_.push_back({clock_.now(), engines::CacheEvent{last_sequence_, kind, piece}});
-  if (published_.size() > kKeptEvents) {
+  if (published_.size() > kRetainedEvents) {
     published_.pop_front();
   }
 }
--- a/src/cypresswall/emulation/prefix_cache.h
+++ b/src/cypresswall/emulation/prefix_cache.h
@@ -29,7 +29,7 @@
   PrefixCache(std::uint32_t capacity, const common::Clock& clock, common::RandomSource& random);
 
   /// Counts the leading pieces that are cached and marks them as used.
-  std::uint32_t useLongestPrefix(const std::vector<common::PieceHash>& pieces);
+  std::uint32_t touchLongestPrefix(const std::vector<common::PieceHash>& pieces);
   /// Stores pieces, evicting others when full.
   void store(const std::vector<common::PieceHash>& pieces);
   /// Evicts everything, with events.
--- a/src/cypresswall/emulation/service.cpp
+++ b/src/cypresswall/emulation/service.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Uses up one of the calls that a fault is set for. \return whether one was left.
-bool takeOne(std::uint32_t& remaining) {
+bool consumeOne(std::uint32_t& remaining) {
   if (remaining == 0) {
     return false;
   }
@@ -20,16 +20,16 @@
                              std::function<void(EmulatedServiceAnswer)> callback) {
   EmulatedServiceAnswer answer;
   answer.rate_limit = faults_.rate_limit;
-  if (takeOne(faults_.refuse_next)) {
+  if (consumeOne(faults_.refuse_next)) {
     answer.end = EmulatedServiceOutcome::kRefused;
     answer.status = 503;
     answer.body = R"({"error":"busy"})";
-  } else if (takeOne(faults_.break_before_run)) {
+  } else if (consumeOne(faults_.break_before_run)) {
     answer.end = EmulatedServiceOutcome::kBroken;
   } else {
     execute(call);
-    answer.end = takeOne(faults_.break_after_run) ? EmulatedServiceOutcome::kBroken
-                                                  : EmulatedServiceOutcome::kAnswered;
+    answer.end = consumeOne(faults_.break_after_run) ? EmulatedServiceOutcome::kBroken
+                                                     : EmulatedServiceOutcome::kAnswered;
     answer.body = expectedBody(call);
   }
   scheduler_.schedule(answer_time_ + faults_.delay,
--- a/src/cypresswall/runtime/bounded_line_writer.cpp
+++ b/src/cypresswall/runtime/bounded_line_writer.cpp
@@ -11,8 +11,8 @@
 namespace cypresswall::runtime {
 
 void BoundedLineWriter::write(std::string line) {
-  const bool fits = kept_bytes_ + line.size() <= maximum_kept_bytes_ || flush();
-  if (!fits && kept_bytes_ + line.size() > maximum_kept_bytes_) {
+  const bool fits = kept_bytes_ + line.size() <= maximum_buffered_bytes_ || flush();
+  if (!fits && kept_bytes_ + line.size() > maximum_buffered_bytes_) {
     ++dropped_;
     return;
   }
--- a/src/cypresswall/runtime/bounded_line_writer.h
+++ b/src/cypresswall/runtime/bounded_line_writer.h
@@ -14,9 +14,9 @@
 class BoundedLineWriter {
  public:
   /// \param descriptor stays open while the writer lives; not owned
-  /// \param maximum_kept_bytes bound of what waits
-  BoundedLineWriter(int descriptor, std::size_t maximum_kept_bytes)
-      : descriptor_(descriptor), maximum_kept_bytes_(maximum_kept_bytes) {}
+  /// \param maximum_buffered_bytes bound of what waits
+  BoundedLineWriter(int descriptor, std::size_t maximum_buffered_bytes)
+      : descriptor_(descriptor), maximum_buffered_bytes_(maximum_buffered_bytes) {}
 
   /// \param line with its end of line
   void write(std::string line);
@@ -27,7 +27,7 @@
   /// \return lines dropped since the last call; zero while lines wait, so that a note of it follows
   ///   what was kept
   std::uint64_t takeDropped();
-  std::size_t keptBytes() const { return kept_bytes_; }
+  std::size_t bufferedBytes() const { return kept_bytes_; }
 
  private:
   bool writable(int milliseconds) const;
@@ -35,7 +35,7 @@
   bool writeSome();
 
   int descriptor_;
-  std::size_t maximum_kept_bytes_;
+  std::size_t maximum_buffered_bytes_;
   std::deque<std::string> kept_;
   /// Bytes of the first line that were written already.
   std::size_t first_written_ = 0;
--- a/src/cypresswall/runtime/curl_multi.cpp
+++ b/src/cypresswall/runtime/curl_multi.cpp
@@ -62,7 +62,7 @@
   void deferRun();
   void add(const JobPointer& job);
   /// Ends a request that libcurl never got, on a turn of its own.
-  void failLater(const JobPointer& job, const char* error);
+  void postFailure(const JobPointer& job, const char* error);
   void remove(const JobPointer& job);
   /// Keeps the handle of an ended fetch.
   void recycle(CurlJob& job);
@@ -72,7 +72,7 @@
   asio::steady_timer timer_;
   /// When libcurl wants to be called. The timer may be armed for an earlier time, since libcurl
   /// moves its wish with nearly every byte.
-  std::optional<std::chrono::steady_clock::time_point> timer_wanted_;
+  std::optional<std::chrono::steady_clock::time_point> timer_deadline_;
   bool timer_armed_ = false;
   FaultSwitch fault_switch_;
   std::shared_ptr<SocketPoll> sockets_;
@@ -154,18 +154,18 @@
     return;
   }
   if (fault_switch_.blocksSendingTo(job->request().address)) {
-    failLater(job, "blocked by the fault switch");
+    postFailure(job, "blocked by the fault switch");
     return;
   }
   curl_easy_setopt(job->easy(), CURLOPT_CLOSESOCKETFUNCTION, &Driver::onSocketClosed);
   curl_easy_setopt(job->easy(), CURLOPT_CLOSESOCKETDATA, this);
   job->added = curl_multi_add_handle(multi_, job->easy()) == CURLM_OK;
   if (!job->added) {
-    failLater(job, "libcurl refused the request");
+    postFailure(job, "libcurl refused the request");
   }
 }
 
-void CurlMulti::Driver::failLater(const JobPointer& job, const char* error) {
+void CurlMulti::Driver::postFailure(const JobPointer& job, const char* error) {
   asio::post(context_, [weak = weak_from_this(), job, error] {
     const auto driver = weak.lock();
     if (driver && driver->jobs_.erase(job->easy()) > 0) {
@@ -246,20 +246,20 @@
 
 void CurlMulti::Driver::setTimer(long milliseconds) {
   if (milliseconds < 0) {
-    timer_wanted_.reset();
+    timer_deadline_.reset();
     timer_armed_ = false;
     timer_.cancel();
     return;
   }
-  timer_wanted_ = std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds);
-  if (!timer_armed_ || timer_.expiry() > *timer_wanted_) {
+  timer_deadline_ = std::chrono::steady_clock::now() + std::chrono::milliseconds(milliseconds);
+  if (!timer_armed_ || timer_.expiry() > *timer_deadline_) {
     armTimer();
   }
 }
 
 void CurlMulti::Driver::armTimer() {
   timer_armed_ = true;
-  timer_.expires_at(*timer_wanted_);
+  timer_.expires_at(*timer_deadline_);
   timer_.async_wait([weak = weak_from_this()](const std::error_code& error) {
     const auto driver = weak.lock();
     if (driver && !error) {
@@ -270,14 +270,14 @@
 
 void CurlMulti::Driver::timerExpired() {
   timer_armed_ = false;
-  if (!timer_wanted_) {
+  if (!timer_deadline_) {
     return;
   }
-  if (std::chrono::steady_clock::now() < *timer_wanted_) {
+  if (std::chrono::steady_clock::now() < *timer_deadline_) {
     armTimer();
     return;
   }
-  timer_wanted_.reset();
+  timer_deadline_.reset();
   act(CURL_SOCKET_TIMEOUT, 0);
 }
 
--- a/src/cypresswall/runtime/incoming_peer.cpp
+++ b/src/cypresswall/runtime/incoming_peer.cpp
@@ -60,7 +60,7 @@
   if (transport_ == nullptr) {
     return;
   }
-  if (error || !take(size)) {
+  if (error || !consume(size)) {
     end();
     return;
   }
@@ -69,7 +69,7 @@
   }
 }
 
-bool IncomingPeer::take(std::size_t size) {
+bool IncomingPeer::consume(std::size_t size) {
   transport_->counters_.received_bytes.add(size);
   try {
     frames_.feed(std::string_view(buffer_.data(), size), [this](std::string_view frame) {
--- a/src/cypresswall/runtime/incoming_peer.h
+++ b/src/cypresswall/runtime/incoming_peer.h
@@ -25,7 +25,7 @@
   void read();
   void finishRead(const std::error_code& error, std::size_t size);
   /// Hands received bytes on. \return false if the connection has to end.
-  bool take(std::size_t size);
+  bool consume(std::size_t size);
   void end();
 
   asio::ip::tcp::socket socket_;
--- a/src/cypresswall/runtime/log_sink.cpp
+++ b/src/cypresswall/runtime/log_sink.cpp
@@ -34,7 +34,7 @@
 /// What may wait for a reader that stalls.
 constexpr std::size_t kMaximumKeptBytes = std::size_t{256} << 10U;
 /// How long the end of a process waits for its reader.
-constexpr int kFlushAtEndMilliseconds = 50;
+constexpr int kFinalFlushTimeoutMilliseconds = 50;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
   LineAppender& operator=(const LineAppender&) = delete;
 
   void close() override {
-    writer_.flushWithin(kFlushAtEndMilliseconds);
+    writer_.flushWithin(kFinalFlushTimeoutMilliseconds);
     closed = true;
   }
   std::uint64_t takeDropped() { return writer_.takeDropped(); }
--- a/src/cypresswall/runtime/outgoing_peer.h
+++ b/src/cypresswall/runtime/outgoing_peer.h
@@ -29,7 +29,7 @@
   /// Drops the queue and ends the connection for good.
   void close();
   /// \return messages queued or being written while the connection stands.
-  std::size_t deliverable() const {
+  std::size_t sendableMessages() const {
     return state_ == State::kConnected ? queue_.size() + writing_messages_ : 0;
   }
   /// \return true if nothing is queued and no connection is open or being made.
--- a/src/cypresswall/runtime/tcp_peer_transport.cpp
+++ b/src/cypresswall/runtime/tcp_peer_transport.cpp
@@ -101,7 +101,7 @@
 std::size_t TcpPeerTransport::queuedMessages() const {
   std::size_t queued = 0;
   for (const auto& [address, peer] : outgoing_) {
-    queued += peer->deliverable();
+    queued += peer->sendableMessages();
   }
   return queued;
 }
--- a/src/cypresswall/simulation/outside_call.cpp
+++ b/src/cypresswall/simulation/external_call.cpp
@@ -1,8 +1,8 @@
-#include "cypresswall/simulation/outside_call.h"
+#include "cypresswall/simulation/external_call.h"
 
 namespace cypresswall::simulation {
 
-bool OutsidePath::strikes(double share, FaultKind kind) const {
+bool ExternalPath::occurs(double share, FaultKind kind) const {
   if (share <= 0 || simulation_.random().unit() >= share) {
     return false;
   }
--- a/src/cypresswall/simulation/outside_call.h
+++ b/src/cypresswall/simulation/external_call.h
@@ -30,9 +30,9 @@
 };
 
 /// The way from one process to one endpoint outside.
-class OutsidePath {
+class ExternalPath {
  public:
-  OutsidePath(Simulation& simulation, SimulatedProcess& process, NetworkPlace endpoint)
+  ExternalPath(Simulation& simulation, SimulatedProcess& process, NetworkEndpoint endpoint)
       : simulation_(simulation),
         process_(process),
         here_{process.id().address, process.zone()},
@@ -49,18 +49,18 @@
     return simulation_.network().drawDelay(endpoint_.zone, here_.zone);
   }
   /// \return true in `share` of the calls, and counts the fault then.
-  bool strikes(double share, FaultKind kind) const;
+  bool occurs(double share, FaultKind kind) const;
 
  private:
   Simulation& simulation_;
   SimulatedProcess& process_;
-  NetworkPlace here_;
-  NetworkPlace endpoint_;
+  NetworkEndpoint here_;
+  NetworkEndpoint endpoint_;
 };
 
 /// One call. Its `Done` runs in the calling process exactly once, unless that dies first.
 template <typename Answer>
-class OutsideCall : public std::enable_shared_from_this<OutsideCall<Answer>> {
+class ExternalCall : public std::enable_shared_from_this<ExternalCall<Answer>> {
  public:
   /// Gives the endpoint's answer; nothing if the endpoint is down.
   using Reply = std::function<void(std::optional<Answer>)>;
@@ -68,33 +68,33 @@
   using Effect = std::function<void(Reply)>;
   using Done = std::function<void(CallResult, std::optional<Answer>)>;
 
-  static void start(const OutsidePath& path, const CallFaults& faults, common::Duration time_limit,
+  static void start(const ExternalPath& path, const CallFaults& faults, common::Duration time_limit,
                     Effect effect, Done done) {
-    const auto call = std::make_shared<OutsideCall>(path, faults, time_limit, std::move(effect));
+    const auto call = std::make_shared<ExternalCall>(path, faults, time_limit, std::move(effect));
     call->begin(std::move(done));
   }
 
-  OutsideCall(const OutsidePath& path, const CallFaults& faults, common::Duration time_limit,
-              Effect effect)
+  ExternalCall(const ExternalPath& path, const CallFaults& faults, common::Duration time_limit,
+               Effect effect)
       : path_(path), faults_(faults), time_limit_(time_limit), effect_(std::move(effect)) {}
 
  private:
   /// What the process's callback finds when it runs.
-  struct Box {
+  struct Completion {
     CallResult result = CallResult::kUnknown;
     std::optional<Answer> answer;
     bool filled = false;
   };
 
   void begin(Done done) {
-    box_ = std::make_shared<Box>();
+    completion_ = std::make_shared<Completion>();
     handle_ = path_.process().keep(
-        [box = box_, done = std::move(done)] { done(box->result, std::move(box->answer)); });
+        [box = completion_, done = std::move(done)] { done(box->result, std::move(box->answer)); });
     if (handle_ == 0) {
       return;
     }
     common::Duration delay = path_.requestDelay();
-    if (path_.strikes(faults_.late, faults_.late_kind)) {
+    if (path_.occurs(faults_.late, faults_.late_kind)) {
       delay += common::Duration(path_.simulation().random().below(faults_.late_by.count()));
     }
     const auto self = this->shared_from_this();
@@ -117,7 +117,7 @@
   }
 
   void answered(std::optional<Answer> answer) {
-    if (path_.strikes(faults_.answer_lost, faults_.answer_lost_kind)) {
+    if (path_.occurs(faults_.answer_lost, faults_.answer_lost_kind)) {
       return;
     }
     path_.simulation().time().schedule(
@@ -131,20 +131,20 @@
   }
 
   void finish(CallResult result, std::optional<Answer> answer) {
-    if (box_->filled || !path_.process().pending(handle_)) {
+    if (completion_->filled || !path_.process().pending(handle_)) {
       return;
     }
-    box_->filled = true;
-    box_->result = result;
-    box_->answer = std::move(answer);
+    completion_->filled = true;
+    completion_->result = result;
+    completion_->answer = std::move(answer);
     path_.process().trigger(handle_);
   }
 
-  OutsidePath path_;
+  ExternalPath path_;
   CallFaults faults_;
   common::Duration time_limit_;
   Effect effect_;
-  std::shared_ptr<Box> box_;
+  std::shared_ptr<Completion> completion_;
   CallbackTable::Handle handle_ = 0;
 };
 
--- a/src/cypresswall/simulation/fleet/fault_schedule.cpp
+++ b/src/cypresswall/simulation/fleet/fault_schedule.cpp
@@ -48,13 +48,13 @@
 
 void FaultInjector::play(const std::vector<ScheduledFault>& schedule) {
   for (const ScheduledFault& fault : schedule) {
-    fleet_.time().schedule(fault.at, [this, fault, round = round_] {
-      if (round == round_) {
+    fleet_.time().schedule(fault.at, [this, fault, round = schedule_number_] {
+      if (round == schedule_number_) {
         begin(fault);
       }
     });
-    fleet_.time().schedule(fault.at + fault.duration, [this, fault, round = round_] {
-      if (round == round_) {
+    fleet_.time().schedule(fault.at + fault.duration, [this, fault, round = schedule_number_] {
+      if (round == schedule_number_) {
         end(fault);
       }
     });
@@ -85,7 +85,7 @@
   const auto other = zoneOf(fault.other);
   switch (fault.action) {
     case FaultAction::kCutOffNode:
-      fleet_.cutOffNode(nodeOf(fault));
+      fleet_.isolateNode(nodeOf(fault));
       break;
     case FaultAction::kCutPlatform:
       network.cutZones(zoneName(zone), SimulatedPlatform::kZone);
@@ -138,7 +138,7 @@
   service.setFaults(faults);
 }
 
-void FaultInjector::countStruck() {
+void FaultInjector::countTriggered() {
   for (const auto& address : planned_crashes_) {
     const bool struck = !fleet_.engines().find(address)->faults().crash_in_next_change;
     fleet_.faults().add(FaultKind::kEngineCrashInChange, struck ? 1 : 0);
@@ -252,8 +252,8 @@
 }
 
 void FaultInjector::endAll() {
-  ++round_;
-  countStruck();
+  ++schedule_number_;
+  countTriggered();
   fleet_.simulation().network().healAll();
   fleet_.platform().setDown(false);
   fleet_.platform().setSlow(common::Duration{0});
--- a/src/cypresswall/simulation/fleet/fault_schedule.h
+++ b/src/cypresswall/simulation/fleet/fault_schedule.h
@@ -76,13 +76,13 @@
   void setServiceFaults(const ScheduledFault& fault);
 
   /// Counts those planned faults that have struck since they were planned.
-  void countStruck();
+  void countTriggered();
 
   SimulatedFleet& fleet_;
   std::set<common::Address> planned_crashes_;
   std::map<common::Address, emulation::ServiceFaults> planned_service_faults_;
   /// Faults of an earlier schedule do nothing once it was ended.
-  std::uint64_t round_ = 0;
+  std::uint64_t schedule_number_ = 0;
 };
 
 }  // namespace cypresswall::simulation
--- a/src/cypresswall/simulation/fleet/simulated_callers.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_callers.cpp
@@ -6,9 +6,9 @@
 
 namespace cypresswall::simulation {
 
-class CallerFront::ModelSession final : public execution::ModelCallObserver {
+class CallerConnection::ModelSession final : public execution::ModelCallObserver {
  public:
-  ModelSession(CallerFront& front, CallerRecord& record, std::uint64_t number)
+  ModelSession(CallerConnection& front, CallerRecord& record, std::uint64_t number)
       : front_(front), record_(record), number_(number) {}
 
   void start(execution::ModelExecutor& executor, execution::ModelCall call) {
@@ -36,27 +36,27 @@
  private:
   void noteLateCall() { record_.late_calls += record_.result == CallerResult::kOpen ? 0 : 1; }
 
-  CallerFront& front_;
+  CallerConnection& front_;
   CallerRecord& record_;
   std::uint64_t number_;
   std::unique_ptr<execution::ModelExecution> execution_;
 };
 
-CallerFront::CallerFront(Simulation& simulation, SimulatedProcess& process)
+CallerConnection::CallerConnection(Simulation& simulation, SimulatedProcess& process)
     : simulation_(simulation), process_(process) {}
 
-CallerFront::~CallerFront() {
+CallerConnection::~CallerConnection() {
   while (!open_.empty()) {
     ended(*open_.begin()->second, CallerResult::kBroken);
   }
 }
 
-void CallerFront::expect(CallerRecord& record) {
+void CallerConnection::expect(CallerRecord& record) {
   record.node = process_.id();
   open_[record.request_id] = &record;
 }
 
-void CallerFront::ended(CallerRecord& record, CallerResult result) {
+void CallerConnection::ended(CallerRecord& record, CallerResult result) {
   open_.erase(record.request_id);
   record.result = result;
   record.ended_at = simulation_.time().now();
@@ -64,13 +64,13 @@
                            record.request_id);
 }
 
-void CallerFront::endModel(std::uint64_t session) {
+void CallerConnection::endModel(std::uint64_t session) {
   // The executor is in the middle of a call to the session.
   process_.deliverAfter(common::Duration{0}, [this, session] { models_.erase(session); });
 }
 
-void CallerFront::startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
-                                 std::uint32_t prompt_tokens) {
+void CallerConnection::startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
+                                      std::uint32_t prompt_tokens) {
   execution::ModelCall call;
   call.request_id = record.request_id;
   call.fingerprint = record.content_hash;
@@ -84,8 +84,8 @@
   session->start(executor, std::move(call));
 }
 
-void CallerFront::startServiceCall(execution::ServiceExecutor& executor, CallerRecord& record,
-                                   execution::ServiceCallRequest request) {
+void CallerConnection::startServiceCall(execution::ServiceExecutor& executor, CallerRecord& record,
+                                        execution::ServiceCallRequest request) {
   const std::uint64_t number = next_session_++;
   services_[number] = executor.start(
       std::move(request), [this, number, &record](execution::ServiceCallAnswer answer) {
--- a/src/cypresswall/simulation/fleet/simulated_callers.h
+++ b/src/cypresswall/simulation/fleet/simulated_callers.h
@@ -48,12 +48,12 @@
 };
 
 /// The front of one process: holds its open requests, which break when it dies.
-class CallerFront {
+class CallerConnection {
  public:
-  CallerFront(Simulation& simulation, SimulatedProcess& process);
-  ~CallerFront();
-  CallerFront(const CallerFront&) = delete;
-  CallerFront& operator=(const CallerFront&) = delete;
+  CallerConnection(Simulation& simulation, SimulatedProcess& process);
+  ~CallerConnection();
+  CallerConnection(const CallerConnection&) = delete;
+  CallerConnection& operator=(const CallerConnection&) = delete;
 
   /// Notes a request that was sent to this process, from the moment its connection exists.
   void expect(CallerRecord& record);
--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -105,7 +105,7 @@
   const node::NodeClients clients{store, machines, engines, services, settings_.declared};
   slot.process = &process;
   slot.node = &process.emplace<node::Node>(nodeSettings(slot), process.context(), clients);
-  slot.front = &process.emplace<CallerFront>(simulation_, process);
+  slot.front = &process.emplace<CallerConnection>(simulation_, process);
   process.deliver([node = slot.node] { node->start(); });
 }
 
@@ -161,7 +161,7 @@
   startNode(index);
 }
 
-void SimulatedFleet::cutOffNode(std::size_t index) {
+void SimulatedFleet::isolateNode(std::size_t index) {
   const NodeSlot& slot = slots_[index];
   const auto address = nodeAddress(slot.zone, slot.number, slot.generation);
   for (const auto& other : zoneAddresses(slot.zone)) {
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -51,7 +51,7 @@
   /// Null while no process runs.
   SimulatedProcess* process = nullptr;
   node::Node* node = nullptr;
-  CallerFront* front = nullptr;
+  CallerConnection* front = nullptr;
   /// Start again once the planned stop under way has ended.
   bool restart_wanted = false;
 };
@@ -86,7 +86,7 @@
   /// earlier one is shown as gone.
   void replaceNode(std::size_t index);
   /// Cuts one node off from all others of its zone, both ways.
-  void cutOffNode(std::size_t index);
+  void isolateNode(std::size_t index);
 
   /// Sends a model request to a node.
   /// \return its record, valid as long as the fleet
--- a/src/cypresswall/simulation/simulated_engines.cpp
+++ b/src/cypresswall/simulation/simulated_engines.cpp
@@ -25,7 +25,7 @@
   return found == engines_.end() ? nullptr : found->second.get();
 }
 
-NetworkPlace SimulatedEngines::placeOf(const common::Address& address) const {
+NetworkEndpoint SimulatedEngines::placeOf(const common::Address& address) const {
   const auto zone = zones_.find(address);
   return {address, zone == zones_.end() ? common::ZoneName{} : zone->second};
 }
@@ -61,18 +61,18 @@
 std::unique_ptr<engines::Stream> SimulatedEngineClient::startStream(
     const engines::EngineEndpoint& engine, engines::StreamRequest request,
     engines::StreamHandler& handler) {
-  const OutsidePath path(simulation_, process_, engines_.placeOf(engine.address));
+  const ExternalPath path(simulation_, process_, engines_.placeOf(engine.address));
   return SimulatedStream::start(path, engines_, engine.address, std::move(request), handler,
-                                settings_.broken_after);
+                                settings_.break_detection_time);
 }
 
 template <typename Answer, typename Question>
 void SimulatedEngineClient::ask(const engines::EngineEndpoint& engine, const CallFaults& faults,
                                 common::Duration time_limit, Question question,
                                 engines::EngineCallback<Answer> callback) {
-  const OutsidePath path(simulation_, process_, engines_.placeOf(engine.address));
+  const ExternalPath path(simulation_, process_, engines_.placeOf(engine.address));
   auto effect = [&engines = engines_, address = engine.address,
-                 question = std::move(question)](typename OutsideCall<Answer>::Reply reply) {
+                 question = std::move(question)](typename ExternalCall<Answer>::Reply reply) {
     emulation::EmulatedEngine* found = engines.find(address);
     reply(found == nullptr ? std::nullopt : question(*found));
   };
@@ -86,7 +86,7 @@
         sent ? engines::EngineFailure::kUnknownOutcome : engines::EngineFailure::kUnavailable,
         sent ? "no answer" : "not reached"});
   };
-  OutsideCall<Answer>::start(path, faults, time_limit, std::move(effect), std::move(done));
+  ExternalCall<Answer>::start(path, faults, time_limit, std::move(effect), std::move(done));
 }
 
 void SimulatedEngineClient::sendOrder(const engines::EngineEndpoint& engine,
--- a/src/cypresswall/simulation/simulated_engines.h
+++ b/src/cypresswall/simulation/simulated_engines.h
@@ -9,7 +9,7 @@
 
 #include "cypresswall/emulation/engine.h"
 #include "cypresswall/engines/engine_client.h"
-#include "cypresswall/simulation/outside_call.h"
+#include "cypresswall/simulation/external_call.h"
 
 namespace cypresswall::simulation {
 
@@ -30,7 +30,7 @@
                                  emulation::EngineSettings settings);
   /// \return null if no engine has the address.
   emulation::EmulatedEngine* find(const common::Address& address) const;
-  NetworkPlace placeOf(const common::Address& address) const;
+  NetworkEndpoint placeOf(const common::Address& address) const;
   /// Crashes an engine and counts the fault.
   void crash(const common::Address& address);
   const std::map<common::Address, std::unique_ptr<emulation::EmulatedEngine>>& all() const {
@@ -38,8 +38,8 @@
   }
 
   /// Keeps a stream's connection alive while an engine refers to it, until release().
-  void hold(const std::shared_ptr<void>& connection) { held_[connection.get()] = connection; }
-  void release(const void* connection) { held_.erase(connection); }
+  void retain(const std::shared_ptr<void>& connection) { retained_[connection.get()] = connection; }
+  void release(const void* connection) { retained_.erase(connection); }
 
   EngineCallFaults faults;
 
@@ -61,7 +61,7 @@
   KvDirectory kv_peer_{*this};
   std::map<common::Address, common::ZoneName> zones_;
   /// Outlive the engines, which refer to them.
-  std::map<const void*, std::shared_ptr<void>> held_;
+  std::map<const void*, std::shared_ptr<void>> retained_;
   std::map<common::Address, std::unique_ptr<emulation::EmulatedEngine>> engines_;
 };
 
@@ -70,7 +70,7 @@
   common::Duration order_time_limit = std::chrono::seconds(2);
   common::Duration report_time_limit = std::chrono::seconds(1);
   /// How long a stream whose connection is cut stays silent before it counts as broken.
-  common::Duration broken_after = std::chrono::seconds(3);
+  common::Duration break_detection_time = std::chrono::seconds(3);
 };
 
 /// The client of one process.
--- a/src/cypresswall/simulation/simulated_network.cpp
+++ b/src/cypresswall/simulation/simulated_network.cpp
@@ -71,7 +71,7 @@
   address_cuts_.clear();
 }
 
-bool SimulatedNetwork::cutBetween(const NetworkPlace& from, const NetworkPlace& to) const {
+bool SimulatedNetwork::cutBetween(const NetworkEndpoint& from, const NetworkEndpoint& to) const {
   if (!zone_cuts_.empty() && zone_cuts_.contains({from.zone, to.zone})) {
     return true;
   }
--- a/src/cypresswall/simulation/simulated_network.h
+++ b/src/cypresswall/simulation/simulated_network.h
@@ -40,7 +40,7 @@
 };
 
 /// Where something that sends or receives is found.
-struct NetworkPlace {
+struct NetworkEndpoint {
   common::Address address;
   common::ZoneName zone;
 };
@@ -74,7 +74,7 @@
   /// \return true while any cut is in force.
   bool anyCut() const { return !zone_cuts_.empty() || !address_cuts_.empty(); }
   /// \return true if nothing gets from one place to another now.
-  bool cutBetween(const NetworkPlace& from, const NetworkPlace& to) const;
+  bool cutBetween(const NetworkEndpoint& from, const NetworkEndpoint& to) const;
 
   /// Draws the delay of one message, also for clients of engines and platform.
   common::Duration drawDelay(const common::ZoneName& from, const common::ZoneName& to);
--- a/src/cypresswall/simulation/simulated_platform.cpp
+++ b/src/cypresswall/simulation/simulated_platform.cpp
@@ -80,7 +80,7 @@
                                Request request, object_store::StoreCallback<Value> callback) {
   using Answer = object_store::StoreResult<Value>;
   auto effect = [&platform = platform_,
-                 request = std::move(request)](typename OutsideCall<Answer>::Reply reply) {
+                 request = std::move(request)](typename ExternalCall<Answer>::Reply reply) {
     request(platform.store(), [reply = std::move(reply)](Answer answer) { reply(answer); });
   };
   auto done = [callback = std::move(callback), unknown](CallResult result,
@@ -93,7 +93,7 @@
     callback(common::Failure<object_store::StoreFailure>{
         sent ? unknown : object_store::StoreFailure::kUnavailable, "no answer from the store"});
   };
-  OutsideCall<Answer>::start(path_, CallFaults{}, time_limit, std::move(effect), std::move(done));
+  ExternalCall<Answer>::start(path_, CallFaults{}, time_limit, std::move(effect), std::move(done));
 }
 
 void SimulatedObjectStore::get(const std::string& key,
@@ -148,7 +148,7 @@
                                  object_store::MachineListCallback callback) {
   using Answer =
       common::Result<std::vector<object_store::Machine>, object_store::MachineListFailure>;
-  auto effect = [&platform = platform_, zone](OutsideCall<Answer>::Reply reply) {
+  auto effect = [&platform = platform_, zone](ExternalCall<Answer>::Reply reply) {
     platform.machines().fetch(zone, [reply = std::move(reply)](Answer answer) { reply(answer); });
   };
   auto done = [callback = std::move(callback)](CallResult result, std::optional<Answer> answer) {
@@ -159,8 +159,8 @@
     callback(common::Failure<object_store::MachineListFailure>{
         object_store::MachineListFailure::kUnavailable, "no answer from the machine list"});
   };
-  OutsideCall<Answer>::start(path_, CallFaults{}, kMachineListTimeLimit, std::move(effect),
-                             std::move(done));
+  ExternalCall<Answer>::start(path_, CallFaults{}, kMachineListTimeLimit, std::move(effect),
+                              std::move(done));
 }
 
 }  // namespace cypresswall::simulation
--- a/src/cypresswall/simulation/simulated_platform.h
+++ b/src/cypresswall/simulation/simulated_platform.h
@@ -8,7 +8,7 @@
 #include "cypresswall/emulation/object_store.h"
 #include "cypresswall/object_store/machine_list.h"
 #include "cypresswall/object_store/object_store.h"
-#include "cypresswall/simulation/outside_call.h"
+#include "cypresswall/simulation/external_call.h"
 
 namespace cypresswall::simulation {
 
@@ -26,7 +26,7 @@
 
   emulation::EmulatedObjectStore& store() { return store_; }
   emulation::EmulatedMachineList& machines() { return machines_; }
-  static NetworkPlace place() { return {"platform:1", kZone}; }
+  static NetworkEndpoint place() { return {"platform:1", kZone}; }
 
   /// Switches an outage of store and machine list on or off; counts the fault when it begins.
   void setDown(bool down);
@@ -67,7 +67,7 @@
            object_store::StoreCallback<Value> callback);
 
   Simulation& simulation_;
-  OutsidePath path_;
+  ExternalPath path_;
   SimulatedPlatform& platform_;
 };
 
@@ -78,7 +78,7 @@
   void fetch(const common::ZoneName& zone, object_store::MachineListCallback callback) override;
 
  private:
-  OutsidePath path_;
+  ExternalPath path_;
   SimulatedPlatform& platform_;
 };
 
--- a/src/cypresswall/simulation/simulated_process.cpp
+++ b/src/cypresswall/simulation/simulated_process.cpp
@@ -39,7 +39,7 @@
 
 common::MonotonicTime SimulatedProcess::now() const { return localTime(time_.now()); }
 
-common::Duration SimulatedProcess::trueDelay(common::Duration local) const {
+common::Duration SimulatedProcess::toTrueDuration(common::Duration local) const {
   if (local <= common::Duration{0}) {
     return common::Duration{0};
   }
@@ -53,7 +53,7 @@
 
 common::TimerId SimulatedProcess::schedule(common::Duration delay, std::function<void()> callback) {
   const auto handle = callbacks_.add(std::move(callback));
-  time_.schedule(trueDelay(delay), [this, handle] { fire(handle, EventSource::kTimer); });
+  time_.schedule(toTrueDuration(delay), [this, handle] { fire(handle, EventSource::kTimer); });
   return handle;
 }
 
@@ -72,7 +72,7 @@
 
 void SimulatedProcess::deliver(std::function<void()> callback) {
   if (alive_) {
-    fire(callbacks_.add(std::move(callback)), EventSource::kOutside);
+    fire(callbacks_.add(std::move(callback)), EventSource::kExternal);
   }
 }
 
@@ -97,7 +97,7 @@
     return;
   }
   if (paused_) {
-    held_.push_back(HeldEvent{handle, source});
+    deferred_.push_back(DeferredEvent{handle, source});
     return;
   }
   run(handle);
@@ -123,13 +123,13 @@
   }
 }
 
-void SimulatedProcess::orderHeldEvents() {
+void SimulatedProcess::orderDeferredEvents() {
   constexpr std::uint64_t kOrders = 3;
   const std::uint64_t choice = random_->below(kOrders);
-  const auto belongsFirst = [choice](const HeldEvent& event) {
+  const auto belongsFirst = [choice](const DeferredEvent& event) {
     return choice == 0 || (event.source == EventSource::kTimer) == (choice == 1);
   };
-  std::stable_partition(held_.begin(), held_.end(), belongsFirst);
+  std::stable_partition(deferred_.begin(), deferred_.end(), belongsFirst);
 }
 
 void SimulatedProcess::resume() {
@@ -137,15 +137,15 @@
     return;
   }
   paused_ = false;
-  orderHeldEvents();
+  orderDeferredEvents();
   // Each runs as an event of its own, so that a pause that begins in between holds the rest.
-  for (const HeldEvent& event : std::exchange(held_, {})) {
+  for (const DeferredEvent& event : std::exchange(deferred_, {})) {
     const auto handle = event.handle;
     const auto source = event.source;
     if (source == EventSource::kTimer) {
       time_.schedule(common::Duration{0}, [this, handle] { fire(handle, EventSource::kTimer); });
     } else {
-      time_.schedule(common::Duration{0}, [this, handle] { fire(handle, EventSource::kOutside); });
+      time_.schedule(common::Duration{0}, [this, handle] { fire(handle, EventSource::kExternal); });
     }
   }
 }
@@ -165,7 +165,7 @@
   alive_ = false;
   paused_ = false;
   network_.detach(*this);
-  held_.clear();
+  deferred_.clear();
   callbacks_.clear();
   while (!modules_.empty()) {
     modules_.pop_back();
--- a/src/cypresswall/simulation/simulated_process.h
+++ b/src/cypresswall/simulation/simulated_process.h
@@ -65,7 +65,7 @@
   /// \return zero if the process is dead.
   CallbackTable::Handle keep(std::function<void()> callback);
   /// Runs a kept callback in this process, on wake if it is paused. Unknown handles are ignored.
-  void trigger(CallbackTable::Handle handle) { fire(handle, EventSource::kOutside); }
+  void trigger(CallbackTable::Handle handle) { fire(handle, EventSource::kExternal); }
   void forget(CallbackTable::Handle handle) { callbacks_.remove(handle); }
   /// \return true if a kept callback has not yet run.
   bool pending(CallbackTable::Handle handle) const { return callbacks_.contains(handle); }
@@ -89,8 +89,8 @@
   std::uint64_t undispatchedMessages() const { return undispatched_; }
 
  private:
-  enum class EventSource : std::uint8_t { kTimer, kOutside };
-  struct HeldEvent {
+  enum class EventSource : std::uint8_t { kTimer, kExternal };
+  struct DeferredEvent {
     CallbackTable::Handle handle = 0;
     EventSource source = EventSource::kTimer;
   };
@@ -102,10 +102,10 @@
 
   common::MonotonicTime localTime(common::MonotonicTime true_time) const;
   /// \return the true time that passes until this clock has advanced by `local`.
-  common::Duration trueDelay(common::Duration local) const;
+  common::Duration toTrueDuration(common::Duration local) const;
   void fire(CallbackTable::Handle handle, EventSource source);
   void run(CallbackTable::Handle handle);
-  void orderHeldEvents();
+  void orderDeferredEvents();
   void die();
 
   ProcessSettings settings_;
@@ -118,7 +118,7 @@
   api::MessageDispatcher dispatcher_;
   api::ProcessContext context_;
   CallbackTable callbacks_;
-  std::vector<HeldEvent> held_;
+  std::vector<DeferredEvent> deferred_;
   std::vector<std::shared_ptr<void>> modules_;
   std::uint64_t undispatched_ = 0;
   bool alive_ = true;
--- a/src/cypresswall/simulation/simulated_services.cpp
+++ b/src/cypresswall/simulation/simulated_services.cpp
@@ -84,7 +84,7 @@
   return found == services_.end() ? nullptr : found->second.get();
 }
 
-NetworkPlace SimulatedServices::placeOf(const common::Address& address) const {
+NetworkEndpoint SimulatedServices::placeOf(const common::Address& address) const {
   const auto zone = zones_.find(address);
   return {address, zone == zones_.end() ? common::ZoneName{} : zone->second};
 }
@@ -114,7 +114,7 @@
     std::function<void(services::ServiceResponse)> callback) {
   using Answer = emulation::EmulatedServiceAnswer;
   auto call = std::make_unique<AbandonableCall>(std::move(callback));
-  auto effect = [&services = services_, address, request](OutsideCall<Answer>::Reply reply) {
+  auto effect = [&services = services_, address, request](ExternalCall<Answer>::Reply reply) {
     emulation::EmulatedService* service = services.find(address);
     if (service == nullptr) {
       reply(std::nullopt);
@@ -131,9 +131,9 @@
       run(responseOf(result, std::move(answer)));
     }
   };
-  const OutsidePath path(simulation_, process_, services_.placeOf(address));
-  OutsideCall<Answer>::start(path, services_.faults, request.time_limit, std::move(effect),
-                             std::move(done));
+  const ExternalPath path(simulation_, process_, services_.placeOf(address));
+  ExternalCall<Answer>::start(path, services_.faults, request.time_limit, std::move(effect),
+                              std::move(done));
   return call;
 }
 
--- a/src/cypresswall/simulation/simulated_services.h
+++ b/src/cypresswall/simulation/simulated_services.h
@@ -9,7 +9,7 @@
 
 #include "cypresswall/emulation/service.h"
 #include "cypresswall/services/service_client.h"
-#include "cypresswall/simulation/outside_call.h"
+#include "cypresswall/simulation/external_call.h"
 
 namespace cypresswall::simulation {
 
@@ -22,7 +22,7 @@
                                   const std::string& name, common::Duration answer_time);
   /// \return null if no back end has the address.
   emulation::EmulatedService* find(const common::Address& address) const;
-  NetworkPlace placeOf(const common::Address& address) const;
+  NetworkEndpoint placeOf(const common::Address& address) const;
   /// \return how often calls with `key` were run, over all back ends.
   std::uint32_t executionsOfKey(const std::string& key) const;
   /// \return how often calls of `request_id` were run, over all back ends.
--- a/src/cypresswall/simulation/simulated_stream.cpp
+++ b/src/cypresswall/simulation/simulated_stream.cpp
@@ -17,9 +17,9 @@
 class SimulatedStream::Connection final : public emulation::StreamObserver,
                                           public std::enable_shared_from_this<Connection> {
  public:
-  Connection(const OutsidePath& path, SimulatedEngines& engines, common::Address address,
+  Connection(const ExternalPath& path, SimulatedEngines& engines, common::Address address,
              engines::StreamRequest request, engines::StreamHandler& handler,
-             common::Duration broken_after)
+             common::Duration break_detection_time)
       : path_(path),
         engines_(engines),
         address_(std::move(address)),
@@ -27,7 +27,7 @@
         attempt_(request.attempt),
         request_(std::move(request)),
         handler_(&handler),
-        broken_after_(broken_after) {}
+        break_detection_time_(break_detection_time) {}
 
   void connect() {
     later(path_.requestDelay(), [](Connection& self) { self.requestArrives(); });
@@ -45,7 +45,7 @@
     incoming_.clear();
     closed_ = true;
     if (!engine_side_ended_) {
-      later(path_.requestDelay(), [](Connection& self) { self.closeArrives(); });
+      later(path_.requestDelay(), [](Connection& self) { self.handlePeerClose(); });
     }
   }
 
@@ -90,7 +90,7 @@
       return;
     }
     // The engine keeps a plain reference to its observer.
-    engines_.hold(shared_from_this());
+    engines_.retain(shared_from_this());
     engine_side_ended_ = false;
     const bool pass_through = request_.pass_through != nullptr;
     const auto start = engine->startStream(std::move(request_), *this);
@@ -108,19 +108,19 @@
     }
     if (closed_) {
       // The end of the connection follows the request that is still on its way.
-      later(path_.requestDelay(), [](Connection& self) { self.closeArrives(); });
-    } else if (path_.strikes(engines_.faults.stream_start_broken, FaultKind::kStreamBroken)) {
+      later(path_.requestDelay(), [](Connection& self) { self.handlePeerClose(); });
+    } else if (path_.occurs(engines_.faults.stream_start_broken, FaultKind::kStreamBroken)) {
       breakConnection();
     }
   }
 
-  void closeArrives() {
+  void handlePeerClose() {
     if (engine_side_ended_) {
       return;
     }
     // In a cut the engine notices the loss of its client only when its writes fail.
     if (path_.requestCut()) {
-      later(broken_after_, [](Connection& self) { self.cancelOnEngine(); });
+      later(break_detection_time_, [](Connection& self) { self.cancelOnEngine(); });
       return;
     }
     cancelOnEngine();
@@ -153,7 +153,7 @@
       return;
     }
     incoming_.clear();
-    later(broken_after_, [](Connection& self) {
+    later(break_detection_time_, [](Connection& self) {
       self.cancelOnEngine();
       self.enqueue(Event{Event::Kind::kFailed, 0, {}, {}, engines::StreamFailure::kBroken, {}});
     });
@@ -231,7 +231,7 @@
     }
   }
 
-  OutsidePath path_;
+  ExternalPath path_;
   SimulatedEngines& engines_;
   common::Address address_;
   std::string stream_id_;
@@ -239,7 +239,7 @@
   engines::StreamRequest request_;
   /// Null once the process closed its end or got its last call.
   engines::StreamHandler* handler_;
-  common::Duration broken_after_;
+  common::Duration break_detection_time_;
   std::deque<Event> incoming_;
   /// Of the engine's answer, until its first event was handed over.
   std::optional<common::RateLimitNotice> rate_limit_;
@@ -257,14 +257,14 @@
 
 SimulatedStream::~SimulatedStream() { connection_->close(); }
 
-std::unique_ptr<SimulatedStream> SimulatedStream::start(const OutsidePath& path,
+std::unique_ptr<SimulatedStream> SimulatedStream::start(const ExternalPath& path,
                                                         SimulatedEngines& engines,
                                                         const common::Address& address,
                                                         engines::StreamRequest request,
                                                         engines::StreamHandler& handler,
-                                                        common::Duration broken_after) {
+                                                        common::Duration break_detection_time) {
   return std::unique_ptr<SimulatedStream>(new SimulatedStream(std::make_shared<Connection>(
-      path, engines, address, std::move(request), handler, broken_after)));
+      path, engines, address, std::move(request), handler, break_detection_time)));
 }
 
 void SimulatedStream::pause() { connection_->pauseReading(); }
--- a/src/cypresswall/simulation/simulated_stream.h
+++ b/src/cypresswall/simulation/simulated_stream.h
@@ -10,7 +10,7 @@
 
 #include "cypresswall/emulation/engine.h"
 #include "cypresswall/engines/engine_client.h"
-#include "cypresswall/simulation/outside_call.h"
+#include "cypresswall/simulation/external_call.h"
 
 namespace cypresswall::simulation {
 
@@ -19,11 +19,11 @@
 /// The process's end; destroying it closes the connection.
 class SimulatedStream final : public engines::Stream {
  public:
-  static std::unique_ptr<SimulatedStream> start(const OutsidePath& path, SimulatedEngines& engines,
+  static std::unique_ptr<SimulatedStream> start(const ExternalPath& path, SimulatedEngines& engines,
                                                 const common::Address& address,
                                                 engines::StreamRequest request,
                                                 engines::StreamHandler& handler,
-                                                common::Duration broken_after);
+                                                common::Duration break_detection_time);
   ~SimulatedStream() override;
   SimulatedStream(const SimulatedStream&) = delete;
   SimulatedStream& operator=(const SimulatedStream&) = delete;
--- a/src/cypresswall/simulation/simulation.cpp
+++ b/src/cypresswall/simulation/simulation.cpp
@@ -65,8 +65,8 @@
   time_.schedule(duration, [this, &process] {
     if (process.paused()) {
       process.resume();
-      if (wake_listener_) {
-        wake_listener_(process);
+      if (resume_listener_) {
+        resume_listener_(process);
       }
     }
   });
--- a/src/cypresswall/simulation/simulation.h
+++ b/src/cypresswall/simulation/simulation.h
@@ -35,7 +35,7 @@
   void pauseFor(SimulatedProcess& process, common::Duration duration);
   /// Calls `listener` when a process woke from a pause, before it runs anything.
   void onResume(std::function<void(SimulatedProcess&)> listener) {
-    wake_listener_ = std::move(listener);
+    resume_listener_ = std::move(listener);
   }
 
   VirtualTime& time() { return time_; }
@@ -57,7 +57,7 @@
   common::SeededRandom random_;
   SimulatedNetwork network_;
   std::vector<std::unique_ptr<SimulatedProcess>> processes_;
-  std::function<void(SimulatedProcess&)> wake_listener_;
+  std::function<void(SimulatedProcess&)> resume_listener_;
 };
 
 }  // namespace cypresswall::simulation
--- a/tests/emulation/engine_changes_test.cpp
+++ b/tests/emulation/engine_changes_test.cpp
@@ -12,18 +12,18 @@
 
 class EngineChangesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineChangesTest);
-  CPPUNIT_TEST(fenceJudgesEveryKindOfOrder);
+  CPPUNIT_TEST(fenceReturnsAVerdictForEveryKindOfOrder);
   CPPUNIT_TEST(onlyIfIdleCutsNothing);
   CPPUNIT_TEST(changeWithoutOnlyIfIdleCutsStreams);
-  CPPUNIT_TEST(roleChangeTakesTheEngineAway);
+  CPPUNIT_TEST(roleChangeMakesTheEngineUnavailable);
   CPPUNIT_TEST(modelLoadWaitsForTheWeights);
   CPPUNIT_TEST(crashInMidChangeKeepsTheOldRole);
-  CPPUNIT_TEST(restartForgetsTheFenceButRefusesOldOrders);
+  CPPUNIT_TEST(restartResetsTheFenceButRefusesOldOrders);
   CPPUNIT_TEST(staleEpochsNeverTakeEffect);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void fenceJudgesEveryKindOfOrder() {
+  void fenceReturnsAVerdictForEveryKindOfOrder() {
     EmulatedEngine& engine = fixture_.addEngine({});
     const auto first = EngineFixture::order(2, 1, EngineRole::kPrefill);
     CPPUNIT_ASSERT(engine.handleOrder(first)->verdict == OrderVerdict::kAccepted);
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(engine.ledger().streams[0].end == StreamEnd::kCutByOrder);
   }
 
-  void roleChangeTakesTheEngineAway() {
+  void roleChangeMakesTheEngineUnavailable() {
     EmulatedEngine& engine = fixture_.addEngine({});
     RecordingObserver observer(fixture_.time);
     engine.handleOrder(EngineFixture::order(1, 1, EngineRole::kDecode));
@@ -117,7 +117,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, engine.load()->incarnation);
   }
 
-  void restartForgetsTheFenceButRefusesOldOrders() {
+  void restartResetsTheFenceButRefusesOldOrders() {
     EmulatedEngine& engine = fixture_.addEngine({});
     engine.handleOrder(EngineFixture::order(5, 1, EngineRole::kDecode));
     engine.crash();
--- a/tests/emulation/engine_test.cpp
+++ b/tests/emulation/engine_test.cpp
@@ -14,22 +14,22 @@
 
 class EngineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineTest);
-  CPPUNIT_TEST(givesTheExpectedAnswerInTheModelledTime);
+  CPPUNIT_TEST(returnsTheExpectedAnswerInTheModelledTime);
   CPPUNIT_TEST(resumesWithTheNextToken);
   CPPUNIT_TEST(everyStreamGetsItsWholeAnswer);
   CPPUNIT_TEST(higherPriorityIsAdmittedFirst);
   CPPUNIT_TEST(longPromptsSlowOutputOnAMixedEngine);
   CPPUNIT_TEST(cachedPrefixShortensThePrompt);
   CPPUNIT_TEST(decodeEngineImportsTheComputedPrompt);
-  CPPUNIT_TEST(importOfALostCacheComputesThePrompt);
+  CPPUNIT_TEST(failedImportRecomputesThePrompt);
   CPPUNIT_TEST(roleDecidesWhichPhasesAreTaken);
   CPPUNIT_TEST(loadReportsLag);
-  CPPUNIT_TEST(cancelledStreamGivesNothingMore);
+  CPPUNIT_TEST(cancelledStreamEmitsNothingMore);
   CPPUNIT_TEST(breaksAStreamAfterSomeTokens);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void givesTheExpectedAnswerInTheModelledTime() {
+  void returnsTheExpectedAnswerInTheModelledTime() {
     EmulatedEngine& engine = fixture_.addEngine({});
     RecordingObserver observer(fixture_.time);
     const auto request = EngineFixture::request("a", 8000, 10);
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT(!prefill.exportKv("a"));
   }
 
-  void importOfALostCacheComputesThePrompt() {
+  void failedImportRecomputesThePrompt() {
     EngineSettings settings;
     settings.role = engines::EngineRole::kDecode;
     EmulatedEngine& decode = fixture_.addEngine(settings);
@@ -198,7 +198,7 @@
     CPPUNIT_ASSERT(engine.load()->age == faults.load_lag);
   }
 
-  void cancelledStreamGivesNothingMore() {
+  void cancelledStreamEmitsNothingMore() {
     EmulatedEngine& engine = fixture_.addEngine({});
     RecordingObserver observer(fixture_.time);
     engine.startStream(EngineFixture::request("a", 100, 1000), observer);
--- a/tests/emulation/object_store_test.cpp
+++ b/tests/emulation/object_store_test.cpp
@@ -19,10 +19,10 @@
   CPPUNIT_TEST_SUITE(ObjectStoreTest);
   CPPUNIT_TEST(comparesAndSets);
   CPPUNIT_TEST(lostAnswerTookEffect);
-  CPPUNIT_TEST(downStoreDoesNothing);
+  CPPUNIT_TEST(unavailableStoreDoesNothing);
   CPPUNIT_TEST(watchSeesChangesAndTimesOut);
   CPPUNIT_TEST(watchGapHidesAChange);
-  CPPUNIT_TEST(restoredStoreIsOlder);
+  CPPUNIT_TEST(restoredStoreHasAnOlderRevision);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, put("a", 1)->value().version);
   }
 
-  void downStoreDoesNothing() {
+  void unavailableStoreDoesNothing() {
     ObjectStoreFaults faults;
     faults.down = true;
     store_.setFaults(faults);
@@ -75,7 +75,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, listing_->value().revision);
   }
 
-  void restoredStoreIsOlder() {
+  void restoredStoreHasAnOlderRevision() {
     put("p/a", 0);
     put("p/a", 1);
     put("p/b", 0);
--- a/tests/emulation/platform_test.cpp
+++ b/tests/emulation/platform_test.cpp
@@ -14,7 +14,7 @@
 class PlatformTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformTest);
   CPPUNIT_TEST(machineListLags);
-  CPPUNIT_TEST(serviceLedgerTellsWhatRan);
+  CPPUNIT_TEST(serviceLedgerRecordsExecutions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -29,7 +29,7 @@
     CPPUNIT_ASSERT(list.visible("elsewhere").empty());
   }
 
-  void serviceLedgerTellsWhatRan() {
+  void serviceLedgerRecordsExecutions() {
     EmulatedService service("portal", milliseconds(1), time_);
     ServiceFaults faults;
     faults.refuse_next = 1;
--- a/tests/runtime/asio_scheduler_test.cpp
+++ b/tests/runtime/asio_scheduler_test.cpp
@@ -17,14 +17,14 @@
 
 class AsioSchedulerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AsioSchedulerTest);
-  CPPUNIT_TEST(runsInOrderOfTimeAndNeverAtOnce);
+  CPPUNIT_TEST(runsInOrderOfTimeAndNeverSynchronously);
   CPPUNIT_TEST(cancelsAlsoFromAnotherCallback);
   CPPUNIT_TEST(destroyingDropsCallbacks);
   CPPUNIT_TEST(clockNeverGoesBack);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void runsInOrderOfTimeAndNeverAtOnce() {
+  void runsInOrderOfTimeAndNeverSynchronously() {
     AsioScheduler scheduler(context_);
     std::string order;
     scheduler.schedule(milliseconds(20), [&] { order += 'b'; });
@@ -69,13 +69,13 @@
 
 class RuntimeTextTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RuntimeTextTest);
-  CPPUNIT_TEST(metricsComeInTheTextFormat);
+  CPPUNIT_TEST(metricsUseThePrometheusTextFormat);
   CPPUNIT_TEST(faultSwitchMatchesWholeNumbersOnly);
   CPPUNIT_TEST(addressesAreIpNumbersWithPort);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void metricsComeInTheTextFormat() {
+  void metricsUseThePrometheusTextFormat() {
     common::CounterRegistry registry;
     registry.counter("requests_total", "Requests.", "outcome", "done").add(3);
     registry.gauge("streams", "Open streams.").set(2);
--- a/tests/runtime/bounded_line_writer_test.cpp
+++ b/tests/runtime/bounded_line_writer_test.cpp
@@ -11,7 +11,7 @@
 namespace cypresswall::runtime {
 namespace {
 
-constexpr std::size_t kKept = 10000;
+constexpr std::size_t kMaximumBufferedBytes = 10000;
 
 class Pipe {
  public:
@@ -52,15 +52,15 @@
 
 class BoundedLineWriterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(BoundedLineWriterTest);
-  CPPUNIT_TEST(linesComeAtOnceAndInOrder);
-  CPPUNIT_TEST(aStalledReaderStopsNobody);
+  CPPUNIT_TEST(linesAreWrittenImmediatelyAndInOrder);
+  CPPUNIT_TEST(writesDoNotBlockOnAStalledReader);
   CPPUNIT_TEST(aLongLineStaysWhole);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void linesComeAtOnceAndInOrder() {
+  void linesAreWrittenImmediatelyAndInOrder() {
     Pipe pipe;
-    BoundedLineWriter writer(pipe.input(), kKept);
+    BoundedLineWriter writer(pipe.input(), kMaximumBufferedBytes);
     writer.write("one\n");
     writer.write("two\n");
     CPPUNIT_ASSERT_EQUAL(std::string("one\ntwo\n"), pipe.readAll());
@@ -68,13 +68,13 @@
   }
 
   /// Writes far more than a pipe holds while nobody reads; a write that waits would never return.
-  void aStalledReaderStopsNobody() {
+  void writesDoNotBlockOnAStalledReader() {
     Pipe pipe;
-    BoundedLineWriter writer(pipe.input(), kKept);
+    BoundedLineWriter writer(pipe.input(), kMaximumBufferedBytes);
     constexpr std::size_t kLines = 20000;
     for (std::size_t number = 0; number < kLines; ++number) {
       writer.write(lineOf(number));
-      CPPUNIT_ASSERT(writer.keptBytes() <= kKept);
+      CPPUNIT_ASSERT(writer.bufferedBytes() <= kMaximumBufferedBytes);
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, writer.takeDropped());
     std::string text = pipe.readAll();
--- a/tests/runtime/curl_multi_test.cpp
+++ b/tests/runtime/curl_multi_test.cpp
@@ -42,9 +42,9 @@
   CPPUNIT_TEST(requestsAreNeverSentTwice);
   CPPUNIT_TEST(freshRequestsTakeANewConnection);
   CPPUNIT_TEST(connectionUsedOnceIsClosed);
-  CPPUNIT_TEST(headComesOnceBeforeTheBody);
-  CPPUNIT_TEST(nothingOfAnEarlierRequestIsSentAgain);
-  CPPUNIT_TEST(tellsNotSentFromBroken);
+  CPPUNIT_TEST(headIsDeliveredOnceBeforeTheBody);
+  CPPUNIT_TEST(reusedHandleSendsNothingOfAnEarlierRequest);
+  CPPUNIT_TEST(distinguishesNotSentFromBroken);
   CPPUNIT_TEST(timeLimitAfterSendingIsBroken);
   CPPUNIT_TEST(streamsTheBodyAndPauses);
   CPPUNIT_TEST(destroyingInsideACallbackEndsTheConnection);
@@ -102,7 +102,7 @@
     CPPUNIT_ASSERT_EQUAL(2, server_.connections());
   }
 
-  void headComesOnceBeforeTheBody() {
+  void headIsDeliveredOnceBeforeTheBody() {
     server_.answer("HTTP/1.1 200 OK\r\nX-Kind: test\r\nContent-Length: 4\r\n\r\nab");
     Recorder recorder;
     recorder.transfer = curl_.start(request("POST"), recorder);
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("abcd"), recorder.body);
   }
 
-  void nothingOfAnEarlierRequestIsSentAgain() {
+  void reusedHandleSendsNothingOfAnEarlierRequest() {
     server_.answer(httpAnswer(200, "first"));
     CurlRequest order = request("POST");
     order.body = "order-body";
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT_EQUAL(1, server_.connections());
   }
 
-  void tellsNotSentFromBroken() {
+  void distinguishesNotSentFromBroken() {
     CurlRequest nowhere = request("POST");
     asio::ip::tcp::acceptor unused(context_, {asio::ip::make_address("127.0.0.1"), 0});
     nowhere.address = "127.0.0.1:" + std::to_string(unused.local_endpoint().port());
--- a/tests/runtime/socket_poll_test.cpp
+++ b/tests/runtime/socket_poll_test.cpp
@@ -31,15 +31,15 @@
 
 class SocketPollTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SocketPollTest);
-  CPPUNIT_TEST(tellsReadySocketsUntilTheyAreRead);
+  CPPUNIT_TEST(reportsReadySocketsUntilTheyAreRead);
   CPPUNIT_TEST(hangUpCountsAsReadiness);
-  CPPUNIT_TEST(forgottenSocketsAreNotTold);
+  CPPUNIT_TEST(unwatchedSocketsAreNotReported);
   CPPUNIT_TEST(loopEndsWhenNothingIsWatched);
   CPPUNIT_TEST(listenerMayStopThePoll);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void tellsReadySocketsUntilTheyAreRead() {
+  void reportsReadySocketsUntilTheyAreRead() {
     SocketPair first;
     SocketPair second;
     watch(first);
@@ -59,7 +59,7 @@
     CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return !told_.empty(); }));
   }
 
-  void forgottenSocketsAreNotTold() {
+  void unwatchedSocketsAreNotReported() {
     SocketPair first;
     SocketPair second;
     watch(first);
--- a/tests/runtime/tcp_peer_transport_test.cpp
+++ b/tests/runtime/tcp_peer_transport_test.cpp
@@ -69,7 +69,7 @@
   CPPUNIT_TEST(dropsMessagesForAnotherIncarnation);
   CPPUNIT_TEST(reconnectsToARestartedPeer);
   CPPUNIT_TEST(boundsTheQueueOfAnUnreachablePeer);
-  CPPUNIT_TEST(closesOnGarbageWithOneLine);
+  CPPUNIT_TEST(closesOnInvalidDataWithOneLogLine);
   CPPUNIT_TEST(closesOnAnotherProtocolVersion);
   CPPUNIT_TEST(refusesAPortInUse);
   CPPUNIT_TEST(faultSwitchCutsOnlyInTestBuilds);
@@ -140,7 +140,7 @@
     CPPUNIT_ASSERT_EQUAL(92.0, left.dropped());
   }
 
-  void closesOnGarbageWithOneLine() {
+  void closesOnInvalidDataWithOneLogLine() {
     Node node(context_, 1);
     expectClosed(node, "GET / HTTP/1.1\r\n\r\n");
     expectClosed(node, encodeFrame("\xc1 no msgpack"));
--- a/tests/simulation/simulated_clients_test.cpp
+++ b/tests/simulation/simulated_clients_test.cpp
@@ -75,11 +75,11 @@
   CPPUNIT_TEST_SUITE(SimulatedClientsTest);
   CPPUNIT_TEST(streamGivesTheWholeAnswer);
   CPPUNIT_TEST(cutBreaksStreamAndCancelsIt);
-  CPPUNIT_TEST(deathOfTheProcessCancelsItsStreams);
+  CPPUNIT_TEST(killedProcessCancelsItsStreams);
   CPPUNIT_TEST(lostOrderAnswerTookEffect);
   CPPUNIT_TEST(lateOrderArrivesAfterTheCallerGaveUp);
   CPPUNIT_TEST(lostStoreAnswerIsUnknown);
-  CPPUNIT_TEST(storeOutOfReachIsUnavailable);
+  CPPUNIT_TEST(unreachableStoreIsUnavailable);
   CPPUNIT_TEST(machineListShowsLeavingAfterItsLag);
   CPPUNIT_TEST(serviceBrokenAfterRunIsBroken);
   CPPUNIT_TEST(abandonedServiceCallIsNotAnswered);
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(world.engine->ledger().streams.at(0).end != emulation::StreamEnd::kRunning);
   }
 
-  void deathOfTheProcessCancelsItsStreams() {
+  void killedProcessCancelsItsStreams() {
     World world;
     RecordingHandler handler;
     auto& client = world.process.emplace<SimulatedEngineClient>(world.simulation, world.process,
@@ -179,7 +179,7 @@
                          world.simulation.faults().count(FaultKind::kStoreAnswerLost));
   }
 
-  void storeOutOfReachIsUnavailable() {
+  void unreachableStoreIsUnavailable() {
     World world;
     SimulatedObjectStore store(world.simulation, world.process, world.platform);
     world.simulation.network().cutZones("a", SimulatedPlatform::kZone);
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -23,9 +23,9 @@
 };
 
 /// Sends a ping to a random peer every few milliseconds and counts what it gets.
-class Chatter {
+class PingSender {
  public:
-  Chatter(const api::ProcessContext& context, std::vector<common::Address> peers)
+  PingSender(const api::ProcessContext& context, std::vector<common::Address> peers)
       : context_(context), peers_(std::move(peers)) {
     context_.dispatcher.handle<Ping>(
         [this](const common::NodeId&, const Ping& ping) { received.push_back(ping.number); });
@@ -59,20 +59,20 @@
   return settings;
 }
 
-RunDigest runChatter(std::uint64_t seed) {
+RunDigest runPingExchange(std::uint64_t seed) {
   const std::vector<common::Address> addresses{"10.0.0.1:1", "10.0.0.2:1", "10.0.1.1:1"};
   const auto zoneOf = [&](std::size_t index) { return index == 2 ? "b" : "a"; };
   Simulation simulation(seed, faultyNetwork());
   for (std::size_t index = 0; index < addresses.size(); ++index) {
     auto& process = simulation.start(addresses[index], zoneOf(index), {seconds(index), 50});
-    process.emplace<Chatter>(process.context(), addresses);
+    process.emplace<PingSender>(process.context(), addresses);
   }
   simulation.time().runFor(seconds(1));
   simulation.pauseFor(*simulation.processes()[0], milliseconds(300));
   simulation.network().cutOneWay("b", "a");
   simulation.time().runFor(seconds(1));
   auto& replacement = simulation.start(addresses[1], "a");
-  replacement.emplace<Chatter>(replacement.context(), addresses);
+  replacement.emplace<PingSender>(replacement.context(), addresses);
   simulation.network().healAll();
   simulation.time().runFor(seconds(1));
   return {simulation.digest().value(), simulation.digest().events(), simulation.faults().summary()};
@@ -80,19 +80,19 @@
 
 class SimulationTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SimulationTest);
-  CPPUNIT_TEST(sameMomentRunsInOrderOfScheduling);
+  CPPUNIT_TEST(simultaneousEventsRunInOrderOfScheduling);
   CPPUNIT_TEST(cancelledEventsDoNotRun);
   CPPUNIT_TEST(clockDriftsAndTimersFollowIt);
-  CPPUNIT_TEST(pausedProcessRunsItsEventsOnWake);
+  CPPUNIT_TEST(pausedProcessRunsItsEventsOnResume);
   CPPUNIT_TEST(killedProcessRunsNothingMore);
-  CPPUNIT_TEST(messagesToAnEarlierLifeAreDropped);
+  CPPUNIT_TEST(messagesToAPreviousIncarnationAreDropped);
   CPPUNIT_TEST(oneWayCutLetsTheOtherWayThrough);
   CPPUNIT_TEST(cutInsideAZoneSeparatesTwoNodes);
   CPPUNIT_TEST(sameSeedGivesSameDigest);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void sameMomentRunsInOrderOfScheduling() {
+  void simultaneousEventsRunInOrderOfScheduling() {
     VirtualTime time;
     std::string order;
     time.schedule(milliseconds(2), [&] { order += "c"; });
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT(fired);
   }
 
-  void pausedProcessRunsItsEventsOnWake() {
+  void pausedProcessRunsItsEventsOnResume() {
     Simulation simulation(1);
     auto& process = simulation.start("10.0.0.1:1", "a");
     std::vector<common::MonotonicTime> runs;
@@ -164,18 +164,18 @@
     CPPUNIT_ASSERT_EQUAL(0, *token);
   }
 
-  void messagesToAnEarlierLifeAreDropped() {
+  void messagesToAPreviousIncarnationAreDropped() {
     Simulation simulation(1);
     auto& sender = simulation.start("10.0.0.1:1", "a");
     auto& first = simulation.start("10.0.0.2:1", "a");
-    const auto first_life = first.id();
+    const auto first_incarnation = first.id();
     auto& second = simulation.start("10.0.0.2:1", "a");
-    CPPUNIT_ASSERT(first_life != second.id());
+    CPPUNIT_ASSERT(first_incarnation != second.id());
     int received = 0;
     second.context().dispatcher.handle<Ping>([&](const auto&, const Ping&) { ++received; });
-    sender.context().sendTo(first_life, Ping{1});
+    sender.context().sendTo(first_incarnation, Ping{1});
     sender.context().sendTo(second.id(), Ping{2});
-    sender.context().sendToAddress(first_life.address, Ping{3});
+    sender.context().sendToAddress(first_incarnation.address, Ping{3});
     simulation.time().runFor(seconds(1));
     CPPUNIT_ASSERT_EQUAL(2, received);
   }
@@ -216,9 +216,9 @@
   void sameSeedGivesSameDigest() {
     constexpr int kRuns = 20;
     testing::requireProperty("the same seed replays a run", kRuns, [](std::uint64_t seed) {
-      const RunDigest first = runChatter(seed);
-      const RunDigest second = runChatter(seed);
-      const RunDigest other = runChatter(seed + 1);
+      const RunDigest first = runPingExchange(seed);
+      const RunDigest second = runPingExchange(seed);
+      const RunDigest other = runPingExchange(seed + 1);
       RC_ASSERT(first.events > std::uint64_t{500});
       RC_ASSERT(first.digest == second.digest);
       RC_ASSERT(first.faults == second.faults);
