--- a/src/cypresswall/emulation/answer.h
+++ b/src/cypresswall/emulation/answer.h
@@ -1,5 +1,5 @@
-/// The answers that emulated engines give: a pure function of what was asked, so that a test can
-/// check every answer byte by byte whichever engines computed it.
+/// Answers of emulated engines. An answer is a pure function of the request, so a test can check it
+/// byte by byte, whichever engines computed it.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace cypresswall::emulation {
 
-/// Names one answer; equal requests to equal models have equal seeds.
+/// Determines one answer; equal requests to equal models have equal seeds.
 using AnswerSeed = std::uint64_t;
 
 /// \param content_hash PromptShape::content_hash of the prompt
 AnswerSeed answerSeed(const common::ModelName& model, const std::string& version,
                       const std::string& adapter, std::uint64_t content_hash);
 
-/// \return the text of token `index` (from 0), with its leading blank; valid for the program's
-///   life.
+/// \return the text of token `index` (from 0), with its leading space; valid until the program
+///   exits.
 const std::string& expectedToken(AnswerSeed seed, std::uint32_t index);
 
 /// \return number of tokens in the whole answer, between `minimum_share` of `maximum_tokens` and
--- a/src/cypresswall/emulation/engine.cpp
+++ b/src/cypresswall/emulation/engine.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Failures are dealt out among so many streams in a row.
+/// Number of consecutive streams over which EngineFaults::failures_per_ten_streams counts.
 constexpr std::uint64_t kStreamsPerFailureGroup = 10;
 
 }  // namespace
@@ -172,7 +172,7 @@
   stream->stage = Stage::kWaiting;
   waiting_[{-static_cast<int>(stream->request.priority), stream->arrival}] = stream;
   if (!step_running_) {
-    // On the next turn, so that streams that arrive together are batched.
+    // Deferred to the next event, so that streams that arrive together are batched.
     step_running_ = true;
     step_timer_ = scheduler_.schedule(common::Duration{0}, [this] { beginStep(); });
   }
@@ -253,7 +253,8 @@
     return;
   }
   const common::MonotonicTime now = clock_.now();
-  // Work that comes and goes within a slot is not worth a report; a change of state is.
+  // One report per interval is enough for load that fluctuates within it; changes of state are
+  // always recorded.
   if (load_history_.startsInterval(now) || streams_.empty() || change_) {
     load_history_.record(now, currentLoad());
     load_history_.dropBefore(now - faults_.load_lag);
--- a/src/cypresswall/emulation/engine.h
+++ b/src/cypresswall/emulation/engine.h
@@ -1,6 +1,6 @@
-/// Emulated model engine: continuous batching with a prefill and decode cost model, a prefix
-/// cache, fenced orders, changes that take it away, and faults. It does no I/O and takes one event
-/// for each step of the engine, however many streams run.
+/// Emulated model engine: continuous batching with a prefill and decode cost model, a prefix cache,
+/// fenced orders, changes that make it unavailable, and faults. It does no I/O and schedules one
+/// event per step of the engine, however many streams run.
 #pragma once
 
 #include <cstdint>
@@ -26,37 +26,37 @@
 
 namespace cypresswall::emulation {
 
-/// Receives what one stream gives. One of onFinished and onBroken is the last call. Nothing is
-/// called before startStream() returned or after cancelStream().
+/// Receives the output of one stream. The last call is either onFinished or onBroken. There are no
+/// calls before startStream() has returned or after cancelStream().
 class StreamObserver {
  public:
   virtual ~StreamObserver() = default;
   /// \param index position in the whole answer, from 0
   virtual void onToken(std::uint32_t index, const std::string& text) = 0;
   virtual void onFinished(const engines::StreamUsage& usage) = 0;
-  /// The engine ended the stream before its end.
+  /// The engine terminated the stream before the answer was complete.
   virtual void onBroken() = 0;
 };
 
-/// KV cache of one computed prompt on its way to another engine.
+/// KV cache of one computed prompt, for transfer to another engine.
 struct KvExport {
   std::uint32_t tokens = 0;
   std::uint64_t bytes = 0;
 };
 
-/// Reaches the other engines for KV imports.
+/// Fetches KV cache from other engines.
 class KvPeer {
  public:
   virtual ~KvPeer() = default;
   /// Calls exportKv() of the engine at `source`. The callback is called exactly once, never before
-  /// the call returns, with nothing if the engine can't be reached or has no such cache.
+  /// the call returns, with nullopt if the engine can't be reached or doesn't hold that cache.
   virtual void fetchKv(const common::Address& source, const std::string& stream_id,
                        std::function<void(std::optional<KvExport>)> callback) = 0;
 };
 
 enum class StartResult : std::uint8_t {
   kStarted,
-  kRefused,      ///< not run; see the message
+  kRefused,      ///< not run; `message` holds the reason
   kUnreachable,  ///< the engine is down
 };
 
@@ -67,38 +67,37 @@
 
 class EmulatedEngine {
  public:
-  /// \param weights may be null: weights then arrive at once
-  /// \param kv_peer may be null: imports then fail
+  /// \param weights may be null: weights are then available immediately
+  /// \param kv_peer may be null: KV imports then fail
   EmulatedEngine(EngineSettings settings, const common::Clock& clock, common::Scheduler& scheduler,
                  common::RandomSource& random, WeightSource* weights, KvPeer* kv_peer);
   ~EmulatedEngine();
   EmulatedEngine(const EmulatedEngine&) = delete;
   EmulatedEngine& operator=(const EmulatedEngine&) = delete;
 
-  /// Takes a stream; `observer` must live until its last call or cancelStream(). The prompt's text
-  /// is not needed, its shape is.
+  /// Starts a stream; `observer` must live until its last call or cancelStream(). Only the shape of
+  /// the prompt is used, so its text may be empty.
   StreamStart startStream(engines::StreamRequest request, StreamObserver& observer);
-  /// Ends a stream; unknown ones are ignored.
+  /// Cancels a stream; an unknown stream is ignored.
   void cancelStream(const std::string& stream_id, std::uint32_t attempt);
   /// \return nothing if the engine is down.
   std::optional<engines::OrderReply> handleOrder(const engines::EngineOrder& order);
-  /// \return the lagged load report; nothing if the engine is down.
+  /// \return the load report, delayed by the configured lag; nullopt if the engine is down.
   std::optional<engines::EngineLoad> load() const;
   /// \return nothing if the engine is down.
   std::optional<engines::CacheEvents> cacheEvents(std::uint64_t after) const;
-  /// Gives away, and drops, the KV cache kept for `stream_id`.
+  /// Returns the KV cache retained for `stream_id` and drops it.
   std::optional<KvExport> exportKv(const std::string& stream_id);
 
-  /// Breaks all streams and stays down for the restart time; then another incarnation runs.
-  /// Faults stay set.
+  /// Breaks all streams and stays down for the restart time, then starts a new incarnation.
+  /// Configured faults are kept.
   void crash();
   void setFaults(const EngineFaults& faults);
   const EngineFaults& faults() const { return faults_; }
-  /// Calls `listener` after each step that gave tokens, so that what the step gave can be sent in
-  /// one go.
+  /// Calls `listener` after each step that produced tokens, so that they can be sent together.
   void onStepEnd(std::function<void()> listener) { step_listener_ = std::move(listener); }
 
-  /// The engine as it is now, without lag. Tests and offline planners only.
+  /// The current load, without lag. For tests and offline planners only.
   engines::EngineLoad currentLoad() const;
   bool down() const { return down_; }
   std::uint64_t incarnation() const { return incarnation_; }
@@ -110,14 +109,14 @@
   enum class Stage : std::uint8_t { kImporting, kWaiting, kPrefill, kDecode, kEnded };
   struct ActiveStream;
   using StreamKey = std::pair<std::string, std::uint32_t>;
-  /// Priority first, then arrival.
+  /// Ordered by priority, then by arrival.
   using WaitingKey = std::pair<int, std::uint64_t>;
   using StreamPointer = std::shared_ptr<ActiveStream>;
   struct RetainedKv {
     std::uint32_t tokens = 0;
     common::MonotonicTime expires_at;
   };
-  /// The part of a prompt that one step computes.
+  /// The part of a prompt that is computed in one step.
   struct PrefillChunk {
     ActiveStream* stream = nullptr;
     std::uint32_t tokens = 0;
@@ -176,7 +175,7 @@
   std::string version_;
   std::vector<std::string> adapters_;
 
-  /// The change under way.
+  /// The change in progress.
   std::optional<engines::OrderContent> change_;
   std::uint64_t change_number_ = 0;
   common::MonotonicTime change_started_;
@@ -185,7 +184,7 @@
   std::map<StreamKey, StreamPointer> streams_;
   std::map<WaitingKey, StreamPointer> waiting_;
   std::vector<StreamPointer> running_;
-  /// Ended streams that code up the stack may still use.
+  /// Ended streams that callers further up the stack may still reference.
   std::vector<StreamPointer> ended_;
   std::uint64_t arrivals_ = 0;
   std::map<std::string, RetainedKv> retained_kv_;
@@ -195,7 +194,7 @@
   bool delivering_ = false;
   std::uint32_t decode_steps_ = 0;
   std::vector<PrefillChunk> chunks_;
-  /// Shows callbacks that the engine is gone.
+  /// Expires with the engine; callbacks check it before they use the engine.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cypresswall/emulation/engine_changes.cpp
+++ b/src/cypresswall/emulation/engine_changes.cpp
@@ -1,4 +1,4 @@
-// Orders to an emulated engine, the changes that they start, crashes and restarts.
+// Orders to an emulated engine, the changes that they trigger, crashes and restarts.
 #include <algorithm>
 
 #include "cypresswall/emulation/engine.h"
--- a/src/cypresswall/emulation/engine_ledger.h
+++ b/src/cypresswall/emulation/engine_ledger.h
@@ -1,4 +1,4 @@
-/// What an emulated engine did, for tests that check promises against it.
+/// History of what an emulated engine did, against which tests check guarantees.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
   kFinished,
   kCancelled,
   kBroken,      ///< broken by a fault
-  kCutByOrder,  ///< an accepted change took the engine away
+  kCutByOrder,  ///< terminated by an accepted change that made the engine unavailable
   kCrashed,
 };
 
 /// \return "running", "finished", "cancelled", "broken", "cut_by_order" or "crashed".
 const char* toString(StreamEnd end);
 
-/// One stream that the engine took.
+/// One stream that the engine accepted.
 struct StreamEntry {
   std::string stream_id;
   std::uint32_t attempt = 0;
--- a/src/cypresswall/emulation/engine_steps.cpp
+++ b/src/cypresswall/emulation/engine_steps.cpp
@@ -1,4 +1,4 @@
-// The steps of an emulated engine: batching, prompts and output tokens.
+// Steps of an emulated engine: batching, prefill and decode.
 #include <algorithm>
 
 #include "cypresswall/emulation/engine.h"
@@ -41,7 +41,7 @@
   } else {
     const std::uint32_t cached_pieces = cache_.touchLongestPrefix(request.shape.pieces);
     stream->cached_tokens = cached_pieces * common::kTokensPerCachePiece;
-    // The last token is always computed: its result is the first output token.
+    // The last prompt token is always computed, because it yields the first output token.
     const std::uint32_t usable = needed == 0 ? 0 : needed - 1;
     stream->prefill_remaining = needed - std::min(stream->cached_tokens, usable);
     ledger_.prompt_tokens += request.shape.tokens;
@@ -108,7 +108,7 @@
     step_listener_();
   }
   recordLoad();
-  // The listener or an observer may have crashed the engine, which stops its steps.
+  // The listener or an observer may have crashed the engine, which cancels further steps.
   if (step_running_) {
     beginStep();
   }
@@ -216,7 +216,7 @@
   stream.stage = Stage::kEnded;
   stream.prefill_remaining = 0;
   const auto own = streams_.find({stream.request.stream_id, stream.request.attempt});
-  // Kept until removeEnded(), since callers up the stack still use the object.
+  // Retained until removeEnded(), since callers further up the stack still use the object.
   ended_.push_back(own->second);
   streams_.erase(own);
 }
--- a/src/cypresswall/emulation/engine_stream.h
+++ b/src/cypresswall/emulation/engine_stream.h
@@ -1,4 +1,4 @@
-/// State of one stream inside an emulated engine. Private to the engine's source files.
+/// State of one stream in an emulated engine. Internal to the engine's source files.
 #pragma once
 
 #include <cstddef>
@@ -17,15 +17,15 @@
   AnswerSeed seed = 0;
   /// Tokens in the whole answer.
   std::uint32_t answer_length = 0;
-  /// Index of the next token to give.
+  /// Index of the next token to emit.
   std::uint32_t next_index = 0;
   std::uint32_t given = 0;
   std::uint32_t prefill_remaining = 0;
   std::uint32_t cached_tokens = 0;
   std::uint32_t imported_tokens = 0;
-  /// Breaks in place of its first token.
+  /// Breaks instead of emitting its first token.
   bool fails = false;
-  /// Index in the ledger's list, or its size limit if the entry is not kept.
+  /// Index in the ledger's list, or the list's size limit if no entry was recorded.
   std::size_t ledger_index = 0;
 };
 
--- a/src/cypresswall/emulation/load_history.h
+++ b/src/cypresswall/emulation/load_history.h
@@ -1,4 +1,4 @@
-/// Past load reports of an emulated engine, so that it can report with a lag.
+/// Past load reports of an emulated engine, from which it reports its load with a lag.
 #pragma once
 
 #include <deque>
@@ -8,17 +8,18 @@
 
 namespace cypresswall::emulation {
 
-/// Keeps at most one report for each slot of kReportInterval, the last made in it.
+/// Keeps at most one report per kReportInterval, the last one made in it.
 class LoadHistory {
  public:
   static constexpr common::Duration kReportInterval = std::chrono::milliseconds(20);
 
-  /// \return true if a report made at `now` would be the first of its slot.
+  /// \return true if a report made at `now` would be the first of its interval.
   bool startsInterval(common::MonotonicTime now) const;
   void record(common::MonotonicTime now, engines::EngineLoad load);
-  /// \return the newest report made at or before `time`, else the oldest kept; null if none.
+  /// \return the newest report made at or before `time`, or else the oldest one; null if there is
+  ///   none.
   const engines::EngineLoad* at(common::MonotonicTime time) const;
-  /// Drops reports that no later call of at() with `time` or more can give.
+  /// Drops reports that at() can't return for `time` or any later time.
   void dropBefore(common::MonotonicTime time);
   void clear() { entries_.clear(); }
 
--- a/src/cypresswall/emulation/machine_list.h
+++ b/src/cypresswall/emulation/machine_list.h
@@ -1,4 +1,4 @@
-/// The platform's machine list, emulated with its lag.
+/// Emulation of the platform's machine list, including its propagation lag.
 #pragma once
 
 #include <deque>
@@ -12,7 +12,7 @@
 
 class EmulatedMachineList final : public object_store::MachineList {
  public:
-  /// \param lag how long a change is hidden
+  /// \param lag time until a change becomes visible to readers
   EmulatedMachineList(common::Duration lag, const common::Clock& clock,
                       common::Scheduler& scheduler)
       : lag_(lag), clock_(clock), scheduler_(scheduler) {}
@@ -21,11 +21,12 @@
 
   /// Adds or replaces a machine; readers see it after the lag.
   void set(object_store::Machine machine);
-  /// Adds or replaces a machine that readers see at once.
+  /// Adds or replaces a machine, visible to readers immediately.
   void setWithoutLag(object_store::Machine machine);
   void setLag(common::Duration lag) { lag_ = lag; }
   void setDown(bool down) { down_ = down; }
-  /// \return the machines that readers see now, ordered by name; all zones if `zone` is empty.
+  /// \return the machines currently visible to readers, ordered by name; of all zones if `zone` is
+  ///   empty.
   std::vector<object_store::Machine> visible(const common::ZoneName& zone) const;
 
  private:
--- a/src/cypresswall/emulation/object_store.h
+++ b/src/cypresswall/emulation/object_store.h
@@ -1,5 +1,5 @@
-/// The platform's object API, emulated with its faults: outages, slowness, answers lost after the
-/// change took effect, gaps in watches, and a store restored to an older state.
+/// Emulation of the platform's object API and its faults: outages, latency, responses lost after a
+/// write took effect, gaps in watches, and a restore to an older state.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,14 @@
 namespace cypresswall::emulation {
 
 struct ObjectStoreFaults {
-  /// Every call fails, nothing is done.
+  /// Every call fails without effect.
   bool down = false;
-  /// From call to answer; a write takes effect halfway.
+  /// Time from call to response; a write takes effect after half of it.
   common::Duration delay{0};
-  /// Writes whose answers are lost, after they took effect or failed.
+  /// Number of writes whose responses will be lost, whether they took effect or failed.
   std::uint32_t lose_next_answers = 0;
-  /// The next answer of a watch that has changes leaves out all but the newest, or the only one;
-  /// cleared when it happened.
+  /// The next watch response with changes omits all but the newest, or the only change; reset once
+  /// it has occurred.
   bool watch_gap = false;
 };
 
@@ -70,14 +70,14 @@
   /// Pending watches fail at once when the store goes down.
   void setFaults(const ObjectStoreFaults& faults);
   const ObjectStoreFaults& faults() const { return faults_; }
-  /// Goes back to the state at `revision`, as a store restored from a backup does. Watches that
-  /// are ahead of it get kCompacted.
+  /// Reverts to the state at `revision`, like a store restored from a backup. Watches that are
+  /// ahead of it fail with kCompacted.
   void restoreToRevision(std::uint64_t revision);
 
   std::uint64_t revision() const { return revision_; }
   /// \return revision of the last write of `key`, zero if there is none.
   std::uint64_t revisionOf(const std::string& key) const;
-  /// \return the object as it is now, without faults; version 0 if there is none.
+  /// \return the current object, unaffected by faults; version 0 if there is none.
   object_store::StoredObject peek(const std::string& key) const;
   const ObjectStoreLedger& ledger() const { return ledger_; }
 
@@ -93,7 +93,7 @@
     object_store::StoreCallback<object_store::ObjectListing> callback;
   };
 
-  /// Runs `effect` after half of the delay, unless the store is down, and gives what it returns to
+  /// Runs `effect` after half of the delay, unless the store is down, and passes its result to
   /// `callback` after the other half.
   template <typename Value, typename Effect>
   void serve(object_store::StoreCallback<Value> callback, Effect effect);
@@ -113,7 +113,7 @@
   ObjectStoreLedger ledger_;
   std::uint64_t revision_ = 0;
   std::map<std::string, Versioned> objects_;
-  /// Every write in order, from which an older state is restored.
+  /// All writes in order, used to restore an older state.
   std::vector<Versioned> history_;
   std::uint64_t next_watch_ = 1;
   std::map<std::uint64_t, PendingWatch> watches_;
--- a/src/cypresswall/emulation/order_fence.h
+++ b/src/cypresswall/emulation/order_fence.h
@@ -1,4 +1,4 @@
-/// The fence of an emulated engine: which orders it obeys.
+/// Fencing of orders to an emulated engine: decides which orders are accepted.
 #pragma once
 
 #include <cstdint>
@@ -8,19 +8,19 @@
 
 namespace cypresswall::emulation {
 
-/// What the fence has to know of the engine to judge an order.
+/// State of the engine on which the verdict on an order depends.
 struct FenceContext {
   std::uint64_t incarnation = 0;
   bool change_in_progress = false;
-  /// True if no stream runs or waits.
+  /// True if no stream is running or waiting.
   bool idle = true;
 };
 
-/// Remembers the highest epoch and the last accepted order, and gives a verdict on each order as
-/// docs/protocols.md sets out. Raising the fence is never refused as busy.
+/// Keeps the highest epoch and the last accepted order, and returns a verdict on each order as
+/// specified in docs/protocols.md. An order to raise the fence is never refused as busy.
 class OrderFence {
  public:
-  /// Judges `order`; one that is accepted becomes the last order.
+  /// Returns the verdict on `order`; an accepted order becomes the last order.
   engines::OrderVerdict judge(const engines::EngineOrder& order, const FenceContext& situation);
 
   const common::Epoch& highestEpoch() const { return highest_epoch_; }
--- a/src/cypresswall/emulation/prefix_cache.cpp
+++ b/src/cypresswall/emulation/prefix_cache.cpp
@@ -5,9 +5,9 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Events that an engine keeps for readers; older ones are a gap to a reader that is far behind.
+/// Events retained for readers; a reader that is further behind sees a gap.
 constexpr std::size_t kRetainedEvents = 4096;
-/// Most events in one batch.
+/// Maximum number of events in one batch.
 constexpr std::size_t kMaximumBatchEvents = 1024;
 
 }  // namespace
--- a/src/cypresswall/emulation/prefix_cache.h
+++ b/src/cypresswall/emulation/prefix_cache.h
@@ -1,5 +1,5 @@
-/// The limited prefix cache of an emulated engine: pieces of KV cache, evicted least recently used
-/// first, with the events that the engine publishes about them.
+/// Bounded prefix cache of an emulated engine: pieces of KV cache with LRU eviction, and the cache
+/// events that the engine publishes.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 
 namespace cypresswall::emulation {
 
-/// How the engine's cache events reach a reader.
+/// Faults in the delivery of cache events to readers.
 struct CacheEventFaults {
-  /// An event can be read only this long after it was made.
+  /// Time until an event becomes readable.
   common::Duration delay{0};
-  /// Share of events that are never published, 0 to 1.
+  /// Fraction of events that are never published, 0 to 1.
   double loss = 0;
 };
 
@@ -28,13 +28,13 @@
   /// \param capacity number of pieces
   PrefixCache(std::uint32_t capacity, const common::Clock& clock, common::RandomSource& random);
 
-  /// Counts the leading pieces that are cached and marks them as used.
+  /// Counts the leading pieces that are cached and marks them as recently used.
   std::uint32_t touchLongestPrefix(const std::vector<common::PieceHash>& pieces);
-  /// Stores pieces, evicting others when full.
+  /// Stores pieces and evicts the least recently used ones when the cache is full.
   void store(const std::vector<common::PieceHash>& pieces);
-  /// Evicts everything, with events.
+  /// Evicts all pieces and publishes the events.
   void clear();
-  /// Forgets everything, events and their numbers included, as a restarted process does.
+  /// Discards all state, including events and their sequence numbers, like a process restart.
   void forget();
 
   void setEventFaults(const CacheEventFaults& faults) { event_faults_ = faults; }
--- a/src/cypresswall/emulation/service.cpp
+++ b/src/cypresswall/emulation/service.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Uses up one of the calls that a fault is set for. \return whether one was left.
+/// Decrements the number of calls that a fault still applies to. \return whether any were left.
 bool consumeOne(std::uint32_t& remaining) {
   if (remaining == 0) {
     return false;
--- a/src/cypresswall/emulation/service.h
+++ b/src/cypresswall/emulation/service.h
@@ -1,5 +1,5 @@
-/// A plain HTTP back end (portal, booking), emulated: it runs whatever it is asked, repeated keys
-/// included, and keeps a ledger of every execution.
+/// Emulation of a plain HTTP back end (portal, booking). It executes every call, including those
+/// with a repeated key, and records every execution in a ledger.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 namespace cypresswall::emulation {
 
 struct ServiceFaults {
-  /// Calls that are refused with "not run".
+  /// Number of calls to refuse with "not run".
   std::uint32_t refuse_next = 0;
-  /// Calls that are broken off and not run.
+  /// Number of calls to break before execution.
   std::uint32_t break_before_run = 0;
-  /// Calls that are run, but whose answer is lost.
+  /// Number of calls to execute whose response is then lost.
   std::uint32_t break_after_run = 0;
-  /// From the execution to the answer.
+  /// Time from execution to response.
   common::Duration delay{0};
-  /// Requests a second that the service says in its answers it takes from all nodes; it runs
-  /// whatever comes.
+  /// Requests per second that the service advertises in its responses as its limit over all nodes;
+  /// it does not enforce the limit.
   std::optional<double> rate_limit = {};
 };
 
@@ -42,11 +42,11 @@
   EmulatedServiceOutcome end = EmulatedServiceOutcome::kAnswered;
   int status = 200;
   std::string body;
-  /// ServiceFaults::rate_limit as it was when the call came.
+  /// ServiceFaults::rate_limit at the time of the call.
   std::optional<double> rate_limit = {};
 };
 
-/// Executions of one request, told apart by request identifier and key.
+/// Executions of one request, identified by request identifier and key.
 struct ServiceExecutionEntry {
   std::string request_id;
   std::string key;
@@ -57,23 +57,24 @@
 
 class EmulatedService {
  public:
-  /// \param answer_time from the execution to the answer without faults
+  /// \param answer_time time from execution to response without faults
   EmulatedService(std::string name, common::Duration answer_time, common::Scheduler& scheduler)
       : name_(std::move(name)), answer_time_(answer_time), scheduler_(scheduler) {}
 
-  /// Runs one call. The callback is called exactly once, never before the call returns.
+  /// Executes one call. The callback is called exactly once, never before the call returns.
   void handle(const EmulatedServiceCall& call, std::function<void(EmulatedServiceAnswer)> callback);
 
   void setFaults(const ServiceFaults& faults) { faults_ = faults; }
   const ServiceFaults& faults() const { return faults_; }
   /// \return the executions, ordered by request identifier and key.
   std::vector<ServiceExecutionEntry> executions() const;
-  /// \return how often calls with `key` were run, over all request identifiers.
+  /// \return number of executions of calls with `key`, over all request identifiers.
   std::uint32_t executionsOfKey(const std::string& key) const;
-  /// \return how often calls of `request_id` were run.
+  /// \return number of executions of calls of `request_id`.
   std::uint32_t executionsOfRequest(const std::string& request_id) const;
 
-  /// \return the body that answers `call`; it names the call, so that a crossed answer shows.
+  /// \return the response body for `call`. It identifies the call, so that a response to another
+  ///   call is detected.
   std::string expectedBody(const EmulatedServiceCall& call) const;
 
  private:
--- a/src/cypresswall/emulation/weight_source.h
+++ b/src/cypresswall/emulation/weight_source.h
@@ -1,4 +1,4 @@
-/// Where emulated engines read model weights from.
+/// Source from which emulated engines load model weights.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace cypresswall::emulation {
 
-/// How a transfer of weights ended.
+/// Result of a transfer of weights.
 struct WeightTransfer {
   bool complete = false;
   std::uint64_t bytes = 0;
-  /// When to ask again if the transfer was refused for load.
+  /// Time after which to retry if the transfer was refused because of load.
   common::Duration retry_after{0};
 };
 
--- a/src/cypresswall/emulation/weight_store.h
+++ b/src/cypresswall/emulation/weight_store.h
@@ -1,4 +1,4 @@
-/// The platform's rate-limited weight store.
+/// Emulation of the platform's rate-limited weight store.
 #pragma once
 
 #include <deque>
@@ -11,15 +11,15 @@
 namespace cypresswall::emulation {
 
 struct WeightStoreSettings {
-  /// Bytes a second over all transfers.
+  /// Bytes per second over all transfers.
   double bytes_per_second = 8e9;
-  /// Transfers under way or queued at once; further ones are refused.
+  /// Maximum number of transfers in progress or queued; further ones are refused.
   std::size_t maximum_transfers = 16;
-  /// Size of weights that setSize() does not know.
+  /// Size of weights for which setSize() was not called.
   std::uint64_t default_bytes = 16'000'000'000;
 };
 
-/// Serves transfers one after another at the full rate.
+/// Serves transfers sequentially at the full rate.
 class EmulatedWeightStore final : public WeightSource {
  public:
   EmulatedWeightStore(WeightStoreSettings settings, const common::Clock& clock,
@@ -34,7 +34,7 @@
   const common::Clock& clock_;
   common::Scheduler& scheduler_;
   std::map<std::string, std::uint64_t> sizes_;
-  /// When each transfer under way ends, in order.
+  /// End times of the pending transfers, in order.
   std::deque<common::MonotonicTime> ends_;
 };
 
