--- a/src/cypresswall/simulation/callback_table.h
+++ b/src/cypresswall/simulation/callback_table.h
@@ -1,4 +1,4 @@
-/// Callbacks by handle, with constant-time removal. Handles are never given out twice.
+/// Callbacks by handle, with constant-time removal. Handles are never reused.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 class CallbackTable {
  public:
-  /// Names one callback; zero is never given out.
+  /// Identifies one callback; never zero.
   using Handle = std::uint64_t;
 
-  /// Keeps `callback` until take(), remove() or clear().
+  /// Stores `callback` until take(), remove() or clear().
   Handle add(std::function<void()> callback);
-  /// \return the callback, which is forgotten; empty if the handle is unknown.
+  /// \return the callback, which is removed from the table; empty if the handle is unknown.
   std::function<void()> take(Handle handle);
   bool contains(Handle handle) const;
-  /// Forgets a callback; unknown handles are ignored.
+  /// Removes a callback; unknown handles are ignored.
   void remove(Handle handle);
-  /// Forgets all callbacks.
+  /// Removes all callbacks.
   void clear();
-  /// \return number of callbacks kept.
+  /// \return number of stored callbacks.
   std::size_t size() const { return size_; }
 
  private:
--- a/src/cypresswall/simulation/event_digest.h
+++ b/src/cypresswall/simulation/event_digest.h
@@ -1,4 +1,4 @@
-/// A running hash of everything that happened in a run: equal digests mean equal runs.
+/// Running hash of all events of a run: equal digests indicate identical runs.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
  public:
   /// Adds one event.
   /// \param what kind of event, such as "deliver"
-  /// \param number any number that tells events of one kind apart
+  /// \param number any number that distinguishes events of one kind
   void add(common::MonotonicTime when, std::string_view what, std::uint64_t number,
            std::string_view content = {});
   std::uint64_t value() const { return value_; }
--- a/src/cypresswall/simulation/external_call.h
+++ b/src/cypresswall/simulation/external_call.h
@@ -1,6 +1,6 @@
-/// Calls from a simulated process to what is no daemon: engines, the platform, services. Request
-/// and answer each take the network's delay and are lost in a cut; the caller learns what it would
-/// learn over a real connection: an answer, that nothing was sent, or nothing certain.
+/// Calls from a simulated process to endpoints that are not daemons: engines, the platform,
+/// services. Request and response each take the network's delay and are lost in a cut. The caller
+/// sees the same outcomes as with a real connection: answered, not sent or unknown.
 #pragma once
 
 #include <functional>
@@ -14,22 +14,22 @@
 
 enum class CallResult : std::uint8_t {
   kAnswered,
-  kNotSent,  ///< the connection failed: nothing reached the other side
-  kUnknown,  ///< something was sent, no answer came within the time limit
+  kNotSent,  ///< the connection failed: nothing reached the endpoint
+  kUnknown,  ///< something was sent, but no response arrived within the time limit
 };
 
-/// How calls of one kind go wrong, besides cuts.
+/// Faults of calls of one kind, in addition to cuts.
 struct CallFaults {
-  /// Share of calls that take effect but whose answer never arrives.
+  /// Fraction of calls that take effect but whose response never arrives.
   double answer_lost = 0;
   FaultKind answer_lost_kind = FaultKind::kEngineAnswerLost;
-  /// Share of requests that arrive up to `late_by` after they were sent.
+  /// Fraction of requests that are delayed by up to `late_by`.
   double late = 0;
   common::Duration late_by = std::chrono::seconds(10);
   FaultKind late_kind = FaultKind::kEngineAnswerLate;
 };
 
-/// The way from one process to one endpoint outside.
+/// Network path from one process to one external endpoint.
 class ExternalPath {
  public:
   ExternalPath(Simulation& simulation, SimulatedProcess& process, NetworkEndpoint endpoint)
@@ -48,7 +48,7 @@
   common::Duration answerDelay() const {
     return simulation_.network().drawDelay(endpoint_.zone, here_.zone);
   }
-  /// \return true in `share` of the calls, and counts the fault then.
+  /// \return true with probability `share`; the fault is then counted.
   bool occurs(double share, FaultKind kind) const;
 
  private:
@@ -58,13 +58,13 @@
   NetworkEndpoint endpoint_;
 };
 
-/// One call. Its `Done` runs in the calling process exactly once, unless that dies first.
+/// One call. Its `Done` runs exactly once in the calling process, unless the process dies first.
 template <typename Answer>
 class ExternalCall : public std::enable_shared_from_this<ExternalCall<Answer>> {
  public:
-  /// Gives the endpoint's answer; nothing if the endpoint is down.
+  /// Passes the endpoint's response; nullopt if the endpoint is down.
   using Reply = std::function<void(std::optional<Answer>)>;
-  /// What happens at the endpoint when the request arrives.
+  /// Executed at the endpoint when the request arrives.
   using Effect = std::function<void(Reply)>;
   using Done = std::function<void(CallResult, std::optional<Answer>)>;
 
@@ -79,7 +79,7 @@
       : path_(path), faults_(faults), time_limit_(time_limit), effect_(std::move(effect)) {}
 
  private:
-  /// What the process's callback finds when it runs.
+  /// Result for the process's callback, set before it runs.
   struct Completion {
     CallResult result = CallResult::kUnknown;
     std::optional<Answer> answer;
@@ -105,7 +105,8 @@
 
   void arrive() {
     if (path_.requestCut()) {
-      // A new connection can't be made; an old one takes the bytes and never answers.
+      // A new connection can't be established; an existing one accepts the bytes but never
+      // responds.
       if (path_.simulation().random().below(2) == 0) {
         finish(CallResult::kNotSent, std::nullopt);
       }
--- a/src/cypresswall/simulation/fault_counters.h
+++ b/src/cypresswall/simulation/fault_counters.h
@@ -1,5 +1,5 @@
-/// Counts of the faults that really happened in a run. Properties assert on them, so that a run
-/// in which nothing went wrong can't pass for a proof.
+/// Counts of the faults that actually occurred in a run. Property tests assert on them, so that a
+/// property can't pass vacuously because no fault occurred.
 #pragma once
 
 #include <array>
@@ -20,21 +20,22 @@
   kMessageReordered,  ///< messages delayed long enough to be overtaken
   kStoreOutage,       ///< store calls refused during an outage
   kStoreSlow,
-  kStoreAnswerLost,  ///< store writes that took effect though the caller saw no answer
+  kStoreAnswerLost,  ///< store writes that took effect but whose response was lost
   kStoreWatchGap,
-  kStoreRestored,  ///< store set back to an older revision
+  kStoreRestored,  ///< store restored to an older revision
   kMachineLeaving,
   kEngineCrash,
   kEngineCrashInChange,
-  kEngineAnswerLost,  ///< orders that took effect though the caller saw no answer
+  kEngineAnswerLost,  ///< orders that took effect but whose response was lost
   kEngineAnswerLate,
   kStreamBroken,
-  kServiceBrokenBefore,  ///< service calls broken before the service ran them
-  kServiceBrokenAfter,   ///< service calls broken after the service ran them
-  kServiceAnswerLate,    ///< service calls that arrived after the caller gave up, or nearly
+  kServiceBrokenBefore,  ///< service calls broken before execution
+  kServiceBrokenAfter,   ///< service calls broken after execution
+  kServiceAnswerLate,    ///< service calls that arrived after, or shortly before, the caller's
+                         ///< time-out
   kServiceRefused,
-  kLeaseExpired,  ///< leases that lapsed under a holder that had not given them up
-  kOperatorRace,  ///< operators' changes of which at most one could win
+  kLeaseExpired,  ///< leases that expired although the holder had not released them
+  kOperatorRace,  ///< concurrent operator changes of which at most one could succeed
   kPlannedStop,
   kCount,
 };
@@ -48,7 +49,7 @@
   std::uint64_t count(FaultKind kind) const { return values_[index(kind)]; }
   /// Adds all counts of another run.
   void merge(const FaultCounters& other);
-  /// \return "kill=3 pause=1 ...", only what is not zero.
+  /// \return "kill=3 pause=1 ...", only non-zero counts.
   std::string summary() const;
 
  private:
--- a/src/cypresswall/simulation/fleet/fleet_topology.cpp
+++ b/src/cypresswall/simulation/fleet/fleet_topology.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::simulation {
 namespace {
 
-/// Third part of the IP numbers of a zone's machines of one kind.
+/// "IP:port" of a machine; the last three octets are its kind, zone and number.
 std::string addressOf(std::uint32_t kind, std::uint32_t zone, std::uint32_t number,
                       std::uint32_t port) {
   std::ostringstream address;
@@ -25,7 +25,7 @@
 constexpr std::uint32_t kNodePort = 7000;
 constexpr std::uint32_t kEnginePort = 8001;
 constexpr std::uint32_t kBackendPort = 8100;
-/// Nodes of a zone under one generation of addresses, at most.
+/// Maximum number of nodes of a zone in one generation of addresses.
 constexpr std::uint32_t kAddressesPerGeneration = 20;
 
 void writeZones(std::ostream& file, const FleetTopology& topology) {
--- a/src/cypresswall/simulation/fleet/fleet_topology.h
+++ b/src/cypresswall/simulation/fleet/fleet_topology.h
@@ -1,4 +1,4 @@
-/// The places, machines and declared objects of a simulated fleet.
+/// Zones, machines and declared objects of a simulated fleet.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,7 @@
 
 namespace cypresswall::simulation {
 
-/// Sizes of a generated fleet. Everything in it has a name and an address that follow from its
-/// zone and its number.
+/// Sizes of a generated fleet. Names and addresses are derived from zone and number.
 struct FleetTopology {
   std::uint32_t zones = 2;
   std::uint32_t nodes_per_zone = 3;
@@ -19,17 +18,18 @@
   std::uint32_t backends_per_zone = 1;
 };
 
-/// Names of what every generated fleet declares.
+/// Names of the objects that every generated fleet declares.
 inline constexpr const char* kModelName = "assistant-lm";
 inline constexpr const char* kModelVersion = "2026-12";
 inline constexpr const char* kModelServiceName = "assistant";
 inline constexpr const char* kHttpServiceName = "booking";
-/// Operations of the HTTP service: polls may be repeated, bookings may not.
+/// Operations of the HTTP service: polls are idempotent, bookings are not.
 inline constexpr const char* kRepeatablePath = "/slots";
 inline constexpr const char* kOncePath = "/bookings";
 
 common::ZoneName zoneName(std::uint32_t zone);
-/// \return internal address of a node; `generation` counts replacements under a new address.
+/// \return internal address of a node; `generation` is incremented when it is replaced under a new
+///   address.
 common::Address nodeAddress(std::uint32_t zone, std::uint32_t node, std::uint32_t generation = 0);
 common::MachineName nodeMachine(std::uint32_t zone, std::uint32_t node,
                                 std::uint32_t generation = 0);
@@ -39,10 +39,10 @@
 common::Address backendAddress(std::uint32_t zone, std::uint32_t backend);
 common::MachineName backendMachine(std::uint32_t zone, std::uint32_t backend);
 
-/// \return the IP number of an "IP:port" address.
+/// \return the IP address of an "IP:port" address.
 std::string ipOf(const common::Address& address);
 
-/// \return everything that the fleet declares, as the first change of its configuration.
+/// \return all declarations of the fleet, as the first change of its configuration.
 std::vector<configuration::ObjectChange> declarations(const FleetTopology& topology);
 
 }  // namespace cypresswall::simulation
--- a/src/cypresswall/simulation/fleet/simulated_callers.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_callers.cpp
@@ -65,7 +65,7 @@
 }
 
 void CallerConnection::endModel(std::uint64_t session) {
-  // The executor is in the middle of a call to the session.
+  // Deferred, since the executor is still inside a call to the session.
   process_.deliverAfter(common::Duration{0}, [this, session] { models_.erase(session); });
 }
 
--- a/src/cypresswall/simulation/fleet/simulated_callers.h
+++ b/src/cypresswall/simulation/fleet/simulated_callers.h
@@ -1,5 +1,5 @@
-/// Callers of a simulated fleet: they send requests to nodes, as clients of the HTTP front do, and
-/// keep what they were told.
+/// Callers of a simulated fleet: they send requests to nodes, like clients of the HTTP interface,
+/// and record the responses.
 #pragma once
 
 #include <cstdint>
@@ -16,38 +16,39 @@
 
 namespace cypresswall::simulation {
 
-/// How a request ended, as its caller saw it.
+/// Result of a request as seen by its caller.
 enum class CallerResult : std::uint8_t {
-  kOpen,  ///< no end yet
+  kOpen,  ///< still in progress
   kDone,
-  kError,         ///< a final answer that is an error; see `error`
-  kBroken,        ///< the connection ended first: the caller knows nothing
-  kNotConnected,  ///< no process listened at the node's address
+  kError,   ///< a final error response; see `error`
+  kBroken,  ///< the connection was lost before a final response: the outcome is unknown to the
+            ///< caller
+  kNotConnected,  ///< no process was listening at the node's address
 };
 
-/// One request of a caller and all that became of it.
+/// One request of a caller and its results.
 struct CallerRecord {
   std::string request_id;
   std::string key;
   CallerResult result = CallerResult::kOpen;
   execution::ExecutionError error;
-  /// Answer so far: tokens of a model, or body of a service.
+  /// Answer received so far: tokens of a model, or body of a service response.
   std::string answer;
   std::uint32_t tokens = 0;
-  /// Tokens that did not come in order, each once.
+  /// Number of tokens received with another index than expected.
   std::uint32_t misplaced_tokens = 0;
-  /// Calls after the last one.
+  /// Number of calls received after the final one.
   std::uint32_t late_calls = 0;
   /// Also serves as the request's fingerprint.
   std::uint64_t content_hash = 0;
   std::uint32_t maximum_tokens = 0;
   common::MonotonicTime asked_at;
   common::MonotonicTime ended_at;
-  /// The process that took the request.
+  /// The process that accepted the request.
   common::NodeId node;
 };
 
-/// The front of one process: holds its open requests, which break when it dies.
+/// Client connections of one process: owns its open requests, which break when the process dies.
 class CallerConnection {
  public:
   CallerConnection(Simulation& simulation, SimulatedProcess& process);
@@ -55,13 +56,13 @@
   CallerConnection(const CallerConnection&) = delete;
   CallerConnection& operator=(const CallerConnection&) = delete;
 
-  /// Notes a request that was sent to this process, from the moment its connection exists.
+  /// Registers a request sent to this process, as soon as its connection exists.
   void expect(CallerRecord& record);
   void startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
                       std::uint32_t prompt_tokens);
   void startServiceCall(execution::ServiceExecutor& executor, CallerRecord& record,
                         execution::ServiceCallRequest request);
-  /// \return number of requests without an end.
+  /// \return number of requests in progress.
   std::size_t open() const { return open_.size(); }
 
  private:
--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -187,9 +187,9 @@
                        [](const NodeSlot& slot) { return slot.node->ready(); });
   };
   if (!time().runUntilTrue(ready, kBringUpLimit)) {
-    throw FleetError("the nodes did not become ready");
+    throw FleetError("the nodes did not become ready within the time limit");
   }
-  // Zones have to know each other before all of them can approve a change.
+  // Zones must have discovered each other before all of them can approve a change.
   time().runFor(std::chrono::seconds(5));
   if (settings_.declared == nullptr) {
     declareFleet();
@@ -267,7 +267,7 @@
   execution::ServiceCallRequest request;
   request.method = "POST";
   request.target = kOncePath;
-  // One key stands for one booking, with one content.
+  // A key identifies one booking, so its content must always be the same.
   request.body = key;
   request.idempotency_key = key;
   return callService(index, "booking", std::move(request));
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -1,5 +1,5 @@
-/// A whole fleet in virtual time: nodes with the daemon's real deciding modules, emulated engines,
-/// services and platform, and callers.
+/// A complete fleet in virtual time: nodes that run the daemon's real decision modules, emulated
+/// engines, services and platform, and callers.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 namespace cypresswall::simulation {
 
-/// A fleet that does not come up within its bound.
+/// The fleet did not start within the time limit.
 class FleetError : public common::Error {
  public:
   using common::Error::Error;
@@ -30,11 +30,11 @@
 struct FleetSettings {
   FleetTopology topology;
   NetworkSettings network;
-  /// Addresses, machine and seeds are filled in for each node.
+  /// Addresses, machine and seeds are set for each node.
   node::NodeSettings node;
-  /// Names and model are filled in for each engine.
+  /// Names and model are set for each engine.
   emulation::EngineSettings engine;
-  /// Clocks of the processes run fast or slow by up to this.
+  /// Maximum drift of the processes' clocks, fast or slow.
   std::int64_t maximum_drift_ppm = 200;
   common::Duration service_answer_time = std::chrono::milliseconds(5);
   common::LogSink* log = nullptr;
@@ -42,17 +42,17 @@
   configuration::ConfigurationView* declared = nullptr;
 };
 
-/// One place for a node; processes come and go in it.
+/// Slot for one node; at most one process runs in it at a time.
 struct NodeSlot {
   std::uint32_t zone = 0;
   std::uint32_t number = 0;
-  /// Counts replacements under a new address.
+  /// Number of replacements under a new address.
   std::uint32_t generation = 0;
   /// Null while no process runs.
   SimulatedProcess* process = nullptr;
   node::Node* node = nullptr;
   CallerConnection* front = nullptr;
-  /// Start again once the planned stop under way has ended.
+  /// Restart once the planned stop in progress has completed.
   bool restart_wanted = false;
 };
 
@@ -60,7 +60,7 @@
  public:
   SimulatedFleet(std::uint64_t seed, FleetSettings settings);
 
-  /// Starts all nodes, waits until they are ready and puts the declarations in force.
+  /// Starts all nodes, waits until they are ready and applies the declarations.
   /// \throws FleetError if that takes longer than a minute
   void bringUp();
 
@@ -79,39 +79,40 @@
   void startNode(std::size_t index);
   /// Kills the process in a slot, if there is one.
   void killNode(std::size_t index);
-  /// Begins a planned stop; the process ends by itself when nothing runs on it any more.
+  /// Begins a planned stop; the process exits once no work is running on it.
   void stopNode(std::size_t index);
   void pauseNode(std::size_t index, common::Duration duration);
-  /// Starts a process in an empty slot on a new machine with a new address; the machine of the
-  /// earlier one is shown as gone.
+  /// Starts a process in an empty slot on a new machine with a new address; the previous machine is
+  /// listed as gone.
   void replaceNode(std::size_t index);
-  /// Cuts one node off from all others of its zone, both ways.
+  /// Cuts the links between one node and all others of its zone, in both directions.
   void isolateNode(std::size_t index);
 
   /// Sends a model request to a node.
-  /// \return its record, valid as long as the fleet
+  /// \return its record, valid for the lifetime of the fleet
   CallerRecord& sendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
                                  std::uint32_t maximum_tokens);
-  /// The same for a request that its caller has sent before, under another identifier.
-  /// \param content hash of the prompt's text, by which nodes and engines know the request again
+  /// Sends a request again that its caller has sent before, under a new identifier.
+  /// \param content hash of the prompt's text, by which nodes and engines recognize the repeated
+  ///   request
   CallerRecord& resendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
                                    std::uint32_t maximum_tokens, std::uint64_t content);
-  /// Sends a booking, which may run at most once, to a node.
-  /// \param key idempotency key, empty for none
+  /// Sends a booking, which must be executed at most once, to a node.
+  /// \param key idempotency key; empty for none
   CallerRecord& book(std::size_t index, const std::string& key);
-  /// Sends a poll, which may be repeated, to a node.
+  /// Sends a poll, which is idempotent, to a node.
   CallerRecord& poll(std::size_t index);
-  /// Submits a change of the configuration at a node.
+  /// Submits a configuration change at a node.
   /// \param callback not called if the process dies first
   void submit(std::size_t index, configuration::ConfigurationChangeRequest request,
               configuration::CommitCallback callback);
 
   const std::deque<CallerRecord>& records() const { return records_; }
-  /// \return number of requests without an end.
+  /// \return number of requests in progress.
   std::size_t openRequests() const;
-  /// \return the whole answer that `record` should get.
+  /// \return the complete answer that `record` is expected to receive.
   static std::string expectedAnswer(const CallerRecord& record);
-  /// \return true if every running node has at least this version in force.
+  /// \return true if every running node has applied at least this version.
   bool everyNodeHasVersion(std::uint64_t version) const;
 
  private:
@@ -128,7 +129,7 @@
   ClockSettings drawClock();
 
   FleetSettings settings_;
-  // Callers write their records until the simulation has ended their processes.
+  // Must outlive the simulation, whose processes write to the records until they are destroyed.
   std::deque<CallerRecord> records_;
   std::vector<NodeSlot> slots_;
   Simulation simulation_;
--- a/src/cypresswall/simulation/simulated_engines.h
+++ b/src/cypresswall/simulation/simulated_engines.h
@@ -1,5 +1,5 @@
-/// The emulated engines of a simulated run, reached by address, and the client through which the
-/// daemon processes talk to them.
+/// Emulated engines of a simulated run, by address, and the client through which the daemon
+/// processes call them.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 namespace cypresswall::simulation {
 
-/// How calls to engines go wrong.
+/// Faults of calls to engines.
 struct EngineCallFaults {
   CallFaults orders;
   CallFaults reports;
-  /// Share of streams whose start takes effect though the connection breaks at once.
+  /// Fraction of streams whose start takes effect although the connection breaks immediately.
   double stream_start_broken = 0;
 };
 
-/// All engines; lives outside the processes, on true time.
+/// All engines; not part of any process, and run on true time.
 class SimulatedEngines {
  public:
   explicit SimulatedEngines(Simulation& simulation, emulation::WeightSource* weights = nullptr);
@@ -37,14 +37,14 @@
     return engines_;
   }
 
-  /// Keeps a stream's connection alive while an engine refers to it, until release().
+  /// Keeps a stream's connection alive until release(), because an engine references it.
   void retain(const std::shared_ptr<void>& connection) { retained_[connection.get()] = connection; }
   void release(const void* connection) { retained_.erase(connection); }
 
   EngineCallFaults faults;
 
  private:
-  /// Lets engines fetch each other's KV cache.
+  /// Transfers KV cache between engines.
   class KvDirectory final : public emulation::KvPeer {
    public:
     explicit KvDirectory(SimulatedEngines& engines) : engines_(engines) {}
@@ -60,16 +60,16 @@
   emulation::WeightSource* weights_;
   KvDirectory kv_peer_{*this};
   std::map<common::Address, common::ZoneName> zones_;
-  /// Outlive the engines, which refer to them.
+  /// Must outlive the engines, which reference them.
   std::map<const void*, std::shared_ptr<void>> retained_;
   std::map<common::Address, std::unique_ptr<emulation::EmulatedEngine>> engines_;
 };
 
-/// Limits of the client, as in the daemon's HTTP client.
+/// Time limits of the client, as in the daemon's HTTP client.
 struct EngineClientSettings {
   common::Duration order_time_limit = std::chrono::seconds(2);
   common::Duration report_time_limit = std::chrono::seconds(1);
-  /// How long a stream whose connection is cut stays silent before it counts as broken.
+  /// Time after which a stream whose connection is cut is detected as broken.
   common::Duration break_detection_time = std::chrono::seconds(3);
 };
 
--- a/src/cypresswall/simulation/simulated_network.h
+++ b/src/cypresswall/simulation/simulated_network.h
@@ -1,5 +1,5 @@
-/// The network between simulated processes: delay, loss, duplication, reordering and cuts, all
-/// drawn from the run's seed.
+/// Network between simulated processes with delay, loss, duplication, reordering and cuts, all
+/// derived from the run's seed.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,14 @@
 
 class SimulatedProcess;
 
-/// Behaviour of the links in one direction between two zones, or inside one.
+/// Behaviour of the links in one direction between two zones, or within one zone.
 struct LinkSettings {
   common::Duration delay = std::chrono::microseconds(100);
   /// Upper bound of a uniformly distributed addition to the delay.
   common::Duration jitter = std::chrono::microseconds(50);
   double loss = 0;
   double duplication = 0;
-  /// Share of messages that are held back by up to `reorder_delay`.
+  /// Fraction of messages that are delayed by up to `reorder_delay`.
   double reordering = 0;
   common::Duration reorder_delay = std::chrono::milliseconds(20);
 };
@@ -35,11 +35,11 @@
   LinkSettings inside_zone;
   LinkSettings between_zones{.delay = std::chrono::microseconds(1500),
                              .jitter = std::chrono::microseconds(200)};
-  /// Sends every message through its wire encoding. Costs time; off for long experiments.
+  /// Encodes and decodes every message in its wire format. Slow; disabled for long experiments.
   bool encode_messages = true;
 };
 
-/// Where something that sends or receives is found.
+/// Address and zone of a sender or receiver.
 struct NetworkEndpoint {
   common::Address address;
   common::ZoneName zone;
@@ -50,37 +50,38 @@
   SimulatedNetwork(NetworkSettings settings, std::uint64_t seed, VirtualTime& time,
                    FaultCounters& faults, EventDigest& digest);
 
-  /// Makes `process` the one that is reached at its address.
+  /// Delivers messages for the address of `process` to it.
   void attach(SimulatedProcess& process);
-  /// Forgets `process` if it still is the one at its address.
+  /// Stops delivery to `process` if it is still the one attached at its address.
   void detach(const SimulatedProcess& process);
-  /// Takes one message from a process.
+  /// Sends one message from a process.
   void send(const SimulatedProcess& sender, api::Envelope envelope);
 
-  /// Sets the behaviour of the links from one zone to another (or inside, if they are equal).
+  /// Sets the behaviour of the links from one zone to another (or within a zone, if they are
+  /// equal).
   void setLink(const common::ZoneName& from, const common::ZoneName& to, LinkSettings settings);
-  /// Changes the behaviour of all links that were not set one by one.
+  /// Changes the behaviour of all links that were not set individually.
   void setDefaults(LinkSettings inside_zone, LinkSettings between_zones);
 
-  /// Cuts all links between two zones, both ways.
+  /// Cuts all links between two zones in both directions.
   void cutZones(const common::ZoneName& first, const common::ZoneName& second);
-  /// Cuts what goes from one zone to another; the way back still works.
+  /// Cuts the links from one zone to another; the opposite direction still works.
   void cutOneWay(const common::ZoneName& from, const common::ZoneName& to);
-  /// Cuts what goes from one address to another.
+  /// Cuts the link from one address to another.
   void cutAddresses(const common::Address& from, const common::Address& to);
   void healZones(const common::ZoneName& first, const common::ZoneName& second);
   /// Ends all cuts.
   void healAll();
   /// \return true while any cut is in force.
   bool anyCut() const { return !zone_cuts_.empty() || !address_cuts_.empty(); }
-  /// \return true if nothing gets from one place to another now.
+  /// \return true if messages from one endpoint to the other are currently dropped by a cut.
   bool cutBetween(const NetworkEndpoint& from, const NetworkEndpoint& to) const;
 
-  /// Draws the delay of one message, also for clients of engines and platform.
+  /// Draws the delay of one message; also used by the clients of engines and platform.
   common::Duration drawDelay(const common::ZoneName& from, const common::ZoneName& to);
-  /// \return messages handed over so far.
+  /// \return number of messages delivered so far.
   std::uint64_t deliveredMessages() const { return delivered_; }
-  /// \return encoded bytes sent so far; zero unless messages are encoded.
+  /// \return number of encoded bytes sent so far; zero unless messages are encoded.
   std::uint64_t sentBytes() const { return sent_bytes_; }
 
  private:
--- a/src/cypresswall/simulation/simulated_platform.cpp
+++ b/src/cypresswall/simulation/simulated_platform.cpp
@@ -106,7 +106,7 @@
 void SimulatedObjectStore::compareAndSet(
     object_store::ObjectWrite write,
     object_store::StoreCallback<object_store::StoredObject> callback) {
-  // The emulated store says itself that an answer was lost, so the count is taken there.
+  // The emulated store records lost responses itself, so they are counted from its result.
   auto counted = [this, callback = std::move(callback)](auto result) {
     if (!result.ok() && result.failure().kind == object_store::StoreFailure::kUnknownOutcome) {
       simulation_.faults().add(FaultKind::kStoreAnswerLost);
--- a/src/cypresswall/simulation/simulated_platform.h
+++ b/src/cypresswall/simulation/simulated_platform.h
@@ -1,5 +1,6 @@
-/// The platform of a simulated run, store and machine list, and the clients through which the
-/// daemon processes reach it. It stands in a zone of its own, so that any zone can be cut off.
+/// Platform of a simulated run (object store and machine list), and the clients through which the
+/// daemon processes access it. The platform has its own zone, so that any zone can be cut off from
+/// it.
 #pragma once
 
 #include <string>
@@ -13,13 +14,13 @@
 namespace cypresswall::simulation {
 
 struct PlatformSettings {
-  /// How long the machine list hides a change.
+  /// Time until a change becomes visible in the machine list.
   common::Duration machine_list_lag = std::chrono::milliseconds(500);
 };
 
 class SimulatedPlatform {
  public:
-  /// Name of the platform's zone for cuts.
+  /// Name of the platform's zone, for use in cuts.
   static constexpr const char* kZone = "platform";
 
   explicit SimulatedPlatform(Simulation& simulation, PlatformSettings settings = {});
@@ -28,15 +29,15 @@
   emulation::EmulatedMachineList& machines() { return machines_; }
   static NetworkEndpoint place() { return {"platform:1", kZone}; }
 
-  /// Switches an outage of store and machine list on or off; counts the fault when it begins.
+  /// Starts or ends an outage of store and machine list; the fault is counted at its start.
   void setDown(bool down);
-  /// Makes every call of the store take this long; counts the fault unless it is zero.
+  /// Sets the delay of every call to the store; counts a fault unless the delay is zero.
   void setSlow(common::Duration delay);
-  /// Loses the answers of the next writes.
+  /// Drops the responses to the next `count` writes.
   void loseAnswers(std::uint32_t count);
-  /// Leaves changes out of the next answer of a watch.
+  /// Omits changes from the next watch response.
   void leaveWatchGap();
-  /// Sets the store back by `revisions`.
+  /// Restores the store to the state `revisions` revisions earlier.
   void restore(std::uint64_t revisions);
   /// Marks a machine as leaving (or gone) and counts the fault.
   void setMachineState(const common::MachineName& machine, object_store::MachineState state);
--- a/src/cypresswall/simulation/simulated_process.cpp
+++ b/src/cypresswall/simulation/simulated_process.cpp
@@ -138,7 +138,7 @@
   }
   paused_ = false;
   orderDeferredEvents();
-  // Each runs as an event of its own, so that a pause that begins in between holds the rest.
+  // Each runs as a separate event, so that a pause that begins in between defers the rest.
   for (const DeferredEvent& event : std::exchange(deferred_, {})) {
     const auto handle = event.handle;
     const auto source = event.source;
--- a/src/cypresswall/simulation/simulated_process.h
+++ b/src/cypresswall/simulation/simulated_process.h
@@ -1,5 +1,5 @@
-/// One daemon process of a simulated run: its own clock with offset and drift, its timers, its
-/// random numbers, and the modules that live in it. It can be paused, woken and killed.
+/// One daemon process of a simulated run, with its own clock (offset and drift), timers, random
+/// numbers and modules. It can be paused, resumed and killed.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 class SimulatedNetwork;
 
-/// How a process's own clock differs from the true time.
+/// Deviation of a process's clock from the true time.
 struct ClockSettings {
   common::Duration offset{0};
   /// Parts per million by which the clock runs fast (positive) or slow (negative).
@@ -33,8 +33,8 @@
   common::LogSink* log = nullptr;
 };
 
-/// Life of a process. A killed one stays as an empty shell until the run ends, so that events on
-/// their way to it find nothing but its death.
+/// A simulated process. After kill() the object remains, without modules, until the run ends, so
+/// that pending events for it can be discarded safely.
 class SimulatedProcess final : private common::Clock,
                                private common::Scheduler,
                                private api::PeerTransport {
@@ -43,13 +43,14 @@
                    FaultCounters& faults);
   ~SimulatedProcess() override;
 
-  /// What the modules of this process are built from.
+  /// Context from which the modules of this process are constructed.
   api::ProcessContext& context() { return context_; }
   const common::NodeId& id() const { return settings_.self; }
   const common::ZoneName& zone() const { return settings_.zone; }
   const common::CounterRegistry& counters() const { return counters_; }
 
-  /// Builds a module that lives in this process; destroyed, last one first, when it dies.
+  /// Constructs a module owned by this process; modules are destroyed in reverse order when the
+  /// process dies.
   template <typename Module, typename... Arguments>
   Module& emplace(Arguments&&... arguments) {
     auto module = std::make_shared<Module>(std::forward<Arguments>(arguments)...);
@@ -58,34 +59,36 @@
     return reference;
   }
 
-  /// Runs `callback` in this process `delay` of true time from now: late if it is paused then,
-  /// never if it is dead. Answers from outside (store, engines, services) come in this way.
+  /// Runs `callback` in this process after `delay` of true time: on resume if the process is paused
+  /// by then, never if it is dead. Used for responses of external endpoints (store, engines,
+  /// services).
   void deliverAfter(common::Duration delay, std::function<void()> callback);
-  /// Keeps `callback` until trigger() runs it or forget() drops it; dropped when the process dies.
+  /// Stores `callback` until trigger() runs it, forget() drops it or the process dies.
   /// \return zero if the process is dead.
   CallbackTable::Handle keep(std::function<void()> callback);
-  /// Runs a kept callback in this process, on wake if it is paused. Unknown handles are ignored.
+  /// Runs a stored callback in this process, on resume if it is paused. Unknown handles are
+  /// ignored.
   void trigger(CallbackTable::Handle handle) { fire(handle, EventSource::kExternal); }
   void forget(CallbackTable::Handle handle) { callbacks_.remove(handle); }
-  /// \return true if a kept callback has not yet run.
+  /// \return true if the stored callback has not run yet.
   bool pending(CallbackTable::Handle handle) const { return callbacks_.contains(handle); }
-  /// Runs `callback` in this process now, on wake if it is paused, never if it is dead.
+  /// Runs `callback` in this process now, on resume if it is paused, never if it is dead.
   void deliver(std::function<void()> callback);
-  /// Hands a received message to the process's dispatcher.
+  /// Passes a received message to the process's dispatcher.
   void receive(api::Envelope envelope);
 
-  /// Holds all events of this process until resume(). Ignored if paused or dead.
+  /// Defers all events of this process until resume(). Ignored if paused or dead.
   void pause();
-  /// Runs what was held, now, in an order drawn from the seed: timers first, messages and answers
-  /// first, or as they came.
+  /// Runs the deferred events now. Their order is drawn from the seed: timers first, messages and
+  /// responses first, or order of arrival.
   void resume();
-  /// Drops all pending callbacks, then destroys the modules. If called by the process itself, it
-  /// dies at the end of the running callback.
+  /// Drops all pending callbacks, then destroys the modules. If called from within the process,
+  /// this happens after the running callback returns.
   void kill();
 
   bool alive() const { return alive_; }
   bool paused() const { return paused_; }
-  /// \return messages that no module understood.
+  /// \return number of messages that no module handled.
   std::uint64_t undispatchedMessages() const { return undispatched_; }
 
  private:
@@ -101,7 +104,7 @@
   void send(api::Envelope envelope) override;
 
   common::MonotonicTime localTime(common::MonotonicTime true_time) const;
-  /// \return the true time that passes until this clock has advanced by `local`.
+  /// \return the true time that elapses while this clock advances by `local`.
   common::Duration toTrueDuration(common::Duration local) const;
   void fire(CallbackTable::Handle handle, EventSource source);
   void run(CallbackTable::Handle handle);
--- a/src/cypresswall/simulation/simulated_services.cpp
+++ b/src/cypresswall/simulation/simulated_services.cpp
@@ -9,7 +9,7 @@
 constexpr const char* kKeyHeader = "Idempotency-Key";
 constexpr const char* kOutcomeHeader = "X-Cypresswall-Outcome";
 
-/// Lets a call be abandoned: its answer then finds nobody.
+/// Handle of a call; destroying it abandons the call, and its response is discarded.
 class AbandonableCall final : public services::ServiceCall {
  public:
   using Callback = std::function<void(services::ServiceResponse)>;
@@ -125,7 +125,7 @@
                     [reply = std::move(reply)](Answer answer) { reply(std::move(answer)); });
   };
   auto done = [kept = call->callback()](CallResult result, std::optional<Answer> answer) {
-    // The callback may destroy the call, and with it the function that is running.
+    // The callback may destroy the call and with it the running function, so it is moved out first.
     const auto run = std::exchange(*kept, nullptr);
     if (run) {
       run(responseOf(result, std::move(answer)));
--- a/src/cypresswall/simulation/simulated_services.h
+++ b/src/cypresswall/simulation/simulated_services.h
@@ -1,5 +1,5 @@
-/// The plain HTTP back ends of a simulated run, reached by address, and the client through which
-/// the daemon processes call them.
+/// HTTP back ends of a simulated run, by address, and the client through which the daemon processes
+/// call them.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace cypresswall::simulation {
 
-/// All back ends; lives outside the processes, on true time.
+/// All back ends; not part of any process, and run on true time.
 class SimulatedServices {
  public:
   explicit SimulatedServices(Simulation& simulation) : simulation_(simulation) {}
@@ -23,18 +23,18 @@
   /// \return null if no back end has the address.
   emulation::EmulatedService* find(const common::Address& address) const;
   NetworkEndpoint placeOf(const common::Address& address) const;
-  /// \return how often calls with `key` were run, over all back ends.
+  /// \return number of executions of calls with `key`, over all back ends.
   std::uint32_t executionsOfKey(const std::string& key) const;
-  /// \return how often calls of `request_id` were run, over all back ends.
+  /// \return number of executions of calls of `request_id`, over all back ends.
   std::uint32_t executionsOfRequest(const std::string& request_id) const;
   const std::map<common::Address, std::unique_ptr<emulation::EmulatedService>>& all() const {
     return services_;
   }
-  /// Notes that a call reached a back end.
+  /// Records that a call reached a back end.
   void arrived(const common::Address& address) {
     arrivals_[address].push_back(simulation_.time().now());
   }
-  /// \return when each call reached a back end, refused and broken ones included
+  /// \return times at which calls reached the back end, including refused and broken ones
   const std::vector<common::MonotonicTime>& arrivals(const common::Address& address) {
     return arrivals_[address];
   }
--- a/src/cypresswall/simulation/simulated_stream.cpp
+++ b/src/cypresswall/simulation/simulated_stream.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-/// Both directions of one connection. It stays alive until neither end needs it.
+/// Both directions of one connection. It stays alive until neither side needs it.
 class SimulatedStream::Connection final : public emulation::StreamObserver,
                                           public std::enable_shared_from_this<Connection> {
  public:
@@ -39,7 +39,7 @@
     scheduleRead(common::Duration{0});
   }
 
-  /// The process closed its end, or died.
+  /// Called when the process has closed its side or died.
   void close() {
     handler_ = nullptr;
     incoming_.clear();
@@ -62,7 +62,7 @@
   }
 
  private:
-  /// What travels from the engine to the process.
+  /// An event sent from the engine to the process.
   struct Event {
     enum class Kind : std::uint8_t { kHead, kToken, kFinished, kFailed };
     Kind kind = Kind::kToken;
@@ -89,7 +89,7 @@
       fail(engines::StreamFailure::kNotSent);
       return;
     }
-    // The engine keeps a plain reference to its observer.
+    // The engine holds a non-owning reference to its observer.
     engines_.retain(shared_from_this());
     engine_side_ended_ = false;
     const bool pass_through = request_.pass_through != nullptr;
@@ -107,7 +107,8 @@
       receiveLater(Event{Event::Kind::kHead, 0, address_, {}, {}, {}});
     }
     if (closed_) {
-      // The end of the connection follows the request that is still on its way.
+      // The process has closed the connection before the request arrived; the close arrives after
+      // the request.
       later(path_.requestDelay(), [](Connection& self) { self.handlePeerClose(); });
     } else if (path_.occurs(engines_.faults.stream_start_broken, FaultKind::kStreamBroken)) {
       breakConnection();
@@ -118,7 +119,7 @@
     if (engine_side_ended_) {
       return;
     }
-    // In a cut the engine notices the loss of its client only when its writes fail.
+    // In a cut, the engine detects the loss of its client only when its writes fail.
     if (path_.requestCut()) {
       later(break_detection_time_, [](Connection& self) { self.cancelOnEngine(); });
       return;
@@ -139,7 +140,7 @@
 
   void endEngineSide() {
     engine_side_ended_ = true;
-    // The engine may be in the middle of a call to this object.
+    // Deferred, since the engine may still be inside a call to this object.
     later(common::Duration{0}, [](Connection& self) { self.engines_.release(&self); });
   }
 
@@ -147,7 +148,7 @@
     receiveLater(Event{Event::Kind::kFailed, 0, {}, {}, failure, {}});
   }
 
-  /// The connection is gone; both ends notice after a while.
+  /// Breaks the connection; both sides detect it after break_detection_time_.
   void breakConnection() {
     if (std::exchange(broken_, true)) {
       return;
@@ -237,11 +238,11 @@
   std::string stream_id_;
   std::uint32_t attempt_;
   engines::StreamRequest request_;
-  /// Null once the process closed its end or got its last call.
+  /// Null after the process has closed its side or received the final call.
   engines::StreamHandler* handler_;
   common::Duration break_detection_time_;
   std::deque<Event> incoming_;
-  /// Of the engine's answer, until its first event was handed over.
+  /// Rate limit in the engine's response, until the first event has been delivered.
   std::optional<common::RateLimitNotice> rate_limit_;
   bool engine_side_ended_ = true;
   bool closed_ = false;
--- a/src/cypresswall/simulation/simulated_stream.h
+++ b/src/cypresswall/simulation/simulated_stream.h
@@ -1,6 +1,6 @@
-/// A stream between a simulated process and an emulated engine: tokens in order, in groups as the
-/// engine's steps give them, broken by cuts. An answer that is passed through has a head that names
-/// the engine's address in its field "engine".
+/// Stream between a simulated process and an emulated engine. Tokens arrive in order, grouped by
+/// the engine's steps, and cuts break the stream. A passed-through answer has a header "engine"
+/// that holds the engine's address.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 
 class SimulatedEngines;
 
-/// The process's end; destroying it closes the connection.
+/// The process's side; destroying it closes the connection.
 class SimulatedStream final : public engines::Stream {
  public:
   static std::unique_ptr<SimulatedStream> start(const ExternalPath& path, SimulatedEngines& engines,
--- a/src/cypresswall/simulation/virtual_time.h
+++ b/src/cypresswall/simulation/virtual_time.h
@@ -1,5 +1,5 @@
-/// The true time of a simulated run and the queue of everything that is going to happen. Events of
-/// the same moment run in the order in which they were scheduled, so a run can be replayed.
+/// True time of a simulated run and its event queue. Simultaneous events run in the order in which
+/// they were scheduled, so that a run can be replayed.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,21 @@
 
 namespace cypresswall::simulation {
 
-/// As a Clock and Scheduler it serves whatever lives outside the simulated processes: engines,
-/// stores, the network, fault schedules.
+/// Clock and Scheduler of everything that is not part of a simulated process: engines, stores, the
+/// network, fault schedules.
 class VirtualTime final : public common::Clock, public common::Scheduler {
  public:
   common::MonotonicTime now() const override { return now_; }
   common::TimerId schedule(common::Duration delay, std::function<void()> callback) override;
   void cancel(common::TimerId timer) override;
 
-  /// Runs the next event. \return false if none is left.
+  /// Runs the next event. \return false if the queue is empty.
   bool step();
-  /// Runs every event up to and including `until`, then sets the time to it.
+  /// Runs all events up to and including `until`, then sets the time to it.
   void runUntil(common::MonotonicTime until);
   void runFor(common::Duration duration) { runUntil(now_ + duration); }
-  /// Runs until `condition` holds, asked after each event, or `limit` has passed.
-  /// \return whether it held.
+  /// Runs until `condition` holds, checked after each event, or `limit` has elapsed.
+  /// \return whether the condition held.
   bool runUntilTrue(const std::function<bool()>& condition, common::Duration limit);
 
   /// \return number of events run so far.
--- a/tests/emulation/engine_fixture.h
+++ b/tests/emulation/engine_fixture.h
@@ -1,4 +1,4 @@
-/// One or more emulated engines in virtual time, and observers that record what streams give.
+/// Emulated engines in virtual time, and observers that record the output of streams.
 #pragma once
 
 #include <map>
@@ -40,7 +40,7 @@
   bool broken = false;
 };
 
-/// Engines that reach each other for KV imports by the name in their settings.
+/// Engines that find each other for KV imports by the name in their settings.
 class EngineFixture : public KvPeer {
  public:
   EmulatedEngine& addEngine(EngineSettings settings) {
--- a/tests/emulation/engine_test.cpp
+++ b/tests/emulation/engine_test.cpp
@@ -38,7 +38,7 @@
     CPPUNIT_ASSERT(observer.finished && observer.in_order);
     CPPUNIT_ASSERT_EQUAL(EngineFixture::answerTo(request), observer.answer);
     CPPUNIT_ASSERT_EQUAL(std::string("length"), observer.usage.finish_reason);
-    // 8000 prompt tokens at 16000 a second.
+    // 8000 prompt tokens at 16000 per second.
     CPPUNIT_ASSERT(observer.first_token_at.time_since_epoch() == milliseconds(500));
   }
 
@@ -151,7 +151,7 @@
     decode.startStream(request, output);
     fixture_.time.runFor(seconds(2));
     CPPUNIT_ASSERT_EQUAL(EngineFixture::answerTo(request), output.answer);
-    // 16000 tokens of 128 KiB at 5 GB a second, then one step.
+    // 16000 tokens of 128 KiB at 5 GB/s, followed by one step.
     const auto delay = output.first_token_at.time_since_epoch() - seconds(2);
     CPPUNIT_ASSERT(delay > milliseconds(419) && delay < milliseconds(440));
     CPPUNIT_ASSERT(!prefill.exportKv("a"));
--- a/tests/runtime/asio_scheduler_test.cpp
+++ b/tests/runtime/asio_scheduler_test.cpp
@@ -38,7 +38,7 @@
     AsioScheduler scheduler(context_);
     common::TimerId second = 0;
     bool second_ran = false;
-    // Both are due when the loop starts; the first takes the second back.
+    // Both are due when the loop starts; the first cancels the second.
     scheduler.schedule(common::Duration{0}, [&] { scheduler.cancel(second); });
     second = scheduler.schedule(common::Duration{0}, [&] { second_ran = true; });
     context_.run();
--- a/tests/runtime/bounded_line_writer_test.cpp
+++ b/tests/runtime/bounded_line_writer_test.cpp
@@ -67,7 +67,8 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, writer.takeDropped());
   }
 
-  /// Writes far more than a pipe holds while nobody reads; a write that waits would never return.
+  /// Writes far more than the capacity of a pipe without reading from it; a blocking write would
+  /// never return.
   void writesDoNotBlockOnAStalledReader() {
     Pipe pipe;
     BoundedLineWriter writer(pipe.input(), kMaximumBufferedBytes);
--- a/tests/runtime/curl_multi_test.cpp
+++ b/tests/runtime/curl_multi_test.cpp
@@ -68,13 +68,13 @@
   void requestsAreNeverSentTwice() {
     server_.answer(httpAnswer(200, "first"));
     fetch(request("GET"));
-    // The server takes the next request and closes without an answer. On a reused connection
-    // libcurl would send it again by itself.
+    // The server reads the next request and closes the connection without a response. On a reused
+    // connection libcurl would retry the request by itself.
     server_.answer("", true);
     CurlRequest once = request("POST");
     once.body = "booking";
     CPPUNIT_ASSERT(fetch(once).outcome == CurlOutcome::kBroken);
-    // Whatever was sent before a later request has arrived with it.
+    // Once this request is answered, any retry sent before it would have arrived as well.
     server_.answer(httpAnswer(200, "last"));
     CPPUNIT_ASSERT(fetch(request("GET")).outcome == CurlOutcome::kAnswered);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, server_.requests().size());
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(2, server_.connections());
   }
 
-  /// Kept idle connections would fill up a peer that allows few.
+  /// Idle connections kept for reuse would exhaust a peer that allows only a few.
   void connectionUsedOnceIsClosed() {
     for (int turn = 1; turn <= 2; ++turn) {
       server_.answer(httpAnswer(200, "answer"));
--- a/tests/runtime/socket_poll_test.cpp
+++ b/tests/runtime/socket_poll_test.cpp
@@ -12,7 +12,7 @@
 namespace cypresswall::runtime {
 namespace {
 
-/// Two ends of a local stream.
+/// Both ends of a local stream socket.
 struct SocketPair {
   SocketPair() { CPPUNIT_ASSERT_EQUAL(0, ::socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data())); }
   ~SocketPair() {
--- a/tests/runtime/tcp_peer_transport_test.cpp
+++ b/tests/runtime/tcp_peer_transport_test.cpp
@@ -27,7 +27,7 @@
   std::vector<std::string> lines;
 };
 
-/// One daemon's end of the transport.
+/// Transport of one daemon.
 struct Node {
   Node(asio::io_context& context, std::uint64_t incarnation,
        const common::Address& address = "127.0.0.1:0")
@@ -118,7 +118,7 @@
     left.send({address, 0}, "first");
     CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return right->notes.size() == 1; }));
     right.reset();
-    // The first of these may still go into the old connection, which ends without notice.
+    // The first of these messages may still be written to the old connection and be lost.
     CPPUNIT_ASSERT(testing::runUntil(context_, [&] {
       left.send({address, 0}, "lost");
       return left.counters.total("cypresswall_transport_failed_connects_total") > 0;
--- a/tests/simulation/simulated_clients_test.cpp
+++ b/tests/simulation/simulated_clients_test.cpp
@@ -1,5 +1,5 @@
-/// The simulated clients of engines, platform and services: what arrives, and what a caller learns
-/// when connections are cut, answers are lost or processes die.
+/// Simulated clients of engines, platform and services: which calls take effect, and which outcome
+/// the caller sees when connections are cut, responses are lost or processes die.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <memory>
@@ -20,7 +20,7 @@
 constexpr const char* kServiceAddress = "10.1.0.2:9100";
 const std::string kVersion = "2026-12";
 
-/// Keeps what a stream gave.
+/// Records the output of a stream.
 class RecordingHandler final : public engines::StreamHandler {
  public:
   void onToken(std::uint32_t, std::uint32_t index, const std::string& token) override {
@@ -36,7 +36,7 @@
   std::optional<engines::StreamFailure> failure;
 };
 
-/// Holds what must end with a process.
+/// Owns a stream that must end with its process.
 struct StreamHolder {
   std::unique_ptr<engines::Stream> stream;
 };
--- a/tests/simulation/simulation_test.cpp
+++ b/tests/simulation/simulation_test.cpp
@@ -1,4 +1,5 @@
-/// The simulator itself: order of events, clocks, faults, and that a seed replays a run.
+/// Tests of the simulator: order of events, clocks, faults, and reproducibility of a run from its
+/// seed.
 #include "cypresswall/simulation/simulation.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -22,7 +23,7 @@
   MSGPACK_DEFINE(number)
 };
 
-/// Sends a ping to a random peer every few milliseconds and counts what it gets.
+/// Sends a ping to a random peer every few milliseconds and counts the pings that it receives.
 class PingSender {
  public:
   PingSender(const api::ProcessContext& context, std::vector<common::Address> peers)
