--- a/src/cypresswall/simulation/fleet/fault_schedule.cpp
+++ b/src/cypresswall/simulation/fleet/fault_schedule.cpp
@@ -111,7 +111,7 @@
     faults.break_stream_after_tokens = kBrokenAfterTokens;
   } else {
     faults.crash_in_next_change = true;
-    planned_crashes_.insert(address);
+    armed_crashes_.insert(address);
   }
   engine.setFaults(faults);
 }
@@ -120,36 +120,36 @@
   const auto address = serviceOf(fault);
   emulation::EmulatedService& service = *fleet_.services().find(address);
   emulation::ServiceFaults faults = service.faults();
-  emulation::ServiceFaults& planned = planned_service_faults_[address];
+  emulation::ServiceFaults& armed = armed_service_faults_[address];
   switch (fault.action) {
     case FaultAction::kServiceBreakBefore:
       ++faults.break_before_run;
-      ++planned.break_before_run;
+      ++armed.break_before_run;
       break;
     case FaultAction::kServiceBreakAfter:
       ++faults.break_after_run;
-      ++planned.break_after_run;
+      ++armed.break_after_run;
       break;
     default:
       ++faults.refuse_next;
-      ++planned.refuse_next;
+      ++armed.refuse_next;
       break;
   }
   service.setFaults(faults);
 }
 
 void FaultInjector::countTriggered() {
-  for (const auto& address : planned_crashes_) {
+  for (const auto& address : armed_crashes_) {
     const bool struck = !fleet_.engines().find(address)->faults().crash_in_next_change;
     fleet_.faults().add(FaultKind::kEngineCrashInChange, struck ? 1 : 0);
   }
-  for (const auto& [address, planned] : planned_service_faults_) {
+  for (const auto& [address, armed] : armed_service_faults_) {
     const emulation::ServiceFaults& left = fleet_.services().find(address)->faults();
     fleet_.faults().add(FaultKind::kServiceBrokenBefore,
-                        planned.break_before_run - left.break_before_run);
+                        armed.break_before_run - left.break_before_run);
     fleet_.faults().add(FaultKind::kServiceBrokenAfter,
-                        planned.break_after_run - left.break_after_run);
-    fleet_.faults().add(FaultKind::kServiceRefused, planned.refuse_next - left.refuse_next);
+                        armed.break_after_run - left.break_after_run);
+    fleet_.faults().add(FaultKind::kServiceRefused, armed.refuse_next - left.refuse_next);
   }
   for (const auto& [address, engine] : fleet_.engines().all()) {
     for (const auto& stream : engine->ledger().streams) {
@@ -157,8 +157,8 @@
                           stream.end == emulation::StreamEnd::kBroken ? 1 : 0);
     }
   }
-  planned_crashes_.clear();
-  planned_service_faults_.clear();
+  armed_crashes_.clear();
+  armed_service_faults_.clear();
 }
 
 void FaultInjector::begin(const ScheduledFault& fault) {
--- a/src/cypresswall/simulation/fleet/fault_schedule.h
+++ b/src/cypresswall/simulation/fleet/fault_schedule.h
@@ -79,8 +79,8 @@
   void countTriggered();
 
   SimulatedFleet& fleet_;
-  std::set<common::Address> planned_crashes_;
-  std::map<common::Address, emulation::ServiceFaults> planned_service_faults_;
+  std::set<common::Address> armed_crashes_;
+  std::map<common::Address, emulation::ServiceFaults> armed_service_faults_;
   /// Identifies the current schedule, so that pending faults of an ended one are ignored.
   std::uint64_t schedule_number_ = 0;
 };
--- a/src/cypresswall/simulation/fleet/simulated_callers.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_callers.cpp
@@ -6,10 +6,10 @@
 
 namespace cypresswall::simulation {
 
-class CallerConnection::ModelSession final : public execution::ModelCallObserver {
+class CallerConnections::ModelSession final : public execution::ModelCallObserver {
  public:
-  ModelSession(CallerConnection& front, CallerRecord& record, std::uint64_t number)
-      : front_(front), record_(record), number_(number) {}
+  ModelSession(CallerConnections& connections, CallerRecord& record, std::uint64_t number)
+      : connections_(connections), record_(record), number_(number) {}
 
   void start(execution::ModelExecutor& executor, execution::ModelCall call) {
     execution_ = executor.start(std::move(call), *this);
@@ -23,40 +23,40 @@
   }
   void onFinished(const engines::StreamUsage&) override {
     noteLateCall();
-    front_.ended(record_, CallerResult::kDone);
-    front_.endModel(number_);
+    connections_.finishRequest(record_, CallerResult::kDone);
+    connections_.endModel(number_);
   }
   void onError(const execution::ExecutionError& error) override {
     noteLateCall();
     record_.error = error;
-    front_.ended(record_, CallerResult::kError);
-    front_.endModel(number_);
+    connections_.finishRequest(record_, CallerResult::kError);
+    connections_.endModel(number_);
   }
 
  private:
   void noteLateCall() { record_.late_calls += record_.result == CallerResult::kOpen ? 0 : 1; }
 
-  CallerConnection& front_;
+  CallerConnections& connections_;
   CallerRecord& record_;
   std::uint64_t number_;
   std::unique_ptr<execution::ModelExecution> execution_;
 };
 
-CallerConnection::CallerConnection(Simulation& simulation, SimulatedProcess& process)
+CallerConnections::CallerConnections(Simulation& simulation, SimulatedProcess& process)
     : simulation_(simulation), process_(process) {}
 
-CallerConnection::~CallerConnection() {
+CallerConnections::~CallerConnections() {
   while (!open_.empty()) {
-    ended(*open_.begin()->second, CallerResult::kBroken);
+    finishRequest(*open_.begin()->second, CallerResult::kBroken);
   }
 }
 
-void CallerConnection::expect(CallerRecord& record) {
+void CallerConnections::registerRequest(CallerRecord& record) {
   record.node = process_.id();
   open_[record.request_id] = &record;
 }
 
-void CallerConnection::ended(CallerRecord& record, CallerResult result) {
+void CallerConnections::finishRequest(CallerRecord& record, CallerResult result) {
   open_.erase(record.request_id);
   record.result = result;
   record.ended_at = simulation_.time().now();
@@ -64,13 +64,13 @@
                            record.request_id);
 }
 
-void CallerConnection::endModel(std::uint64_t session) {
+void CallerConnections::endModel(std::uint64_t session) {
   // Deferred, since the executor is still inside a call to the session.
   process_.deliverAfter(common::Duration{0}, [this, session] { models_.erase(session); });
 }
 
-void CallerConnection::startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
-                                      std::uint32_t prompt_tokens) {
+void CallerConnections::startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
+                                       std::uint32_t prompt_tokens) {
   execution::ModelCall call;
   call.request_id = record.request_id;
   call.fingerprint = record.content_hash;
@@ -84,8 +84,8 @@
   session->start(executor, std::move(call));
 }
 
-void CallerConnection::startServiceCall(execution::ServiceExecutor& executor, CallerRecord& record,
-                                        execution::ServiceCallRequest request) {
+void CallerConnections::startServiceCall(execution::ServiceExecutor& executor, CallerRecord& record,
+                                         execution::ServiceCallRequest request) {
   const std::uint64_t number = next_session_++;
   services_[number] = executor.start(
       std::move(request), [this, number, &record](execution::ServiceCallAnswer answer) {
@@ -93,7 +93,7 @@
         record.answer = std::move(answer.body);
         record.error = std::move(answer.error);
         record.error.outcome = answer.outcome;
-        ended(record, done ? CallerResult::kDone : CallerResult::kError);
+        finishRequest(record, done ? CallerResult::kDone : CallerResult::kError);
         process_.deliverAfter(common::Duration{0}, [this, number] { services_.erase(number); });
       });
 }
--- a/src/cypresswall/simulation/fleet/simulated_callers.h
+++ b/src/cypresswall/simulation/fleet/simulated_callers.h
@@ -49,15 +49,15 @@
 };
 
 /// Client connections of one process: owns its open requests, which break when the process dies.
-class CallerConnection {
+class CallerConnections {
  public:
-  CallerConnection(Simulation& simulation, SimulatedProcess& process);
-  ~CallerConnection();
-  CallerConnection(const CallerConnection&) = delete;
-  CallerConnection& operator=(const CallerConnection&) = delete;
+  CallerConnections(Simulation& simulation, SimulatedProcess& process);
+  ~CallerConnections();
+  CallerConnections(const CallerConnections&) = delete;
+  CallerConnections& operator=(const CallerConnections&) = delete;
 
   /// Registers a request sent to this process, as soon as its connection exists.
-  void expect(CallerRecord& record);
+  void registerRequest(CallerRecord& record);
   void startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
                       std::uint32_t prompt_tokens);
   void startServiceCall(execution::ServiceExecutor& executor, CallerRecord& record,
@@ -68,7 +68,7 @@
  private:
   class ModelSession;
 
-  void ended(CallerRecord& record, CallerResult result);
+  void finishRequest(CallerRecord& record, CallerResult result);
   void endModel(std::uint64_t session);
 
   Simulation& simulation_;
--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -105,7 +105,7 @@
   const node::NodeClients clients{store, machines, engines, services, settings_.declared};
   slot.process = &process;
   slot.node = &process.emplace<node::Node>(nodeSettings(slot), process.context(), clients);
-  slot.front = &process.emplace<CallerConnection>(simulation_, process);
+  slot.connections = &process.emplace<CallerConnections>(simulation_, process);
   process.deliver([node = slot.node] { node->start(); });
 }
 
@@ -121,7 +121,7 @@
 void SimulatedFleet::clear(NodeSlot& slot) {
   slot.process = nullptr;
   slot.node = nullptr;
-  slot.front = nullptr;
+  slot.connections = nullptr;
 }
 
 void SimulatedFleet::stopNode(std::size_t index) {
@@ -238,9 +238,9 @@
     record.result = CallerResult::kNotConnected;
     return record;
   }
-  slot.front->expect(record);
-  slot.process->deliver([front = slot.front, node = slot.node, &record, prompt_tokens] {
-    front->startModelCall(node->modelExecutor(), record, prompt_tokens);
+  slot.connections->registerRequest(record);
+  slot.process->deliver([connections = slot.connections, node = slot.node, &record, prompt_tokens] {
+    connections->startModelCall(node->modelExecutor(), record, prompt_tokens);
   });
   return record;
 }
@@ -256,9 +256,9 @@
     record.result = CallerResult::kNotConnected;
     return record;
   }
-  slot.front->expect(record);
-  slot.process->deliver([front = slot.front, node = slot.node, &record, request] {
-    front->startServiceCall(node->serviceExecutor(), record, request);
+  slot.connections->registerRequest(record);
+  slot.process->deliver([connections = slot.connections, node = slot.node, &record, request] {
+    connections->startServiceCall(node->serviceExecutor(), record, request);
   });
   return record;
 }
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -51,7 +51,7 @@
   /// Null while no process runs.
   SimulatedProcess* process = nullptr;
   node::Node* node = nullptr;
-  CallerConnection* front = nullptr;
+  CallerConnections* connections = nullptr;
   /// Restart once the planned stop in progress has completed.
   bool restart_wanted = false;
 };
--- a/src/cypresswall/simulation/simulated_engines.cpp
+++ b/src/cypresswall/simulation/simulated_engines.cpp
@@ -25,7 +25,7 @@
   return found == engines_.end() ? nullptr : found->second.get();
 }
 
-NetworkEndpoint SimulatedEngines::placeOf(const common::Address& address) const {
+NetworkEndpoint SimulatedEngines::endpointOf(const common::Address& address) const {
   const auto zone = zones_.find(address);
   return {address, zone == zones_.end() ? common::ZoneName{} : zone->second};
 }
@@ -44,7 +44,7 @@
 void SimulatedEngines::KvDirectory::fetchKv(
     const common::Address& source, const std::string& stream_id,
     std::function<void(std::optional<emulation::KvExport>)> callback) {
-  const auto zone = engines_.placeOf(source).zone;
+  const auto zone = engines_.endpointOf(source).zone;
   const auto delay = engines_.simulation_.network().drawDelay(zone, zone);
   engines_.simulation_.time().schedule(
       delay, [&engines = engines_, source, stream_id, callback = std::move(callback)] {
@@ -61,7 +61,7 @@
 std::unique_ptr<engines::Stream> SimulatedEngineClient::startStream(
     const engines::EngineEndpoint& engine, engines::StreamRequest request,
     engines::StreamHandler& handler) {
-  const ExternalPath path(simulation_, process_, engines_.placeOf(engine.address));
+  const ExternalPath path(simulation_, process_, engines_.endpointOf(engine.address));
   return SimulatedStream::start(path, engines_, engine.address, std::move(request), handler,
                                 settings_.break_detection_time);
 }
@@ -70,7 +70,7 @@
 void SimulatedEngineClient::ask(const engines::EngineEndpoint& engine, const CallFaults& faults,
                                 common::Duration time_limit, Question question,
                                 engines::EngineCallback<Answer> callback) {
-  const ExternalPath path(simulation_, process_, engines_.placeOf(engine.address));
+  const ExternalPath path(simulation_, process_, engines_.endpointOf(engine.address));
   auto effect = [&engines = engines_, address = engine.address,
                  question = std::move(question)](typename ExternalCall<Answer>::Reply reply) {
     emulation::EmulatedEngine* found = engines.find(address);
--- a/src/cypresswall/simulation/simulated_engines.h
+++ b/src/cypresswall/simulation/simulated_engines.h
@@ -30,7 +30,7 @@
                                  emulation::EngineSettings settings);
   /// \return null if no engine has the address.
   emulation::EmulatedEngine* find(const common::Address& address) const;
-  NetworkEndpoint placeOf(const common::Address& address) const;
+  NetworkEndpoint endpointOf(const common::Address& address) const;
   /// Crashes an engine and counts the fault.
   void crash(const common::Address& address);
   const std::map<common::Address, std::unique_ptr<emulation::EmulatedEngine>>& all() const {
--- a/src/cypresswall/simulation/simulated_process.cpp
+++ b/src/cypresswall/simulation/simulated_process.cpp
@@ -126,10 +126,10 @@
 void SimulatedProcess::orderDeferredEvents() {
   constexpr std::uint64_t kOrders = 3;
   const std::uint64_t choice = random_->below(kOrders);
-  const auto belongsFirst = [choice](const DeferredEvent& event) {
+  const auto runsFirst = [choice](const DeferredEvent& event) {
     return choice == 0 || (event.source == EventSource::kTimer) == (choice == 1);
   };
-  std::stable_partition(deferred_.begin(), deferred_.end(), belongsFirst);
+  std::stable_partition(deferred_.begin(), deferred_.end(), runsFirst);
 }
 
 void SimulatedProcess::resume() {
--- a/src/cypresswall/simulation/simulated_services.cpp
+++ b/src/cypresswall/simulation/simulated_services.cpp
@@ -84,7 +84,7 @@
   return found == services_.end() ? nullptr : found->second.get();
 }
 
-NetworkEndpoint SimulatedServices::placeOf(const common::Address& address) const {
+NetworkEndpoint SimulatedServices::endpointOf(const common::Address& address) const {
   const auto zone = zones_.find(address);
   return {address, zone == zones_.end() ? common::ZoneName{} : zone->second};
 }
@@ -131,7 +131,7 @@
       run(responseOf(result, std::move(answer)));
     }
   };
-  const ExternalPath path(simulation_, process_, services_.placeOf(address));
+  const ExternalPath path(simulation_, process_, services_.endpointOf(address));
   ExternalCall<Answer>::start(path, services_.faults, request.time_limit, std::move(effect),
                               std::move(done));
   return call;
--- a/src/cypresswall/simulation/simulated_services.h
+++ b/src/cypresswall/simulation/simulated_services.h
@@ -22,7 +22,7 @@
                                   const std::string& name, common::Duration answer_time);
   /// \return null if no back end has the address.
   emulation::EmulatedService* find(const common::Address& address) const;
-  NetworkEndpoint placeOf(const common::Address& address) const;
+  NetworkEndpoint endpointOf(const common::Address& address) const;
   /// \return number of executions of calls with `key`, over all back ends.
   std::uint32_t executionsOfKey(const std::string& key) const;
   /// \return number of executions of calls of `request_id`, over all back ends.
--- a/tests/simulation/simulated_clients_test.cpp
+++ b/tests/simulation/simulated_clients_test.cpp
@@ -41,8 +41,8 @@
   std::unique_ptr<engines::Stream> stream;
 };
 
-struct World {
-  explicit World(std::uint64_t seed = 1) : simulation(seed) {
+struct TestEnvironment {
+  explicit TestEnvironment(std::uint64_t seed = 1) : simulation(seed) {
     emulation::EngineSettings settings;
     settings.name = "engine-1";
     settings.model = "model";
@@ -87,41 +87,46 @@
 
  public:
   void streamGivesTheWholeAnswer() {
-    World world;
-    SimulatedEngineClient client(world.simulation, world.process, world.engines);
+    TestEnvironment environment;
+    SimulatedEngineClient client(environment.simulation, environment.process, environment.engines);
     RecordingHandler handler;
-    const auto stream = client.startStream({"engine-1", kEngineAddress}, World::request(), handler);
-    world.simulation.time().runFor(seconds(10));
+    const auto stream =
+        client.startStream({"engine-1", kEngineAddress}, TestEnvironment::request(), handler);
+    environment.simulation.time().runFor(seconds(10));
     CPPUNIT_ASSERT(handler.finished);
     const auto seed = emulation::answerSeed("model", kVersion, "", 42);
     CPPUNIT_ASSERT_EQUAL(emulation::expectedAnswer(seed, 50), handler.text);
   }
 
   void cutBreaksStreamAndCancelsIt() {
-    World world;
-    SimulatedEngineClient client(world.simulation, world.process, world.engines);
+    TestEnvironment environment;
+    SimulatedEngineClient client(environment.simulation, environment.process, environment.engines);
     RecordingHandler handler;
-    const auto stream = client.startStream({"engine-1", kEngineAddress}, World::request(), handler);
-    world.simulation.time().runFor(milliseconds(200));
-    world.simulation.network().cutAddresses(kEngineAddress, world.process.id().address);
-    world.simulation.time().runFor(seconds(10));
+    const auto stream =
+        client.startStream({"engine-1", kEngineAddress}, TestEnvironment::request(), handler);
+    environment.simulation.time().runFor(milliseconds(200));
+    environment.simulation.network().cutAddresses(kEngineAddress, environment.process.id().address);
+    environment.simulation.time().runFor(seconds(10));
     CPPUNIT_ASSERT(handler.failure == engines::StreamFailure::kBroken);
     CPPUNIT_ASSERT(!handler.text.empty());
-    CPPUNIT_ASSERT(world.engine->ledger().streams.at(0).end != emulation::StreamEnd::kRunning);
+    CPPUNIT_ASSERT(environment.engine->ledger().streams.at(0).end !=
+                   emulation::StreamEnd::kRunning);
   }
 
   void killedProcessCancelsItsStreams() {
-    World world;
+    TestEnvironment environment;
     RecordingHandler handler;
-    auto& client = world.process.emplace<SimulatedEngineClient>(world.simulation, world.process,
-                                                                world.engines);
-    auto& holder = world.process.emplace<StreamHolder>();
-    holder.stream = client.startStream({"engine-1", kEngineAddress}, World::request(), handler);
-    world.simulation.time().runFor(milliseconds(200));
-    world.simulation.kill(world.process);
-    world.simulation.time().runFor(milliseconds(50));
+    auto& client = environment.process.emplace<SimulatedEngineClient>(
+        environment.simulation, environment.process, environment.engines);
+    auto& holder = environment.process.emplace<StreamHolder>();
+    holder.stream =
+        client.startStream({"engine-1", kEngineAddress}, TestEnvironment::request(), handler);
+    environment.simulation.time().runFor(milliseconds(200));
+    environment.simulation.kill(environment.process);
+    environment.simulation.time().runFor(milliseconds(50));
     CPPUNIT_ASSERT(!handler.finished && !handler.failure);
-    CPPUNIT_ASSERT(world.engine->ledger().streams.at(0).end == emulation::StreamEnd::kCancelled);
+    CPPUNIT_ASSERT(environment.engine->ledger().streams.at(0).end ==
+                   emulation::StreamEnd::kCancelled);
   }
 
   static engines::EngineOrder fenceOrder(const emulation::EmulatedEngine& engine) {
@@ -133,76 +138,77 @@
   }
 
   void lostOrderAnswerTookEffect() {
-    World world;
-    world.engines.faults.orders.answer_lost = 1;
-    SimulatedEngineClient client(world.simulation, world.process, world.engines);
+    TestEnvironment environment;
+    environment.engines.faults.orders.answer_lost = 1;
+    SimulatedEngineClient client(environment.simulation, environment.process, environment.engines);
     std::optional<engines::EngineFailure> failure;
-    client.sendOrder({"engine-1", kEngineAddress}, fenceOrder(*world.engine),
+    client.sendOrder({"engine-1", kEngineAddress}, fenceOrder(*environment.engine),
                      [&](const auto& result) { failure = result.failure().kind; });
-    world.simulation.time().runFor(seconds(3));
+    environment.simulation.time().runFor(seconds(3));
     CPPUNIT_ASSERT(failure == engines::EngineFailure::kUnknownOutcome);
-    CPPUNIT_ASSERT(world.engine->ledger().orders.at(0).verdict == engines::OrderVerdict::kAccepted);
+    CPPUNIT_ASSERT(environment.engine->ledger().orders.at(0).verdict ==
+                   engines::OrderVerdict::kAccepted);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                         world.simulation.faults().count(FaultKind::kEngineAnswerLost));
+                         environment.simulation.faults().count(FaultKind::kEngineAnswerLost));
   }
 
   void lateOrderArrivesAfterTheCallerGaveUp() {
-    World world(3);
-    world.engines.faults.orders.late = 1;
-    world.engines.faults.orders.late_by = seconds(100);
-    SimulatedEngineClient client(world.simulation, world.process, world.engines);
+    TestEnvironment environment(3);
+    environment.engines.faults.orders.late = 1;
+    environment.engines.faults.orders.late_by = seconds(100);
+    SimulatedEngineClient client(environment.simulation, environment.process, environment.engines);
     int answers = 0;
-    client.sendOrder({"engine-1", kEngineAddress}, fenceOrder(*world.engine),
+    client.sendOrder({"engine-1", kEngineAddress}, fenceOrder(*environment.engine),
                      [&](const auto& result) {
                        ++answers;
                        CPPUNIT_ASSERT(!result.ok());
                      });
-    world.simulation.time().runFor(seconds(3));
+    environment.simulation.time().runFor(seconds(3));
     CPPUNIT_ASSERT_EQUAL(1, answers);
-    CPPUNIT_ASSERT(world.engine->ledger().orders.empty());
-    world.simulation.time().runFor(seconds(100));
+    CPPUNIT_ASSERT(environment.engine->ledger().orders.empty());
+    environment.simulation.time().runFor(seconds(100));
     CPPUNIT_ASSERT_EQUAL(1, answers);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, world.engine->ledger().orders.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, environment.engine->ledger().orders.size());
   }
 
   void lostStoreAnswerIsUnknown() {
-    World world;
-    SimulatedObjectStore store(world.simulation, world.process, world.platform);
-    world.platform.loseAnswers(1);
+    TestEnvironment environment;
+    SimulatedObjectStore store(environment.simulation, environment.process, environment.platform);
+    environment.platform.loseAnswers(1);
     std::optional<object_store::StoreFailure> failure;
     store.compareAndSet({"key", 0, "value", "change-1"},
                         [&](const auto& result) { failure = result.failure().kind; });
-    world.simulation.time().runFor(seconds(5));
+    environment.simulation.time().runFor(seconds(5));
     CPPUNIT_ASSERT(failure == object_store::StoreFailure::kUnknownOutcome);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world.platform.store().peek("key").version);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, environment.platform.store().peek("key").version);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
-                         world.simulation.faults().count(FaultKind::kStoreAnswerLost));
+                         environment.simulation.faults().count(FaultKind::kStoreAnswerLost));
   }
 
   void unreachableStoreIsUnavailable() {
-    World world;
-    SimulatedObjectStore store(world.simulation, world.process, world.platform);
-    world.simulation.network().cutZones("a", SimulatedPlatform::kZone);
+    TestEnvironment environment;
+    SimulatedObjectStore store(environment.simulation, environment.process, environment.platform);
+    environment.simulation.network().cutZones("a", SimulatedPlatform::kZone);
     std::optional<object_store::StoreFailure> failure;
     store.get("key", [&](const auto& result) { failure = result.failure().kind; });
-    world.simulation.time().runFor(seconds(5));
+    environment.simulation.time().runFor(seconds(5));
     CPPUNIT_ASSERT(failure == object_store::StoreFailure::kUnavailable);
   }
 
   void machineListShowsLeavingAfterItsLag() {
-    World world;
-    world.platform.machines().setWithoutLag(
+    TestEnvironment environment;
+    environment.platform.machines().setWithoutLag(
         {"machine-1", "a", object_store::MachineState::kLive, {}});
-    SimulatedMachineList list(world.simulation, world.process, world.platform);
+    SimulatedMachineList list(environment.simulation, environment.process, environment.platform);
     object_store::MachineState seen = object_store::MachineState::kLive;
     const auto read = [&] {
       list.fetch("a", [&](const auto& result) { seen = result.value().at(0).state; });
-      world.simulation.time().runFor(milliseconds(100));
+      environment.simulation.time().runFor(milliseconds(100));
     };
-    world.platform.setMachineState("machine-1", object_store::MachineState::kLeaving);
+    environment.platform.setMachineState("machine-1", object_store::MachineState::kLeaving);
     read();
     CPPUNIT_ASSERT(seen == object_store::MachineState::kLive);
-    world.simulation.time().runFor(seconds(1));
+    environment.simulation.time().runFor(seconds(1));
     read();
     CPPUNIT_ASSERT(seen == object_store::MachineState::kLeaving);
   }
@@ -217,24 +223,26 @@
   }
 
   void serviceBrokenAfterRunIsBroken() {
-    World world;
-    world.service->setFaults({.break_after_run = 1});
-    SimulatedServiceClient client(world.simulation, world.process, world.services);
+    TestEnvironment environment;
+    environment.service->setFaults({.break_after_run = 1});
+    SimulatedServiceClient client(environment.simulation, environment.process,
+                                  environment.services);
     std::optional<services::ServiceOutcome> outcome;
     const auto call = client.call(kServiceAddress, booking(),
                                   [&](const auto& response) { outcome = response.outcome; });
-    world.simulation.time().runFor(seconds(3));
+    environment.simulation.time().runFor(seconds(3));
     CPPUNIT_ASSERT(outcome == services::ServiceOutcome::kBroken);
-    CPPUNIT_ASSERT_EQUAL(1U, world.services.executionsOfRequest("booking-1"));
+    CPPUNIT_ASSERT_EQUAL(1U, environment.services.executionsOfRequest("booking-1"));
   }
 
   void abandonedServiceCallIsNotAnswered() {
-    World world;
-    SimulatedServiceClient client(world.simulation, world.process, world.services);
+    TestEnvironment environment;
+    SimulatedServiceClient client(environment.simulation, environment.process,
+                                  environment.services);
     bool answered = false;
     auto call = client.call(kServiceAddress, booking(), [&](const auto&) { answered = true; });
     call.reset();
-    world.simulation.time().runFor(seconds(3));
+    environment.simulation.time().runFor(seconds(3));
     CPPUNIT_ASSERT(!answered);
   }
 };
