--- a/src/cypresswall/runtime/outgoing_peer.cpp
+++ b/src/cypresswall/runtime/outgoing_peer.cpp
@@ -95,8 +95,8 @@
   backoff_ = common::Duration{0};
   state_ = State::kConnected;
   configureSocket(socket_, settings_);
-  watchForEnd();
-  dropOld();
+  awaitDisconnect();
+  dropExpired();
   writeQueue();
 }
 
@@ -108,7 +108,7 @@
       return;
     }
     self->state_ = State::kDisconnected;
-    self->dropOld();
+    self->dropExpired();
     if (!self->queue_.empty()) {
       self->connect();
     }
@@ -160,7 +160,7 @@
   }
 }
 
-void OutgoingPeer::watchForEnd() {
+void OutgoingPeer::awaitDisconnect() {
   // The peer never sends on this connection, so a read completes only when the connection has
   // ended.
   socket_.async_read_some(
@@ -211,7 +211,7 @@
   }
 }
 
-void OutgoingPeer::dropOld() {
+void OutgoingPeer::dropExpired() {
   const auto oldest = SteadyClock::now() - settings_.queue_time_limit;
   while (!queue_.empty() && queue_.front().queued_at < oldest) {
     popFront(counters_.dropped_queue_time);
--- a/src/cypresswall/runtime/outgoing_peer.h
+++ b/src/cypresswall/runtime/outgoing_peer.h
@@ -49,11 +49,11 @@
   common::Duration nextBackoff();
   void writeQueue();
   void finishWrite(const std::error_code& error);
-  void watchForEnd();
+  void awaitDisconnect();
   void disconnect();
   void armIdleTimer();
   void dropOverflow();
-  void dropOld();
+  void dropExpired();
   bool popFront(common::Counter& reason);
 
   asio::io_context& context_;
--- a/tests/runtime/tcp_peer_transport_test.cpp
+++ b/tests/runtime/tcp_peer_transport_test.cpp
@@ -182,7 +182,7 @@
 
   void framesSurviveAnySplit() {
     testing::requireProperty(
-        "frames come whole and in order however the bytes are split", 200,
+        "frames are reassembled in order however the bytes are split", 200,
         [](const std::vector<std::string>& payloads, const std::vector<std::uint8_t>& cuts) {
           std::string bytes;
           std::vector<std::string> expected;
--- a/tests/simulation/simulated_clients_test.cpp
+++ b/tests/simulation/simulated_clients_test.cpp
@@ -73,7 +73,7 @@
 
 class SimulatedClientsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SimulatedClientsTest);
-  CPPUNIT_TEST(streamGivesTheWholeAnswer);
+  CPPUNIT_TEST(streamDeliversTheWholeAnswer);
   CPPUNIT_TEST(cutBreaksStreamAndCancelsIt);
   CPPUNIT_TEST(killedProcessCancelsItsStreams);
   CPPUNIT_TEST(lostOrderAnswerTookEffect);
@@ -86,7 +86,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void streamGivesTheWholeAnswer() {
+  void streamDeliversTheWholeAnswer() {
     TestEnvironment environment;
     SimulatedEngineClient client(environment.simulation, environment.process, environment.engines);
     RecordingHandler handler;
