--- a/bench/simulate/scenario_fleet.cpp
+++ b/bench/simulate/scenario_fleet.cpp
@@ -128,16 +128,16 @@
       engine.incarnation = 1;
       engine.ledger_limit = 0;
       engines_.add(engineAddress(zone, number), zoneName(zone), std::move(engine));
-      platform_.machines().setAtOnce({machineName("accelerator", zone, number),
-                                      zoneName(zone),
-                                      object_store::MachineState::kLive,
-                                      {engineIp(zone, number)}});
+      platform_.machines().setWithoutLag({machineName("accelerator", zone, number),
+                                          zoneName(zone),
+                                          object_store::MachineState::kLive,
+                                          {engineIp(zone, number)}});
     }
     for (std::uint32_t number = 0; number < scenario_.fleet.nodes_per_zone; ++number) {
-      platform_.machines().setAtOnce({machineName("node", zone, number),
-                                      zoneName(zone),
-                                      object_store::MachineState::kLive,
-                                      {nodeIp(zone, number)}});
+      platform_.machines().setWithoutLag({machineName("node", zone, number),
+                                          zoneName(zone),
+                                          object_store::MachineState::kLive,
+                                          {nodeIp(zone, number)}});
     }
   }
 }
@@ -388,7 +388,7 @@
     sum.prompt_tokens += ledger.prompt_tokens;
     sum.cached_prompt_tokens += ledger.cached_prompt_tokens;
     sum.kv_bytes_imported += ledger.kv_bytes_imported;
-    sum.time_away += ledger.time_away;
+    sum.unavailable_time += ledger.unavailable_time;
   }
   return sum;
 }
--- a/src/cypresswall/emulation/engine_ledger.h
+++ b/src/cypresswall/emulation/engine_ledger.h
@@ -1,4 +1,4 @@
-/// What an emulated engine did, for tests that check promises against it.
+/// History of what an emulated engine did, against which tests check guarantees.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
   kFinished,
   kCancelled,
   kBroken,      ///< broken by a fault
-  kCutByOrder,  ///< an accepted change took the engine away
+  kCutByOrder,  ///< terminated by an accepted change that made the engine unavailable
   kCrashed,
 };
 
 /// \return "running", "finished", "cancelled", "broken", "cut_by_order" or "crashed".
 const char* toString(StreamEnd end);
 
-/// One stream that the engine took.
+/// One stream that the engine accepted.
 struct StreamEntry {
   std::string stream_id;
   std::uint32_t attempt = 0;
@@ -62,7 +62,7 @@
   std::uint64_t prompt_tokens = 0;
   std::uint64_t cached_prompt_tokens = 0;
   std::uint64_t kv_bytes_imported = 0;
-  common::Duration time_away{0};
+  common::Duration unavailable_time{0};
 };
 
 }  // namespace cypresswall::emulation
--- a/src/cypresswall/emulation/engine_steps.cpp
+++ b/src/cypresswall/emulation/engine_steps.cpp
@@ -1,4 +1,4 @@
-// The steps of an emulated engine: batching, prompts and output tokens.
+// Steps of an emulated engine: batching, prefill and decode.
 #include <algorithm>
 
 #include "cypresswall/emulation/engine.h"
@@ -39,9 +39,9 @@
   if (stream->imported_tokens > 0) {
     stream->prefill_remaining = needed - std::min(needed, stream->imported_tokens);
   } else {
-    const std::uint32_t cached_pieces = cache_.useLongestPrefix(request.shape.pieces);
+    const std::uint32_t cached_pieces = cache_.touchLongestPrefix(request.shape.pieces);
     stream->cached_tokens = cached_pieces * common::kTokensPerCachePiece;
-    // The last token is always computed: its result is the first output token.
+    // The last prompt token is always computed, because it yields the first output token.
     const std::uint32_t usable = needed == 0 ? 0 : needed - 1;
     stream->prefill_remaining = needed - std::min(stream->cached_tokens, usable);
     ledger_.prompt_tokens += request.shape.tokens;
@@ -108,7 +108,7 @@
     step_listener_();
   }
   recordLoad();
-  // The listener or an observer may have crashed the engine, which stops its steps.
+  // The listener or an observer may have crashed the engine, which cancels further steps.
   if (step_running_) {
     beginStep();
   }
@@ -119,7 +119,7 @@
   for (std::size_t position = 0; position < running_.size(); ++position) {
     ActiveStream& stream = *running_[position];
     for (std::uint32_t step = 0; step < decode_steps_ && stream.stage == Stage::kDecode; ++step) {
-      giveToken(stream);
+      emitToken(stream);
     }
   }
 }
@@ -141,25 +141,26 @@
     cache_.store(stream.request.shape.pieces);
     if (stream.request.phase == StreamPhase::kPrefillOnly) {
       const common::MonotonicTime now = clock_.now();
-      std::erase_if(kept_kv_, [now](const auto& kept) { return kept.second.expires_at <= now; });
-      kept_kv_[stream.request.stream_id] = {stream.request.shape.tokens,
-                                            now + settings_.kv_keep_time};
+      std::erase_if(retained_kv_,
+                    [now](const auto& kept) { return kept.second.expires_at <= now; });
+      retained_kv_[stream.request.stream_id] = {stream.request.shape.tokens,
+                                                now + settings_.kv_retention_time};
       finishStream(stream);
       continue;
     }
     stream.stage = Stage::kDecode;
-    giveToken(stream);
+    emitToken(stream);
   }
   chunks_.clear();
 }
 
-void EmulatedEngine::giveToken(ActiveStream& stream) {
+void EmulatedEngine::emitToken(ActiveStream& stream) {
   if (stream.next_index >= stream.answer_length) {
     finishStream(stream);
     return;
   }
-  if (faults_.crashing_content != 0 &&
-      stream.request.shape.content_hash == faults_.crashing_content) {
+  if (faults_.crash_on_content_hash != 0 &&
+      stream.request.shape.content_hash == faults_.crash_on_content_hash) {
     crash();
     return;
   }
@@ -215,7 +216,7 @@
   stream.stage = Stage::kEnded;
   stream.prefill_remaining = 0;
   const auto own = streams_.find({stream.request.stream_id, stream.request.attempt});
-  // Kept until removeEnded(), since callers up the stack still use the object.
+  // Retained until removeEnded(), since callers further up the stack still use the object.
   ended_.push_back(own->second);
   streams_.erase(own);
 }
--- a/src/cypresswall/emulation/object_store.cpp
+++ b/src/cypresswall/emulation/object_store.cpp
@@ -132,7 +132,7 @@
   for (const auto& [watch, pending] : watches_) {
     ObjectListing changes = changesAfter(pending.prefix, pending.revision);
     if (!changes.objects.empty()) {
-      leaveGap(changes);
+      dropForGap(changes);
       answers.emplace_back(watch, std::move(changes));
     }
   }
@@ -141,7 +141,7 @@
   }
 }
 
-void EmulatedObjectStore::leaveGap(ObjectListing& listing) {
+void EmulatedObjectStore::dropForGap(ObjectListing& listing) {
   if (!faults_.watch_gap) {
     return;
   }
@@ -168,7 +168,7 @@
   scheduler_.cancel(found->second.timer);
   const auto callback = std::move(found->second.callback);
   watches_.erase(found);
-  // On its own turn: the callback may write again.
+  // As a separate event, since the callback may write again.
   scheduler_.schedule(faults_.delay / 2,
                       [callback, result = std::move(result)] { callback(result); });
 }
--- a/src/cypresswall/emulation/service.cpp
+++ b/src/cypresswall/emulation/service.cpp
@@ -5,8 +5,8 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Uses up one of the calls that a fault is set for. \return whether one was left.
-bool takeOne(std::uint32_t& remaining) {
+/// Decrements the number of calls that a fault still applies to. \return whether any were left.
+bool consumeOne(std::uint32_t& remaining) {
   if (remaining == 0) {
     return false;
   }
@@ -20,16 +20,16 @@
                              std::function<void(EmulatedServiceAnswer)> callback) {
   EmulatedServiceAnswer answer;
   answer.rate_limit = faults_.rate_limit;
-  if (takeOne(faults_.refuse_next)) {
-    answer.end = EmulatedServiceEnd::kRefused;
+  if (consumeOne(faults_.refuse_next)) {
+    answer.end = EmulatedServiceOutcome::kRefused;
     answer.status = 503;
     answer.body = R"({"error":"busy"})";
-  } else if (takeOne(faults_.break_before_run)) {
-    answer.end = EmulatedServiceEnd::kBroken;
+  } else if (consumeOne(faults_.break_before_run)) {
+    answer.end = EmulatedServiceOutcome::kBroken;
   } else {
     execute(call);
-    answer.end = takeOne(faults_.break_after_run) ? EmulatedServiceEnd::kBroken
-                                                  : EmulatedServiceEnd::kAnswered;
+    answer.end = consumeOne(faults_.break_after_run) ? EmulatedServiceOutcome::kBroken
+                                                     : EmulatedServiceOutcome::kAnswered;
     answer.body = expectedBody(call);
   }
   scheduler_.schedule(answer_time_ + faults_.delay,
--- a/src/cypresswall/simulation/outside_call.h
+++ b/src/cypresswall/simulation/external_call.h
@@ -1,6 +1,6 @@
-/// Calls from a simulated process to what is no daemon: engines, the platform, services. Request
-/// and answer each take the network's delay and are lost in a cut; the caller learns what it would
-/// learn over a real connection: an answer, that nothing was sent, or nothing certain.
+/// Calls from a simulated process to endpoints that are not daemons: engines, the platform,
+/// services. Request and response each take the network's delay and are lost in a cut. The caller
+/// sees the same outcomes as with a real connection: answered, not sent or unknown.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,25 @@
 
 enum class CallResult : std::uint8_t {
   kAnswered,
-  kNotSent,  ///< the connection failed: nothing reached the other side
-  kUnknown,  ///< something was sent, no answer came within the time limit
+  kNotSent,  ///< the connection failed: nothing reached the endpoint
+  kUnknown,  ///< something was sent, but no response arrived within the time limit
 };
 
-/// How calls of one kind go wrong, besides cuts.
+/// Faults of calls of one kind, in addition to cuts.
 struct CallFaults {
-  /// Share of calls that take effect but whose answer never arrives.
+  /// Fraction of calls that take effect but whose response never arrives.
   double answer_lost = 0;
   FaultKind answer_lost_kind = FaultKind::kEngineAnswerLost;
-  /// Share of requests that arrive up to `late_by` after they were sent.
+  /// Fraction of requests that are delayed by up to `late_by`.
   double late = 0;
   common::Duration late_by = std::chrono::seconds(10);
   FaultKind late_kind = FaultKind::kEngineAnswerLate;
 };
 
-/// The way from one process to one endpoint outside.
-class OutsidePath {
+/// Network path from one process to one external endpoint.
+class ExternalPath {
  public:
-  OutsidePath(Simulation& simulation, SimulatedProcess& process, NetworkPlace endpoint)
+  ExternalPath(Simulation& simulation, SimulatedProcess& process, NetworkEndpoint endpoint)
       : simulation_(simulation),
         process_(process),
         here_{process.id().address, process.zone()},
@@ -48,53 +48,53 @@
   common::Duration answerDelay() const {
     return simulation_.network().drawDelay(endpoint_.zone, here_.zone);
   }
-  /// \return true in `share` of the calls, and counts the fault then.
-  bool strikes(double share, FaultKind kind) const;
+  /// \return true with probability `share`; the fault is then counted.
+  bool occurs(double share, FaultKind kind) const;
 
  private:
   Simulation& simulation_;
   SimulatedProcess& process_;
-  NetworkPlace here_;
-  NetworkPlace endpoint_;
+  NetworkEndpoint here_;
+  NetworkEndpoint endpoint_;
 };
 
-/// One call. Its `Done` runs in the calling process exactly once, unless that dies first.
+/// One call. Its `Done` runs exactly once in the calling process, unless the process dies first.
 template <typename Answer>
-class OutsideCall : public std::enable_shared_from_this<OutsideCall<Answer>> {
+class ExternalCall : public std::enable_shared_from_this<ExternalCall<Answer>> {
  public:
-  /// Gives the endpoint's answer; nothing if the endpoint is down.
+  /// Passes the endpoint's response; nullopt if the endpoint is down.
   using Reply = std::function<void(std::optional<Answer>)>;
-  /// What happens at the endpoint when the request arrives.
+  /// Executed at the endpoint when the request arrives.
   using Effect = std::function<void(Reply)>;
   using Done = std::function<void(CallResult, std::optional<Answer>)>;
 
-  static void start(const OutsidePath& path, const CallFaults& faults, common::Duration time_limit,
+  static void start(const ExternalPath& path, const CallFaults& faults, common::Duration time_limit,
                     Effect effect, Done done) {
-    const auto call = std::make_shared<OutsideCall>(path, faults, time_limit, std::move(effect));
+    const auto call = std::make_shared<ExternalCall>(path, faults, time_limit, std::move(effect));
     call->begin(std::move(done));
   }
 
-  OutsideCall(const OutsidePath& path, const CallFaults& faults, common::Duration time_limit,
-              Effect effect)
+  ExternalCall(const ExternalPath& path, const CallFaults& faults, common::Duration time_limit,
+               Effect effect)
       : path_(path), faults_(faults), time_limit_(time_limit), effect_(std::move(effect)) {}
 
  private:
-  /// What the process's callback finds when it runs.
-  struct Box {
+  /// Result for the process's callback, set before it runs.
+  struct Completion {
     CallResult result = CallResult::kUnknown;
     std::optional<Answer> answer;
     bool filled = false;
   };
 
   void begin(Done done) {
-    box_ = std::make_shared<Box>();
+    completion_ = std::make_shared<Completion>();
     handle_ = path_.process().keep(
-        [box = box_, done = std::move(done)] { done(box->result, std::move(box->answer)); });
+        [box = completion_, done = std::move(done)] { done(box->result, std::move(box->answer)); });
     if (handle_ == 0) {
       return;
     }
     common::Duration delay = path_.requestDelay();
-    if (path_.strikes(faults_.late, faults_.late_kind)) {
+    if (path_.occurs(faults_.late, faults_.late_kind)) {
       delay += common::Duration(path_.simulation().random().below(faults_.late_by.count()));
     }
     const auto self = this->shared_from_this();
@@ -105,7 +105,8 @@
 
   void arrive() {
     if (path_.requestCut()) {
-      // A new connection can't be made; an old one takes the bytes and never answers.
+      // A new connection can't be established; an existing one accepts the bytes but never
+      // responds.
       if (path_.simulation().random().below(2) == 0) {
         finish(CallResult::kNotSent, std::nullopt);
       }
@@ -117,7 +118,7 @@
   }
 
   void answered(std::optional<Answer> answer) {
-    if (path_.strikes(faults_.answer_lost, faults_.answer_lost_kind)) {
+    if (path_.occurs(faults_.answer_lost, faults_.answer_lost_kind)) {
       return;
     }
     path_.simulation().time().schedule(
@@ -131,20 +132,20 @@
   }
 
   void finish(CallResult result, std::optional<Answer> answer) {
-    if (box_->filled || !path_.process().pending(handle_)) {
+    if (completion_->filled || !path_.process().pending(handle_)) {
       return;
     }
-    box_->filled = true;
-    box_->result = result;
-    box_->answer = std::move(answer);
+    completion_->filled = true;
+    completion_->result = result;
+    completion_->answer = std::move(answer);
     path_.process().trigger(handle_);
   }
 
-  OutsidePath path_;
+  ExternalPath path_;
   CallFaults faults_;
   common::Duration time_limit_;
   Effect effect_;
-  std::shared_ptr<Box> box_;
+  std::shared_ptr<Completion> completion_;
   CallbackTable::Handle handle_ = 0;
 };
 
--- a/src/cypresswall/simulation/fleet/fault_schedule.cpp
+++ b/src/cypresswall/simulation/fleet/fault_schedule.cpp
@@ -46,46 +46,46 @@
                 << fault.other << ")";
 }
 
-void FaultPlayer::play(const std::vector<ScheduledFault>& schedule) {
+void FaultInjector::play(const std::vector<ScheduledFault>& schedule) {
   for (const ScheduledFault& fault : schedule) {
-    fleet_.time().schedule(fault.at, [this, fault, round = round_] {
-      if (round == round_) {
+    fleet_.time().schedule(fault.at, [this, fault, round = schedule_number_] {
+      if (round == schedule_number_) {
         begin(fault);
       }
     });
-    fleet_.time().schedule(fault.at + fault.duration, [this, fault, round = round_] {
-      if (round == round_) {
+    fleet_.time().schedule(fault.at + fault.duration, [this, fault, round = schedule_number_] {
+      if (round == schedule_number_) {
         end(fault);
       }
     });
   }
 }
 
-std::size_t FaultPlayer::nodeOf(const ScheduledFault& fault) const {
+std::size_t FaultInjector::nodeOf(const ScheduledFault& fault) const {
   return fault.target % fleet_.nodeCount();
 }
 
-std::uint32_t FaultPlayer::zoneOf(std::uint32_t number) const {
+std::uint32_t FaultInjector::zoneOf(std::uint32_t number) const {
   return number % fleet_.settings().topology.zones;
 }
 
-common::Address FaultPlayer::engineOf(const ScheduledFault& fault) const {
+common::Address FaultInjector::engineOf(const ScheduledFault& fault) const {
   const auto& engines = fleet_.engines().all();
   return std::next(engines.begin(), fault.target % engines.size())->first;
 }
 
-common::Address FaultPlayer::serviceOf(const ScheduledFault& fault) const {
+common::Address FaultInjector::serviceOf(const ScheduledFault& fault) const {
   const auto& services = fleet_.services().all();
   return std::next(services.begin(), fault.target % services.size())->first;
 }
 
-void FaultPlayer::beginCut(const ScheduledFault& fault) {
+void FaultInjector::beginCut(const ScheduledFault& fault) {
   auto& network = fleet_.simulation().network();
   const auto zone = zoneOf(fault.target);
   const auto other = zoneOf(fault.other);
   switch (fault.action) {
     case FaultAction::kCutOffNode:
-      fleet_.cutOffNode(nodeOf(fault));
+      fleet_.isolateNode(nodeOf(fault));
       break;
     case FaultAction::kCutPlatform:
       network.cutZones(zoneName(zone), SimulatedPlatform::kZone);
@@ -103,7 +103,7 @@
   }
 }
 
-void FaultPlayer::setEngineFaults(const ScheduledFault& fault) {
+void FaultInjector::setEngineFaults(const ScheduledFault& fault) {
   const auto address = engineOf(fault);
   emulation::EmulatedEngine& engine = *fleet_.engines().find(address);
   emulation::EngineFaults faults = engine.faults();
@@ -111,45 +111,45 @@
     faults.break_stream_after_tokens = kBrokenAfterTokens;
   } else {
     faults.crash_in_next_change = true;
-    planned_crashes_.insert(address);
+    armed_crashes_.insert(address);
   }
   engine.setFaults(faults);
 }
 
-void FaultPlayer::setServiceFaults(const ScheduledFault& fault) {
+void FaultInjector::setServiceFaults(const ScheduledFault& fault) {
   const auto address = serviceOf(fault);
   emulation::EmulatedService& service = *fleet_.services().find(address);
   emulation::ServiceFaults faults = service.faults();
-  emulation::ServiceFaults& planned = planned_service_faults_[address];
+  emulation::ServiceFaults& armed = armed_service_faults_[address];
   switch (fault.action) {
     case FaultAction::kServiceBreakBefore:
       ++faults.break_before_run;
-      ++planned.break_before_run;
+      ++armed.break_before_run;
       break;
     case FaultAction::kServiceBreakAfter:
       ++faults.break_after_run;
-      ++planned.break_after_run;
+      ++armed.break_after_run;
       break;
     default:
       ++faults.refuse_next;
-      ++planned.refuse_next;
+      ++armed.refuse_next;
       break;
   }
   service.setFaults(faults);
 }
 
-void FaultPlayer::countStruck() {
-  for (const auto& address : planned_crashes_) {
+void FaultInjector::countTriggered() {
+  for (const auto& address : armed_crashes_) {
     const bool struck = !fleet_.engines().find(address)->faults().crash_in_next_change;
     fleet_.faults().add(FaultKind::kEngineCrashInChange, struck ? 1 : 0);
   }
-  for (const auto& [address, planned] : planned_service_faults_) {
+  for (const auto& [address, armed] : armed_service_faults_) {
     const emulation::ServiceFaults& left = fleet_.services().find(address)->faults();
     fleet_.faults().add(FaultKind::kServiceBrokenBefore,
-                        planned.break_before_run - left.break_before_run);
+                        armed.break_before_run - left.break_before_run);
     fleet_.faults().add(FaultKind::kServiceBrokenAfter,
-                        planned.break_after_run - left.break_after_run);
-    fleet_.faults().add(FaultKind::kServiceRefused, planned.refuse_next - left.refuse_next);
+                        armed.break_after_run - left.break_after_run);
+    fleet_.faults().add(FaultKind::kServiceRefused, armed.refuse_next - left.refuse_next);
   }
   for (const auto& [address, engine] : fleet_.engines().all()) {
     for (const auto& stream : engine->ledger().streams) {
@@ -157,11 +157,11 @@
                           stream.end == emulation::StreamEnd::kBroken ? 1 : 0);
     }
   }
-  planned_crashes_.clear();
-  planned_service_faults_.clear();
+  armed_crashes_.clear();
+  armed_service_faults_.clear();
 }
 
-void FaultPlayer::begin(const ScheduledFault& fault) {
+void FaultInjector::begin(const ScheduledFault& fault) {
   switch (fault.action) {
     case FaultAction::kKillNode:
     case FaultAction::kReplaceNode:
@@ -219,7 +219,7 @@
   }
 }
 
-void FaultPlayer::end(const ScheduledFault& fault) {
+void FaultInjector::end(const ScheduledFault& fault) {
   switch (fault.action) {
     case FaultAction::kKillNode:
     case FaultAction::kStopNode:
@@ -251,9 +251,9 @@
   }
 }
 
-void FaultPlayer::endAll() {
-  ++round_;
-  countStruck();
+void FaultInjector::endAll() {
+  ++schedule_number_;
+  countTriggered();
   fleet_.simulation().network().healAll();
   fleet_.platform().setDown(false);
   fleet_.platform().setSlow(common::Duration{0});
--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -30,7 +30,7 @@
 
 void SimulatedFleet::addMachine(std::uint32_t zone, const common::MachineName& name,
                                 const common::Address& address) {
-  platform_.machines().setAtOnce(
+  platform_.machines().setWithoutLag(
       {name, zoneName(zone), object_store::MachineState::kLive, {ipOf(address)}});
 }
 
@@ -105,7 +105,7 @@
   const node::NodeClients clients{store, machines, engines, services, settings_.declared};
   slot.process = &process;
   slot.node = &process.emplace<node::Node>(nodeSettings(slot), process.context(), clients);
-  slot.front = &process.emplace<CallerFront>(simulation_, process);
+  slot.connections = &process.emplace<CallerConnections>(simulation_, process);
   process.deliver([node = slot.node] { node->start(); });
 }
 
@@ -121,7 +121,7 @@
 void SimulatedFleet::clear(NodeSlot& slot) {
   slot.process = nullptr;
   slot.node = nullptr;
-  slot.front = nullptr;
+  slot.connections = nullptr;
 }
 
 void SimulatedFleet::stopNode(std::size_t index) {
@@ -161,7 +161,7 @@
   startNode(index);
 }
 
-void SimulatedFleet::cutOffNode(std::size_t index) {
+void SimulatedFleet::isolateNode(std::size_t index) {
   const NodeSlot& slot = slots_[index];
   const auto address = nodeAddress(slot.zone, slot.number, slot.generation);
   for (const auto& other : zoneAddresses(slot.zone)) {
@@ -172,7 +172,7 @@
   }
 }
 
-bool SimulatedFleet::everyNodeHas(std::uint64_t version) const {
+bool SimulatedFleet::everyNodeHasVersion(std::uint64_t version) const {
   return std::all_of(slots_.begin(), slots_.end(), [version](const NodeSlot& slot) {
     return slot.node == nullptr || slot.node->configurationView().current()->version >= version;
   });
@@ -187,9 +187,9 @@
                        [](const NodeSlot& slot) { return slot.node->ready(); });
   };
   if (!time().runUntilTrue(ready, kBringUpLimit)) {
-    throw FleetError("the nodes did not become ready");
+    throw FleetError("the nodes did not become ready within the time limit");
   }
-  // Zones have to know each other before all of them can approve a change.
+  // Zones must have discovered each other before all of them can approve a change.
   time().runFor(std::chrono::seconds(5));
   if (settings_.declared == nullptr) {
     declareFleet();
@@ -209,7 +209,7 @@
     throw FleetError(std::string("the declarations were not accepted: ") +
                      configuration::toString(result.status) + " " + result.message);
   }
-  if (!time().runUntilTrue([&] { return everyNodeHas(result.version); }, kBringUpLimit)) {
+  if (!time().runUntilTrue([&] { return everyNodeHasVersion(result.version); }, kBringUpLimit)) {
     throw FleetError("the declarations did not reach every node");
   }
 }
@@ -221,14 +221,15 @@
   return record;
 }
 
-CallerRecord& SimulatedFleet::askModel(std::size_t index, std::uint32_t prompt_tokens,
-                                       std::uint32_t maximum_tokens) {
+CallerRecord& SimulatedFleet::sendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
+                                               std::uint32_t maximum_tokens) {
   const auto content = simulation_.deriveSeed("prompt", records_.size() + 1);
-  return askModelAgain(index, prompt_tokens, maximum_tokens, content);
+  return resendModelRequest(index, prompt_tokens, maximum_tokens, content);
 }
 
-CallerRecord& SimulatedFleet::askModelAgain(std::size_t index, std::uint32_t prompt_tokens,
-                                            std::uint32_t maximum_tokens, std::uint64_t content) {
+CallerRecord& SimulatedFleet::resendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
+                                                 std::uint32_t maximum_tokens,
+                                                 std::uint64_t content) {
   CallerRecord& record = newRecord("model");
   record.content_hash = content;
   record.maximum_tokens = maximum_tokens;
@@ -237,9 +238,9 @@
     record.result = CallerResult::kNotConnected;
     return record;
   }
-  slot.front->expect(record);
-  slot.process->deliver([front = slot.front, node = slot.node, &record, prompt_tokens] {
-    front->startModelCall(node->modelExecutor(), record, prompt_tokens);
+  slot.connections->registerRequest(record);
+  slot.process->deliver([connections = slot.connections, node = slot.node, &record, prompt_tokens] {
+    connections->startModelCall(node->modelExecutor(), record, prompt_tokens);
   });
   return record;
 }
@@ -255,9 +256,9 @@
     record.result = CallerResult::kNotConnected;
     return record;
   }
-  slot.front->expect(record);
-  slot.process->deliver([front = slot.front, node = slot.node, &record, request] {
-    front->startServiceCall(node->serviceExecutor(), record, request);
+  slot.connections->registerRequest(record);
+  slot.process->deliver([connections = slot.connections, node = slot.node, &record, request] {
+    connections->startServiceCall(node->serviceExecutor(), record, request);
   });
   return record;
 }
@@ -266,7 +267,7 @@
   execution::ServiceCallRequest request;
   request.method = "POST";
   request.target = kOncePath;
-  // One key stands for one booking, with one content.
+  // A key identifies one booking, so its content must always be the same.
   request.body = key;
   request.idempotency_key = key;
   return callService(index, "booking", std::move(request));
--- a/src/cypresswall/simulation/simulated_services.cpp
+++ b/src/cypresswall/simulation/simulated_services.cpp
@@ -9,7 +9,7 @@
 constexpr const char* kKeyHeader = "Idempotency-Key";
 constexpr const char* kOutcomeHeader = "X-Cypresswall-Outcome";
 
-/// Lets a call be abandoned: its answer then finds nobody.
+/// Handle of a call; destroying it abandons the call, and its response is discarded.
 class AbandonableCall final : public services::ServiceCall {
  public:
   using Callback = std::function<void(services::ServiceResponse)>;
@@ -49,14 +49,14 @@
     return response;
   }
   switch (answer->end) {
-    case emulation::EmulatedServiceEnd::kAnswered:
+    case emulation::EmulatedServiceOutcome::kAnswered:
       response.outcome = services::ServiceOutcome::kAnswered;
       break;
-    case emulation::EmulatedServiceEnd::kRefused:
+    case emulation::EmulatedServiceOutcome::kRefused:
       response.outcome = services::ServiceOutcome::kRefused;
       response.headers.push_back({kOutcomeHeader, "not-run"});
       break;
-    case emulation::EmulatedServiceEnd::kBroken:
+    case emulation::EmulatedServiceOutcome::kBroken:
       response.outcome = services::ServiceOutcome::kBroken;
       response.error = "connection closed";
       return response;
@@ -84,7 +84,7 @@
   return found == services_.end() ? nullptr : found->second.get();
 }
 
-NetworkPlace SimulatedServices::placeOf(const common::Address& address) const {
+NetworkEndpoint SimulatedServices::endpointOf(const common::Address& address) const {
   const auto zone = zones_.find(address);
   return {address, zone == zones_.end() ? common::ZoneName{} : zone->second};
 }
@@ -114,7 +114,7 @@
     std::function<void(services::ServiceResponse)> callback) {
   using Answer = emulation::EmulatedServiceAnswer;
   auto call = std::make_unique<AbandonableCall>(std::move(callback));
-  auto effect = [&services = services_, address, request](OutsideCall<Answer>::Reply reply) {
+  auto effect = [&services = services_, address, request](ExternalCall<Answer>::Reply reply) {
     emulation::EmulatedService* service = services.find(address);
     if (service == nullptr) {
       reply(std::nullopt);
@@ -125,15 +125,15 @@
                     [reply = std::move(reply)](Answer answer) { reply(std::move(answer)); });
   };
   auto done = [kept = call->callback()](CallResult result, std::optional<Answer> answer) {
-    // The callback may destroy the call, and with it the function that is running.
+    // The callback may destroy the call and with it the running function, so it is moved out first.
     const auto run = std::exchange(*kept, nullptr);
     if (run) {
       run(responseOf(result, std::move(answer)));
     }
   };
-  const OutsidePath path(simulation_, process_, services_.placeOf(address));
-  OutsideCall<Answer>::start(path, services_.faults, request.time_limit, std::move(effect),
-                             std::move(done));
+  const ExternalPath path(simulation_, process_, services_.endpointOf(address));
+  ExternalCall<Answer>::start(path, services_.faults, request.time_limit, std::move(effect),
+                              std::move(done));
   return call;
 }
 
--- a/src/cypresswall/simulation/simulated_stream.cpp
+++ b/src/cypresswall/simulation/simulated_stream.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-/// Both directions of one connection. It stays alive until neither end needs it.
+/// Both directions of one connection. It stays alive until neither side needs it.
 class SimulatedStream::Connection final : public emulation::StreamObserver,
                                           public std::enable_shared_from_this<Connection> {
  public:
-  Connection(const OutsidePath& path, SimulatedEngines& engines, common::Address address,
+  Connection(const ExternalPath& path, SimulatedEngines& engines, common::Address address,
              engines::StreamRequest request, engines::StreamHandler& handler,
-             common::Duration broken_after)
+             common::Duration break_detection_time)
       : path_(path),
         engines_(engines),
         address_(std::move(address)),
@@ -27,7 +27,7 @@
         attempt_(request.attempt),
         request_(std::move(request)),
         handler_(&handler),
-        broken_after_(broken_after) {}
+        break_detection_time_(break_detection_time) {}
 
   void connect() {
     later(path_.requestDelay(), [](Connection& self) { self.requestArrives(); });
@@ -39,13 +39,13 @@
     scheduleRead(common::Duration{0});
   }
 
-  /// The process closed its end, or died.
+  /// Called when the process has closed its side or died.
   void close() {
     handler_ = nullptr;
     incoming_.clear();
     closed_ = true;
     if (!engine_side_ended_) {
-      later(path_.requestDelay(), [](Connection& self) { self.closeArrives(); });
+      later(path_.requestDelay(), [](Connection& self) { self.handlePeerClose(); });
     }
   }
 
@@ -62,7 +62,7 @@
   }
 
  private:
-  /// What travels from the engine to the process.
+  /// An event sent from the engine to the process.
   struct Event {
     enum class Kind : std::uint8_t { kHead, kToken, kFinished, kFailed };
     Kind kind = Kind::kToken;
@@ -89,8 +89,8 @@
       fail(engines::StreamFailure::kNotSent);
       return;
     }
-    // The engine keeps a plain reference to its observer.
-    engines_.hold(shared_from_this());
+    // The engine holds a non-owning reference to its observer.
+    engines_.retain(shared_from_this());
     engine_side_ended_ = false;
     const bool pass_through = request_.pass_through != nullptr;
     const auto start = engine->startStream(std::move(request_), *this);
@@ -107,20 +107,21 @@
       receiveLater(Event{Event::Kind::kHead, 0, address_, {}, {}, {}});
     }
     if (closed_) {
-      // The end of the connection follows the request that is still on its way.
-      later(path_.requestDelay(), [](Connection& self) { self.closeArrives(); });
-    } else if (path_.strikes(engines_.faults.stream_start_broken, FaultKind::kStreamBroken)) {
+      // The process has closed the connection before the request arrived; the close arrives after
+      // the request.
+      later(path_.requestDelay(), [](Connection& self) { self.handlePeerClose(); });
+    } else if (path_.occurs(engines_.faults.stream_start_broken, FaultKind::kStreamBroken)) {
       breakConnection();
     }
   }
 
-  void closeArrives() {
+  void handlePeerClose() {
     if (engine_side_ended_) {
       return;
     }
-    // In a cut the engine notices the loss of its client only when its writes fail.
+    // In a cut, the engine detects the loss of its client only when its writes fail.
     if (path_.requestCut()) {
-      later(broken_after_, [](Connection& self) { self.cancelOnEngine(); });
+      later(break_detection_time_, [](Connection& self) { self.cancelOnEngine(); });
       return;
     }
     cancelOnEngine();
@@ -139,7 +140,7 @@
 
   void endEngineSide() {
     engine_side_ended_ = true;
-    // The engine may be in the middle of a call to this object.
+    // Deferred, since the engine may still be inside a call to this object.
     later(common::Duration{0}, [](Connection& self) { self.engines_.release(&self); });
   }
 
@@ -147,13 +148,13 @@
     receiveLater(Event{Event::Kind::kFailed, 0, {}, {}, failure, {}});
   }
 
-  /// The connection is gone; both ends notice after a while.
+  /// Breaks the connection; both sides detect it after break_detection_time_.
   void breakConnection() {
     if (std::exchange(broken_, true)) {
       return;
     }
     incoming_.clear();
-    later(broken_after_, [](Connection& self) {
+    later(break_detection_time_, [](Connection& self) {
       self.cancelOnEngine();
       self.enqueue(Event{Event::Kind::kFailed, 0, {}, {}, engines::StreamFailure::kBroken, {}});
     });
@@ -231,17 +232,17 @@
     }
   }
 
-  OutsidePath path_;
+  ExternalPath path_;
   SimulatedEngines& engines_;
   common::Address address_;
   std::string stream_id_;
   std::uint32_t attempt_;
   engines::StreamRequest request_;
-  /// Null once the process closed its end or got its last call.
+  /// Null after the process has closed its side or received the final call.
   engines::StreamHandler* handler_;
-  common::Duration broken_after_;
+  common::Duration break_detection_time_;
   std::deque<Event> incoming_;
-  /// Of the engine's answer, until its first event was handed over.
+  /// Rate limit in the engine's response, until the first event has been delivered.
   std::optional<common::RateLimitNotice> rate_limit_;
   bool engine_side_ended_ = true;
   bool closed_ = false;
@@ -257,14 +258,14 @@
 
 SimulatedStream::~SimulatedStream() { connection_->close(); }
 
-std::unique_ptr<SimulatedStream> SimulatedStream::start(const OutsidePath& path,
+std::unique_ptr<SimulatedStream> SimulatedStream::start(const ExternalPath& path,
                                                         SimulatedEngines& engines,
                                                         const common::Address& address,
                                                         engines::StreamRequest request,
                                                         engines::StreamHandler& handler,
-                                                        common::Duration broken_after) {
+                                                        common::Duration break_detection_time) {
   return std::unique_ptr<SimulatedStream>(new SimulatedStream(std::make_shared<Connection>(
-      path, engines, address, std::move(request), handler, broken_after)));
+      path, engines, address, std::move(request), handler, break_detection_time)));
 }
 
 void SimulatedStream::pause() { connection_->pauseReading(); }
--- a/src/cypresswall/simulation/simulation.cpp
+++ b/src/cypresswall/simulation/simulation.cpp
@@ -36,7 +36,8 @@
     }
   }
   const std::uint64_t seed = deriveSeed("process", processes_.size());
-  // A later life at an address has the higher incarnation, as with incarnations made from time.
+  // A later process at the same address has a higher incarnation, as with incarnations derived from
+  // time.
   const std::uint64_t incarnation =
       ((processes_.size() + 1) << 32U) | (deriveSeed("incarnation", processes_.size()) >> 32U);
   ProcessSettings settings{common::NodeId{address, incarnation}, zone, clock, seed, log};
@@ -65,8 +66,8 @@
   time_.schedule(duration, [this, &process] {
     if (process.paused()) {
       process.resume();
-      if (wake_listener_) {
-        wake_listener_(process);
+      if (resume_listener_) {
+        resume_listener_(process);
       }
     }
   });
--- a/tests/emulation/engine_test.cpp
+++ b/tests/emulation/engine_test.cpp
@@ -14,22 +14,22 @@
 
 class EngineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EngineTest);
-  CPPUNIT_TEST(givesTheExpectedAnswerInTheModelledTime);
+  CPPUNIT_TEST(returnsTheExpectedAnswerInTheModelledTime);
   CPPUNIT_TEST(resumesWithTheNextToken);
   CPPUNIT_TEST(everyStreamGetsItsWholeAnswer);
   CPPUNIT_TEST(higherPriorityIsAdmittedFirst);
   CPPUNIT_TEST(longPromptsSlowOutputOnAMixedEngine);
   CPPUNIT_TEST(cachedPrefixShortensThePrompt);
   CPPUNIT_TEST(decodeEngineImportsTheComputedPrompt);
-  CPPUNIT_TEST(importOfALostCacheComputesThePrompt);
+  CPPUNIT_TEST(failedImportRecomputesThePrompt);
   CPPUNIT_TEST(roleDecidesWhichPhasesAreTaken);
   CPPUNIT_TEST(loadReportsLag);
-  CPPUNIT_TEST(cancelledStreamGivesNothingMore);
+  CPPUNIT_TEST(cancelledStreamEmitsNothingMore);
   CPPUNIT_TEST(breaksAStreamAfterSomeTokens);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void givesTheExpectedAnswerInTheModelledTime() {
+  void returnsTheExpectedAnswerInTheModelledTime() {
     EmulatedEngine& engine = fixture_.addEngine({});
     RecordingObserver observer(fixture_.time);
     const auto request = EngineFixture::request("a", 8000, 10);
@@ -38,7 +38,7 @@
     CPPUNIT_ASSERT(observer.finished && observer.in_order);
     CPPUNIT_ASSERT_EQUAL(EngineFixture::answerTo(request), observer.answer);
     CPPUNIT_ASSERT_EQUAL(std::string("length"), observer.usage.finish_reason);
-    // 8000 prompt tokens at 16000 a second.
+    // 8000 prompt tokens at 16000 per second.
     CPPUNIT_ASSERT(observer.first_token_at.time_since_epoch() == milliseconds(500));
   }
 
@@ -82,8 +82,8 @@
             RC_ASSERT(observers[index].in_order);
             RC_ASSERT(observers[index].answer == EngineFixture::answerTo(requests[index]));
           }
-          RC_ASSERT(engine.presentLoad().running_streams == 0U);
-          RC_ASSERT(engine.presentLoad().queued_prefill_tokens == 0U);
+          RC_ASSERT(engine.currentLoad().running_streams == 0U);
+          RC_ASSERT(engine.currentLoad().queued_prefill_tokens == 0U);
         });
   }
 
@@ -151,13 +151,13 @@
     decode.startStream(request, output);
     fixture_.time.runFor(seconds(2));
     CPPUNIT_ASSERT_EQUAL(EngineFixture::answerTo(request), output.answer);
-    // 16000 tokens of 128 KiB at 5 GB a second, then one step.
+    // 16000 tokens of 128 KiB at 5 GB/s, followed by one step.
     const auto delay = output.first_token_at.time_since_epoch() - seconds(2);
     CPPUNIT_ASSERT(delay > milliseconds(419) && delay < milliseconds(440));
     CPPUNIT_ASSERT(!prefill.exportKv("a"));
   }
 
-  void importOfALostCacheComputesThePrompt() {
+  void failedImportRecomputesThePrompt() {
     EngineSettings settings;
     settings.role = engines::EngineRole::kDecode;
     EmulatedEngine& decode = fixture_.addEngine(settings);
@@ -192,13 +192,13 @@
     engine.startStream(EngineFixture::request("a", 8000, 500), observer);
     fixture_.time.runFor(milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, engine.load()->queued_prefill_tokens);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8000}, engine.presentLoad().queued_prefill_tokens);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{8000}, engine.currentLoad().queued_prefill_tokens);
     fixture_.time.runFor(milliseconds(200));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{8000}, engine.load()->queued_prefill_tokens);
     CPPUNIT_ASSERT(engine.load()->age == faults.load_lag);
   }
 
-  void cancelledStreamGivesNothingMore() {
+  void cancelledStreamEmitsNothingMore() {
     EmulatedEngine& engine = fixture_.addEngine({});
     RecordingObserver observer(fixture_.time);
     engine.startStream(EngineFixture::request("a", 100, 1000), observer);
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -109,7 +109,8 @@
            << '\n';
   RC_ASSERT(last.result->status == CommitStatus::kAccepted);
   const auto version = last.result->version;
-  RC_ASSERT(fleet.time().runUntilTrue([&] { return fleet.everyNodeHas(version); }, kInForceWithin));
+  RC_ASSERT(fleet.time().runUntilTrue([&] { return fleet.everyNodeHasVersion(version); },
+                                      kInForceWithin));
 }
 
 class AcceptedConfigurationTest : public CppUnit::TestFixture {
@@ -130,7 +131,7 @@
       ConfigurationHistory history(fleet);
       Operators operators(fleet);
       operators.work(kChanges, kRaces, kWorkingTime);
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kWorkingTime + seconds(10));
       player.endAll();
--- a/tests/properties/orders/fenced_orders_test.cpp
+++ b/tests/properties/orders/fenced_orders_test.cpp
@@ -65,7 +65,7 @@
     const auto configuration = fleet_.slot(index).node->configuration().current();
     for (const auto& [name, pin] : configuration->engine_overrides) {
       const auto& address = configuration->engines.at(name).address;
-      const auto load = fleet_.engines().find(address)->presentLoad();
+      const auto load = fleet_.engines().find(address)->currentLoad();
       if (load.state != engines::EngineState::kReady || load.role != pin.role) {
         wrong.push_back(name);
       }
@@ -181,7 +181,7 @@
       planRequests(fleet, {.requests = 100, .within = kWorkingTime});
       RolePins pins(fleet);
       pins.plan();
-      simulation::FaultPlayer player(fleet);
+      simulation::FaultInjector player(fleet);
       player.play(run.faults);
       fleet.time().runFor(kWorkingTime + seconds(10));
       player.endAll();
--- a/tests/quarantine/crashing_requests_test.cpp
+++ b/tests/quarantine/crashing_requests_test.cpp
@@ -61,7 +61,7 @@
     fleet_ = std::make_unique<SimulatedFleet>(seed, settings);
     fleet_->bringUp();
     emulation::EngineFaults faults;
-    faults.crashing_content = kCrashingContent;
+    faults.crash_on_content_hash = kCrashingContent;
     for (const auto& [address, engine] : fleet_->engines().all()) {
       engine->setFaults(faults);
     }
@@ -73,9 +73,9 @@
     int number = 0;
     for (common::Duration spent{0}; spent < duration; spent += kStep) {
       if (number++ % scenario_.crashing_request_interval == 0) {
-        fleet_->askModelAgain(anyNode(), kPromptTokens, kAnswerTokens, kCrashingContent);
+        fleet_->resendModelRequest(anyNode(), kPromptTokens, kAnswerTokens, kCrashingContent);
       } else {
-        fleet_->askModel(anyNode(), kPromptTokens, kAnswerTokens);
+        fleet_->sendModelRequest(anyNode(), kPromptTokens, kAnswerTokens);
       }
       fleet_->time().runFor(kStep);
     }
--- a/tests/runtime/asio_scheduler_test.cpp
+++ b/tests/runtime/asio_scheduler_test.cpp
@@ -17,14 +17,14 @@
 
 class AsioSchedulerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AsioSchedulerTest);
-  CPPUNIT_TEST(runsInOrderOfTimeAndNeverAtOnce);
+  CPPUNIT_TEST(runsInOrderOfTimeAndNeverSynchronously);
   CPPUNIT_TEST(cancelsAlsoFromAnotherCallback);
   CPPUNIT_TEST(destroyingDropsCallbacks);
   CPPUNIT_TEST(clockNeverGoesBack);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void runsInOrderOfTimeAndNeverAtOnce() {
+  void runsInOrderOfTimeAndNeverSynchronously() {
     AsioScheduler scheduler(context_);
     std::string order;
     scheduler.schedule(milliseconds(20), [&] { order += 'b'; });
@@ -38,7 +38,7 @@
     AsioScheduler scheduler(context_);
     common::TimerId second = 0;
     bool second_ran = false;
-    // Both are due when the loop starts; the first takes the second back.
+    // Both are due when the loop starts; the first cancels the second.
     scheduler.schedule(common::Duration{0}, [&] { scheduler.cancel(second); });
     second = scheduler.schedule(common::Duration{0}, [&] { second_ran = true; });
     context_.run();
@@ -69,13 +69,13 @@
 
 class RuntimeTextTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RuntimeTextTest);
-  CPPUNIT_TEST(metricsComeInTheTextFormat);
+  CPPUNIT_TEST(metricsUseThePrometheusTextFormat);
   CPPUNIT_TEST(faultSwitchMatchesWholeNumbersOnly);
   CPPUNIT_TEST(addressesAreIpNumbersWithPort);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void metricsComeInTheTextFormat() {
+  void metricsUseThePrometheusTextFormat() {
     common::CounterRegistry registry;
     registry.counter("requests_total", "Requests.", "outcome", "done").add(3);
     registry.gauge("streams", "Open streams.").set(2);
--- a/tests/runtime/curl_multi_test.cpp
+++ b/tests/runtime/curl_multi_test.cpp
@@ -42,9 +42,9 @@
   CPPUNIT_TEST(requestsAreNeverSentTwice);
   CPPUNIT_TEST(freshRequestsTakeANewConnection);
   CPPUNIT_TEST(connectionUsedOnceIsClosed);
-  CPPUNIT_TEST(headComesOnceBeforeTheBody);
-  CPPUNIT_TEST(nothingOfAnEarlierRequestIsSentAgain);
-  CPPUNIT_TEST(tellsNotSentFromBroken);
+  CPPUNIT_TEST(headIsDeliveredOnceBeforeTheBody);
+  CPPUNIT_TEST(reusedHandleSendsNothingOfAnEarlierRequest);
+  CPPUNIT_TEST(distinguishesNotSentFromBroken);
   CPPUNIT_TEST(timeLimitAfterSendingIsBroken);
   CPPUNIT_TEST(streamsTheBodyAndPauses);
   CPPUNIT_TEST(destroyingInsideACallbackEndsTheConnection);
@@ -68,13 +68,13 @@
   void requestsAreNeverSentTwice() {
     server_.answer(httpAnswer(200, "first"));
     fetch(request("GET"));
-    // The server takes the next request and closes without an answer. On a reused connection
-    // libcurl would send it again by itself.
+    // The server reads the next request and closes the connection without a response. On a reused
+    // connection libcurl would retry the request by itself.
     server_.answer("", true);
     CurlRequest once = request("POST");
     once.body = "booking";
     CPPUNIT_ASSERT(fetch(once).outcome == CurlOutcome::kBroken);
-    // Whatever was sent before a later request has arrived with it.
+    // Once this request is answered, any retry sent before it would have arrived as well.
     server_.answer(httpAnswer(200, "last"));
     CPPUNIT_ASSERT(fetch(request("GET")).outcome == CurlOutcome::kAnswered);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, server_.requests().size());
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(2, server_.connections());
   }
 
-  /// Kept idle connections would fill up a peer that allows few.
+  /// Idle connections kept for reuse would exhaust a peer that allows only a few.
   void connectionUsedOnceIsClosed() {
     for (int turn = 1; turn <= 2; ++turn) {
       server_.answer(httpAnswer(200, "answer"));
@@ -102,7 +102,7 @@
     CPPUNIT_ASSERT_EQUAL(2, server_.connections());
   }
 
-  void headComesOnceBeforeTheBody() {
+  void headIsDeliveredOnceBeforeTheBody() {
     server_.answer("HTTP/1.1 200 OK\r\nX-Kind: test\r\nContent-Length: 4\r\n\r\nab");
     Recorder recorder;
     recorder.transfer = curl_.start(request("POST"), recorder);
@@ -115,7 +115,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("abcd"), recorder.body);
   }
 
-  void nothingOfAnEarlierRequestIsSentAgain() {
+  void reusedHandleSendsNothingOfAnEarlierRequest() {
     server_.answer(httpAnswer(200, "first"));
     CurlRequest order = request("POST");
     order.body = "order-body";
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT_EQUAL(1, server_.connections());
   }
 
-  void tellsNotSentFromBroken() {
+  void distinguishesNotSentFromBroken() {
     CurlRequest nowhere = request("POST");
     asio::ip::tcp::acceptor unused(context_, {asio::ip::make_address("127.0.0.1"), 0});
     nowhere.address = "127.0.0.1:" + std::to_string(unused.local_endpoint().port());
--- a/tests/runtime/tcp_peer_transport_test.cpp
+++ b/tests/runtime/tcp_peer_transport_test.cpp
@@ -27,7 +27,7 @@
   std::vector<std::string> lines;
 };
 
-/// One daemon's end of the transport.
+/// Transport of one daemon.
 struct Node {
   Node(asio::io_context& context, std::uint64_t incarnation,
        const common::Address& address = "127.0.0.1:0")
@@ -69,7 +69,7 @@
   CPPUNIT_TEST(dropsMessagesForAnotherIncarnation);
   CPPUNIT_TEST(reconnectsToARestartedPeer);
   CPPUNIT_TEST(boundsTheQueueOfAnUnreachablePeer);
-  CPPUNIT_TEST(closesOnGarbageWithOneLine);
+  CPPUNIT_TEST(closesOnInvalidDataWithOneLogLine);
   CPPUNIT_TEST(closesOnAnotherProtocolVersion);
   CPPUNIT_TEST(refusesAPortInUse);
   CPPUNIT_TEST(faultSwitchCutsOnlyInTestBuilds);
@@ -118,7 +118,7 @@
     left.send({address, 0}, "first");
     CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return right->notes.size() == 1; }));
     right.reset();
-    // The first of these may still go into the old connection, which ends without notice.
+    // The first of these messages may still be written to the old connection and be lost.
     CPPUNIT_ASSERT(testing::runUntil(context_, [&] {
       left.send({address, 0}, "lost");
       return left.counters.total("cypresswall_transport_failed_connects_total") > 0;
@@ -140,7 +140,7 @@
     CPPUNIT_ASSERT_EQUAL(92.0, left.dropped());
   }
 
-  void closesOnGarbageWithOneLine() {
+  void closesOnInvalidDataWithOneLogLine() {
     Node node(context_, 1);
     expectClosed(node, "GET / HTTP/1.1\r\n\r\n");
     expectClosed(node, encodeFrame("\xc1 no msgpack"));
@@ -182,7 +182,7 @@
 
   void framesSurviveAnySplit() {
     testing::requireProperty(
-        "frames come whole and in order however the bytes are split", 200,
+        "frames are reassembled in order however the bytes are split", 200,
         [](const std::vector<std::string>& payloads, const std::vector<std::uint8_t>& cuts) {
           std::string bytes;
           std::vector<std::string> expected;
