--- a/apps/cypresswall-bench/main.cpp
+++ b/apps/cypresswall-bench/main.cpp
@@ -185,8 +185,8 @@
                 << FLAGS_seeds << "\n";
       bench::RolePolicy run_policy = policy;
       if (policy.planner == bench::PlannerKind::kScheduled) {
-        const auto traced = bench::traceRoles(scenario, FLAGS_seed + run);
-        for (const bench::TracedRoles& roles : traced) {
+        const auto traced = bench::evaluateAssignments(scenario, FLAGS_seed + run);
+        for (const bench::EvaluatedAssignment& roles : traced) {
           std::cerr << "  traced " << roles.roles.prefill << " prefill, " << roles.roles.decode
                     << " decode: goodput " << roles.run.goodput() << "\n";
         }
--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -131,7 +131,7 @@
 void controlSecond(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   measure(state, node, [&] {
-    node.moveEngines();
+    node.changeEngineLoads();
     node.run(std::chrono::seconds(1));
   });
 }
--- a/bench/simulate/offline_planner.cpp
+++ b/bench/simulate/offline_planner.cpp
@@ -24,8 +24,8 @@
 }
 
 /// Answers lost by the changes from one assignment to another at the start of a period.
-double switchCost(const Scenario& scenario, const TracedRoles& from, const TracedRoles& to,
-                  std::size_t period) {
+double switchCost(const Scenario& scenario, const EvaluatedAssignment& from,
+                  const EvaluatedAssignment& to, std::size_t period) {
   const ScenarioFleetSize& fleet = scenario.fleet;
   const double changes = fleet.zones * static_cast<double>(changesBetween(from.roles, to.roles,
                                                                           fleet.engines_per_zone));
@@ -39,9 +39,9 @@
 
 }  // namespace
 
-std::vector<TracedRoles> traceRoles(const Scenario& scenario, std::uint64_t seed) {
+std::vector<EvaluatedAssignment> evaluateAssignments(const Scenario& scenario, std::uint64_t seed) {
   const std::uint32_t engines = scenario.fleet.engines_per_zone;
-  std::vector<TracedRoles> traced;
+  std::vector<EvaluatedAssignment> traced;
   for (std::uint32_t prefill = 0; prefill <= engines * 2 / 3; ++prefill) {
     for (const std::uint32_t decode : {0U, engines - prefill}) {
       if (prefill == 0 && decode > 0) {
@@ -55,7 +55,7 @@
 }
 
 std::vector<ScheduleEntry> bestSchedule(const Scenario& scenario,
-                                        const std::vector<TracedRoles>& traced) {
+                                        const std::vector<EvaluatedAssignment>& traced) {
   const std::size_t periods = traced.front().run.timeline.size();
   // The best value of all that ends in an assignment, and the assignment before, by period.
   std::vector<double> value(traced.size(), 0);
--- a/tests/bench/scenario_test.cpp
+++ b/tests/bench/scenario_test.cpp
@@ -100,7 +100,7 @@
     Scenario scenario = parseScenario(kSmall, "small.yaml");
     scenario.planning.role_change_weight = 1;
     const auto traced = [](RoleCounts roles, std::uint64_t first, std::uint64_t second) {
-      TracedRoles result{roles, {}};
+      EvaluatedAssignment result{roles, {}};
       for (const std::uint64_t in_time : {first, second}) {
         KindOutcome kind;
         kind.asked = 100;
--- a/tests/fleet_limits/rate_limit_zone.h
+++ b/tests/fleet_limits/rate_limit_zone.h
@@ -117,7 +117,7 @@
   void runEarlierBuild(std::size_t first, std::size_t last) {
     for (const Node& node : nodes_) {
       for (std::size_t earlier = first; earlier <= last; ++earlier) {
-        node.membership->setEarlierBuild(id(earlier));
+        node.membership->setCapabilitiesUnknown(id(earlier));
       }
     }
     for (std::size_t earlier = first; earlier <= last; ++earlier) {
--- a/tests/quarantine/quarantine_zone.h
+++ b/tests/quarantine/quarantine_zone.h
@@ -69,7 +69,7 @@
   void runEarlierBuild(std::size_t first, std::size_t last) {
     for (const Node& node : nodes_) {
       for (std::size_t earlier = first; earlier <= last; ++earlier) {
-        node.membership->setEarlierBuild(nodes_[earlier].process->id());
+        node.membership->setCapabilitiesUnknown(nodes_[earlier].process->id());
       }
     }
     for (std::size_t earlier = first; earlier <= last; ++earlier) {
@@ -87,7 +87,7 @@
   /// Starts an engine that does not answer its next `count` probes.
   void loseProbes(int engine, std::uint32_t count) {
     runEngine(engine);
-    engines_[endpoint(engine).address].questions_to_lose = count;
+    engines_[endpoint(engine).address].load_reads_to_drop = count;
   }
   /// Isolates a node from its peers, not from the store; each side considers the other dead.
   void cutOff(std::size_t cut) {
--- a/tests/routing/node_work_test.cpp
+++ b/tests/routing/node_work_test.cpp
@@ -121,7 +121,7 @@
     constexpr std::uint64_t kNeighbours = 4;
     for (const int size : kSizes) {
       RoutingNode node(size);
-      node.moveEngines();
+      node.changeEngineLoads();
       const WorkCount work(node);
       node.run(std::chrono::seconds(kSeconds));
       const std::uint64_t receivers = isShared(node) ? peersOf(node) : kNeighbours + kOwners;
--- a/tests/support/engine_world.h
+++ b/tests/support/engine_world.h
@@ -25,7 +25,7 @@
   bool lists_cache = false;
   bool reachable = true;
   /// Questions for its load that get no answer, though it runs.
-  std::uint32_t questions_to_lose = 0;
+  std::uint32_t load_reads_to_drop = 0;
   std::uint64_t load_reads = 0;
 };
 
@@ -48,8 +48,8 @@
                  engines::EngineCallback<engines::EngineLoad> callback) override {
     ScriptedEngine& engine = engines_[endpoint.address];
     ++engine.load_reads;
-    if (engine.questions_to_lose > 0) {
-      --engine.questions_to_lose;
+    if (engine.load_reads_to_drop > 0) {
+      --engine.load_reads_to_drop;
       ScriptedEngine lost;
       lost.reachable = false;
       answer(lost, engine.load, std::move(callback));
@@ -135,7 +135,7 @@
   std::optional<std::uint64_t> digest(const common::NodeId& node,
                                       membership::DigestTopic topic) const override {
     if (topic == membership::DigestTopic::kMessageSet) {
-      return earlier_builds_.contains(node)
+      return nodes_without_capabilities_.contains(node)
                  ? std::nullopt
                  : std::optional(static_cast<std::uint64_t>(api::kHandledMessages));
     }
@@ -145,7 +145,9 @@
     return known ? std::optional(links->second) : std::nullopt;
   }
   /// The node's build doesn't tell which messages it handles.
-  void setEarlierBuild(const common::NodeId& node) { earlier_builds_.insert(node); }
+  void setCapabilitiesUnknown(const common::NodeId& node) {
+    nodes_without_capabilities_.insert(node);
+  }
   void setLinkMegabits(const common::NodeId& node, std::uint64_t megabits) {
     link_megabits_[node] = megabits;
   }
@@ -186,7 +188,7 @@
   std::set<common::MachineName> leaving_;
   std::vector<std::function<void()>> listeners_;
   std::map<common::NodeId, std::uint64_t> link_megabits_;
-  std::set<common::NodeId> earlier_builds_;
+  std::set<common::NodeId> nodes_without_capabilities_;
 };
 
 /// \return an idle engine's report with plain speeds.
--- a/tests/support/routing_node.h
+++ b/tests/support/routing_node.h
@@ -153,7 +153,7 @@
   }
 
   /// The loads that all engines report from now on are others than before.
-  void moveEngines() {
+  void changeEngineLoads() {
     for (auto& [address, engine] : engines_) {
       engine.load.running_streams = (engine.load.running_streams + 8) % engine.load.maximum_streams;
     }
