--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -141,7 +141,7 @@
   RoutingNode node(static_cast<int>(state.range(0)));
   int peer = 1;
   measure(state, node, [&] {
-    node.hearPeer(peer);
+    node.receivePeerHeartbeat(peer);
     peer = peer % (node.size() - 1) + 1;
   });
 }
@@ -160,7 +160,7 @@
 }
 
 /// A copy of the store that is always up to date.
-class QuietCopy final : public store_relay::StoreCopy {
+class UpToDateStoreCopy final : public store_relay::StoreCopy {
  public:
   std::uint64_t revision() const override { return 1; }
   bool callPending() const override { return true; }
@@ -174,7 +174,7 @@
 /// Announcements of a reader of both topics for a second, with the heartbeats of that time.
 void relaySecond(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
-  auto& copy = node.process().emplace<QuietCopy>();
+  auto& copy = node.process().emplace<UpToDateStoreCopy>();
   store_relay::StoreRelaySettings settings;
   settings.readers = static_cast<std::size_t>(node.size());
   auto& relay =
--- a/bench/load/event_scanner.cpp
+++ b/bench/load/event_scanner.cpp
@@ -18,24 +18,24 @@
     const std::string_view rest = bytes.substr(start, end - start);
     start = end + 1;
     if (partial_.empty()) {
-      takeLine(rest);
+      parseLine(rest);
     } else {
       partial_ += rest;
       const std::string line = std::move(partial_);
       partial_.clear();
-      takeLine(line);
+      parseLine(line);
     }
   }
   partial_ += bytes.substr(start);
 }
 
-void EventScanner::takeLine(std::string_view line) {
+void EventScanner::parseLine(std::string_view line) {
   if (line.starts_with(kData)) {
-    takeData(line.substr(kData.size()));
+    parseData(line.substr(kData.size()));
   }
 }
 
-void EventScanner::takeData(std::string_view data) {
+void EventScanner::parseData(std::string_view data) {
   if (data.starts_with(kErrorStart)) {
     listener_.onErrorEvent(data);
     return;
--- a/bench/load/event_scanner.h
+++ b/bench/load/event_scanner.h
@@ -32,8 +32,8 @@
   void feed(std::string_view bytes);
 
  private:
-  void takeLine(std::string_view line);
-  void takeData(std::string_view data);
+  void parseLine(std::string_view line);
+  void parseData(std::string_view data);
 
   Dialect dialect_;
   EventListener& listener_;
--- a/bench/load/load_generator.cpp
+++ b/bench/load/load_generator.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Arrivals later than this were not sent as planned.
-constexpr auto kLate = std::chrono::milliseconds(1);
+constexpr auto kLateThreshold = std::chrono::milliseconds(1);
 constexpr auto kRampStep = std::chrono::milliseconds(10);
 
 }  // namespace
@@ -63,7 +63,7 @@
     if (error) {
       return;
     }
-    result_.sent_late += steady_clock::now() - next_arrival_ > kLate ? 1 : 0;
+    result_.sent_late += steady_clock::now() - next_arrival_ > kLateThreshold ? 1 : 0;
     startRequest(drawKind(plan_.kinds, random_));
     scheduleNext();
   });
--- a/bench/load/load_request.cpp
+++ b/bench/load/load_request.cpp
@@ -90,7 +90,7 @@
 }
 
 void LoadRequest::onDone(runtime::CurlResponse response) {
-  record(judge(response));
+  record(classify(response));
   // Destroys this object.
   const auto on_end = std::move(on_end_);
   on_end();
@@ -107,35 +107,35 @@
   kind.tokens += tokens_;
 }
 
-RequestEnd LoadRequest::judge(const runtime::CurlResponse& response) {
+RequestEnd LoadRequest::classify(const runtime::CurlResponse& response) {
   if (response.outcome == runtime::CurlOutcome::kNotSent) {
-    noteError("not sent: " + response.error);
+    recordError("not sent: " + response.error);
     return RequestEnd::kNotSent;
   }
-  return response.status == kOk ? judgeStream(response) : judgeFailure(response);
+  return response.status == kOk ? classifyStream(response) : classifyFailure(response);
 }
 
-RequestEnd LoadRequest::judgeStream(const runtime::CurlResponse& response) {
+RequestEnd LoadRequest::classifyStream(const runtime::CurlResponse& response) {
   if (!error_event_.empty()) {
-    noteError(error_event_);
+    recordError(error_event_);
     return error_event_.find("not-run") != std::string::npos ? RequestEnd::kNotRun
                                                              : RequestEnd::kUnknown;
   }
   if (response.outcome != runtime::CurlOutcome::kAnswered || !complete_) {
-    noteError("broken: " + response.error);
+    recordError("broken: " + response.error);
     return RequestEnd::kBroken;
   }
   if (!matches_ || tokens_ != kind_.output_tokens) {
-    noteError("wrong answer");
+    recordError("wrong answer");
     return RequestEnd::kWrong;
   }
   return RequestEnd::kDone;
 }
 
-RequestEnd LoadRequest::judgeFailure(const runtime::CurlResponse& response) {
+RequestEnd LoadRequest::classifyFailure(const runtime::CurlResponse& response) {
   const bool refused = response.status == kTooManyRequests || response.status == kUnavailable ||
                        response.status == kConflict;
-  noteError("status " + std::to_string(response.status) + ": " + response.body.substr(0, 120));
+  recordError("status " + std::to_string(response.status) + ": " + response.body.substr(0, 120));
   if (refused) {
     result_.refusal.add(between(started_at_, steady_clock::now()));
     result_.refusals_with_retry_after += response.header("Retry-After").empty() ? 0 : 1;
@@ -145,9 +145,9 @@
                                                                : RequestEnd::kUnknown;
 }
 
-void LoadRequest::noteError(const std::string& message) {
-  constexpr std::size_t kMostMessages = 20;
-  if (result_.errors.size() < kMostMessages || result_.errors.count(message) != 0) {
+void LoadRequest::recordError(const std::string& message) {
+  constexpr std::size_t kMaximumMessages = 20;
+  if (result_.errors.size() < kMaximumMessages || result_.errors.count(message) != 0) {
     ++result_.errors[message];
   }
 }
--- a/bench/load/load_request.h
+++ b/bench/load/load_request.h
@@ -51,10 +51,10 @@
 
   runtime::CurlRequest makeRequest() const;
   std::string makeBody() const;
-  RequestEnd judge(const runtime::CurlResponse& response);
-  RequestEnd judgeFailure(const runtime::CurlResponse& response);
-  RequestEnd judgeStream(const runtime::CurlResponse& response);
-  void noteError(const std::string& message);
+  RequestEnd classify(const runtime::CurlResponse& response);
+  RequestEnd classifyFailure(const runtime::CurlResponse& response);
+  RequestEnd classifyStream(const runtime::CurlResponse& response);
+  void recordError(const std::string& message);
   void record(RequestEnd end);
 
   const LoadTarget& target_;
--- a/bench/simulate/baseline_routers.cpp
+++ b/bench/simulate/baseline_routers.cpp
@@ -43,14 +43,15 @@
 
 void LeastLoadedRouter::attemptStarted(const routing::RouteRequest& request,
                                        const routing::Route& route) {
-  begun_[request.stream_id] = {table().slotOf(route.engine.name), context_.clock.now()};
+  started_attempts_[request.stream_id] = {table().slotOf(route.engine.name), context_.clock.now()};
 }
 
 std::size_t LeastLoadedRouter::streamsOn(routing::EngineSlot engine) const {
   const routing::EngineRecord& record = table().record(engine);
-  const auto unreported = std::count_if(begun_.begin(), begun_.end(), [&](const auto& item) {
-    return item.second.engine == engine && item.second.at > record.observed_at;
-  });
+  const auto unreported =
+      std::count_if(started_attempts_.begin(), started_attempts_.end(), [&](const auto& item) {
+        return item.second.engine == engine && item.second.at > record.observed_at;
+      });
   return record.load.running_streams + record.load.waiting_streams +
          static_cast<std::size_t>(unreported);
 }
--- a/bench/simulate/baseline_routers.h
+++ b/bench/simulate/baseline_routers.h
@@ -55,17 +55,19 @@
 
   void attemptStarted(const routing::RouteRequest& request, const routing::Route& route) override;
   void answerCompleted(const std::string&) override {}
-  void attemptFinished(const std::string& stream_id) override { begun_.erase(stream_id); }
+  void attemptFinished(const std::string& stream_id) override {
+    started_attempts_.erase(stream_id);
+  }
   void attemptFailed(const std::string& stream_id, const common::EngineName&,
                      engines::StreamFailure) override {
-    begun_.erase(stream_id);
+    started_attempts_.erase(stream_id);
   }
 
  protected:
   routing::EngineSlot pick(const std::vector<routing::EngineSlot>& engines) override;
 
  private:
-  struct Begun {
+  struct StartedAttempt {
     routing::EngineSlot engine = routing::kNoEngineSlot;
     common::MonotonicTime at;
   };
@@ -73,7 +75,7 @@
 
   const api::ProcessContext& context_;
   /// Attempts under way, by stream.
-  std::map<std::string, Begun> begun_;
+  std::map<std::string, StartedAttempt> started_attempts_;
 };
 
 }  // namespace cypresswall::bench
--- a/bench/simulate/offline_planner.cpp
+++ b/bench/simulate/offline_planner.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Drain and change of one engine.
-constexpr common::Duration kTimeAway = std::chrono::seconds(6);
+constexpr common::Duration kRoleChangeTime = std::chrono::seconds(6);
 
 std::uint32_t changesBetween(const RoleCounts& from, const RoleCounts& to, std::uint32_t engines) {
   const auto gained = [](std::uint32_t before, std::uint32_t after) {
@@ -24,15 +24,15 @@
 }
 
 /// Answers lost by the changes from one assignment to another at the start of a period.
-double switchCost(const Scenario& scenario, const EvaluatedAssignment& from,
-                  const EvaluatedAssignment& to, std::size_t period) {
+double transitionCost(const Scenario& scenario, const EvaluatedAssignment& from,
+                      const EvaluatedAssignment& to, std::size_t period) {
   const ScenarioFleetSize& fleet = scenario.fleet;
   const double changes = fleet.zones * static_cast<double>(changesBetween(from.roles, to.roles,
                                                                           fleet.engines_per_zone));
   // Of a zone's answers, those of an engine's share are lost while it is away.
   const double engines = static_cast<double>(fleet.zones) * fleet.engines_per_zone;
   const double asked = static_cast<double>(sumOf(to.run.timeline[period]).asked);
-  const double lost = asked / engines * (kTimeAway / common::Duration{1}) /
+  const double lost = asked / engines * (kRoleChangeTime / common::Duration{1}) /
                       static_cast<double>(kTimelinePeriod / common::Duration{1});
   return changes * (scenario.planning.role_change_weight + lost);
 }
@@ -68,7 +68,8 @@
         if (period == 0 && from != 0) {
           continue;
         }
-        const double reached = value[from] - switchCost(scenario, traced[from], traced[to], period);
+        const double reached =
+            value[from] - transitionCost(scenario, traced[from], traced[to], period);
         if (from == 0 || reached > next[to]) {
           next[to] = reached;
           before[period][to] = from;
@@ -86,8 +87,8 @@
     if (from != at) {
       const auto start = static_cast<std::int64_t>(period) * kTimelinePeriod;
       // The changes are to be done when the period begins.
-      const auto lead = kTimeAway * changesBetween(traced[from].roles, traced[at].roles,
-                                                   scenario.fleet.engines_per_zone);
+      const auto lead = kRoleChangeTime * changesBetween(traced[from].roles, traced[at].roles,
+                                                         scenario.fleet.engines_per_zone);
       schedule.push_back({std::max(common::Duration{0}, start - lead), traced[at].roles});
     }
     at = from;
--- a/bench/simulate/scenario_fleet.cpp
+++ b/bench/simulate/scenario_fleet.cpp
@@ -18,7 +18,7 @@
 constexpr double kPlannerThreshold = 0.75;
 constexpr common::Duration kStartLimit = std::chrono::seconds(60);
 /// Zones have to know each other before all of them can approve a change.
-constexpr common::Duration kMeetingTime = std::chrono::seconds(5);
+constexpr common::Duration kDiscoveryTime = std::chrono::seconds(5);
 
 std::string zoneName(std::uint32_t zone) { return "zone-" + std::to_string(zone + 1); }
 
@@ -55,7 +55,7 @@
 /// One request on its way through a node.
 class ScenarioFleet::Session final : public execution::ModelCallObserver {
  public:
-  Session(ScenarioFleet& fleet, std::uint64_t number, AskRecord& record)
+  Session(ScenarioFleet& fleet, std::uint64_t number, SimulatedRequest& record)
       : fleet_(fleet), number_(number), record_(record) {}
 
   void start(execution::ModelExecutor& executor, execution::ModelCall call) {
@@ -63,35 +63,35 @@
   }
 
   void onToken(std::uint32_t, const std::string&) override {
-    const auto now = seenByCaller();
+    const auto now = timeAtCaller();
     if (record_.tokens == 0) {
       record_.first_token_at = now;
     }
     record_.last_token_at = now;
     ++record_.tokens;
   }
-  void onFinished(const engines::StreamUsage&) override { end(AskEnd::kDone); }
+  void onFinished(const engines::StreamUsage&) override { end(RequestStatus::kDone); }
   void onError(const execution::ExecutionError& error) override {
     record_.retry_after = error.retry_after;
     record_.error = std::string(execution::toString(error.outcome)) + ": " + error.message;
     end(error.retry_after > common::Duration{0} && error.outcome == execution::Outcome::kNotRun
-            ? AskEnd::kRefused
-            : AskEnd::kFailed);
+            ? RequestStatus::kRefused
+            : RequestStatus::kFailed);
   }
 
  private:
-  common::MonotonicTime seenByCaller() {
+  common::MonotonicTime timeAtCaller() {
     return fleet_.time().now() + fleet_.scenario_.fleet.to_clients;
   }
-  void end(AskEnd how) {
+  void end(RequestStatus how) {
     record_.end = how;
-    record_.ended_at = seenByCaller();
+    record_.ended_at = timeAtCaller();
     fleet_.sessionEnded(number_);
   }
 
   ScenarioFleet& fleet_;
   std::uint64_t number_;
-  AskRecord& record_;
+  SimulatedRequest& record_;
   std::unique_ptr<execution::ModelExecution> execution_;
 };
 
@@ -255,7 +255,7 @@
   if (!time().runUntilTrue([&] { return all(ready); }, kStartLimit)) {
     throw FleetStartError("the nodes did not become ready");
   }
-  time().runFor(kMeetingTime);
+  time().runFor(kDiscoveryTime);
   configuration::CommitResult result;
   bool answered = false;
   configuration::ConfigurationChangeRequest request;
@@ -279,7 +279,7 @@
     throw FleetStartError("the declarations did not reach every node");
   }
   // Until every node has a load report of every engine.
-  time().runFor(kMeetingTime);
+  time().runFor(kDiscoveryTime);
 }
 
 common::PromptShape ScenarioFleet::drawPrompt(const ScenarioKind& kind) {
@@ -296,9 +296,9 @@
   return shape;
 }
 
-void ScenarioFleet::ask(std::size_t kind) {
+void ScenarioFleet::sendRequest(std::size_t kind) {
   const ScenarioKind& asked = scenario_.kinds[kind];
-  AskRecord& record = records_.emplace_back();
+  SimulatedRequest& record = records_.emplace_back();
   record.kind = kind;
   record.asked_at = time().now();
   record.expected_tokens = draw(asked.output_tokens, random_);
--- a/bench/simulate/scenario_fleet.h
+++ b/bench/simulate/scenario_fleet.h
@@ -56,10 +56,10 @@
   std::vector<ScheduleEntry> schedule = {};
 };
 
-enum class AskEnd : std::uint8_t { kOpen, kDone, kRefused, kFailed };
+enum class RequestStatus : std::uint8_t { kOpen, kDone, kRefused, kFailed };
 
 /// One request as its caller saw it.
-struct AskRecord {
+struct SimulatedRequest {
   std::size_t kind = 0;
   common::MonotonicTime asked_at;
   common::MonotonicTime first_token_at;
@@ -67,7 +67,7 @@
   common::MonotonicTime ended_at;
   std::uint32_t tokens = 0;
   std::uint32_t expected_tokens = 0;
-  AskEnd end = AskEnd::kOpen;
+  RequestStatus end = RequestStatus::kOpen;
   common::Duration retry_after{0};
   std::string error;
 };
@@ -84,12 +84,12 @@
   /// Tells a scheduled planner that the load starts now.
   void beginLoad() { load_start_ = time().now(); }
   /// Sends one request of a kind to a node drawn at random.
-  void ask(std::size_t kind);
+  void sendRequest(std::size_t kind);
   void beginFault(const ScenarioFault& fault);
 
   simulation::VirtualTime& time() { return simulation_.time(); }
   common::RandomSource& random() { return random_; }
-  const std::deque<AskRecord>& records() const { return records_; }
+  const std::deque<SimulatedRequest>& records() const { return records_; }
   /// \return the sum of all engines' ledgers, without the lists.
   emulation::EngineLedger engineTotals() const;
   std::uint64_t eventsRun() { return simulation_.time().executedEvents(); }
@@ -126,7 +126,7 @@
   simulation::SimulatedEngines engines_;
   simulation::SimulatedServices services_;
   std::vector<configuration::ObjectChange> declared_;
-  std::deque<AskRecord> records_;
+  std::deque<SimulatedRequest> records_;
   std::uint64_t next_session_ = 1;
   std::map<std::uint64_t, std::unique_ptr<Session>> sessions_;
   std::vector<FleetNode> nodes_;
--- a/bench/simulate/scenario_report.cpp
+++ b/bench/simulate/scenario_report.cpp
@@ -15,14 +15,14 @@
 }
 
 /// One figure of a run, with its name in reports.
-struct Figure {
+struct Metric {
   const char* name;
   int decimals;
   std::function<double(const RunOutcome&)> value;
 };
 
-const std::vector<Figure>& figures() {
-  static const std::vector<Figure> all = {
+const std::vector<Metric>& metrics() {
+  static const std::vector<Metric> all = {
       {"goodput", 4, [](const RunOutcome& run) { return run.goodput(); }},
       {"asked", 0, [](const RunOutcome& run) { return static_cast<double>(run.total().asked); }},
       {"late", 0, [](const RunOutcome& run) { return static_cast<double>(run.total().late); }},
@@ -79,10 +79,10 @@
 
 void writePolicy(std::ostream& out, const PolicyOutcome& policy) {
   out << policy.policy.name << " (" << policy.runs.size() << " seeds)\n";
-  for (const Figure& figure : figures()) {
-    const Spread spread = spreadOf(policy, figure.value);
-    out << "  " << std::left << std::setw(24) << figure.name << std::right << std::fixed
-        << std::setprecision(figure.decimals) << std::setw(12) << spread.mean << "  ("
+  for (const Metric& metric : metrics()) {
+    const Spread spread = spreadOf(policy, metric.value);
+    out << "  " << std::left << std::setw(24) << metric.name << std::right << std::fixed
+        << std::setprecision(metric.decimals) << std::setw(12) << spread.mean << "  ("
         << spread.least << " to " << spread.most << ")\n";
   }
   for (const auto& [name, kind] : policy.runs.front().kinds) {
@@ -112,9 +112,9 @@
   json policies = json::array();
   for (const PolicyOutcome& policy : outcome.policies) {
     json spreads = json::object();
-    for (const Figure& figure : figures()) {
-      const Spread spread = spreadOf(policy, figure.value);
-      spreads[figure.name] = {
+    for (const Metric& metric : metrics()) {
+      const Spread spread = spreadOf(policy, metric.value);
+      spreads[metric.name] = {
           {"mean", spread.mean}, {"least", spread.least}, {"most", spread.most}};
     }
     policies.push_back({{"policy", policy.policy.name},
@@ -127,17 +127,17 @@
 void writeCsv(std::ostream& out, const ScenarioOutcome& outcome, bool header) {
   if (header) {
     out << "scenario,policy,run";
-    for (const Figure& figure : figures()) {
-      out << "," << figure.name;
+    for (const Metric& metric : metrics()) {
+      out << "," << metric.name;
     }
     out << "\n";
   }
   for (const PolicyOutcome& policy : outcome.policies) {
     for (std::size_t run = 0; run < policy.runs.size(); ++run) {
       out << outcome.scenario << "," << policy.policy.name << "," << run + 1;
-      for (const Figure& figure : figures()) {
-        out << "," << std::fixed << std::setprecision(figure.decimals)
-            << figure.value(policy.runs[run]);
+      for (const Metric& metric : metrics()) {
+        out << "," << std::fixed << std::setprecision(metric.decimals)
+            << metric.value(policy.runs[run]);
       }
       out << "\n";
     }
--- a/bench/simulate/scenario_run.cpp
+++ b/bench/simulate/scenario_run.cpp
@@ -40,7 +40,7 @@
     }
     const double rate = scenario_.rateAt(scenario_.kinds[kind_].name, at);
     if (fleet_.random().unit() * peak_ < rate) {
-      fleet_.ask(kind_);
+      fleet_.sendRequest(kind_);
     }
     scheduleNext();
   }
@@ -52,7 +52,7 @@
   double peak_;
 };
 
-void countDone(const AskRecord& record, const ScenarioKind& kind, KindOutcome& outcome) {
+void countDone(const SimulatedRequest& record, const ScenarioKind& kind, KindOutcome& outcome) {
   const common::Duration first_token = record.first_token_at - record.asked_at;
   const std::uint32_t gaps = std::max(record.tokens, std::uint32_t{2}) - 1;
   const common::Duration between = (record.last_token_at - record.first_token_at) / gaps;
@@ -64,21 +64,21 @@
   outcome.late_first_token += late_first_token ? 1 : 0;
 }
 
-bool answeredWhole(const AskRecord& record) {
-  return record.end == AskEnd::kDone && record.tokens == record.expected_tokens;
+bool answeredWhole(const SimulatedRequest& record) {
+  return record.end == RequestStatus::kDone && record.tokens == record.expected_tokens;
 }
 
-void countKind(const AskRecord& record, const ScenarioKind& kind, KindOutcome& outcome) {
+void countKind(const SimulatedRequest& record, const ScenarioKind& kind, KindOutcome& outcome) {
   ++outcome.asked;
   if (answeredWhole(record)) {
     countDone(record, kind, outcome);
   } else {
-    ++(record.end == AskEnd::kRefused ? outcome.refused : outcome.failed);
+    ++(record.end == RequestStatus::kRefused ? outcome.refused : outcome.failed);
   }
 }
 
 /// \param at since the start of the run
-void countRecord(const AskRecord& record, common::Duration at, const ScenarioKind& kind,
+void countRecord(const SimulatedRequest& record, common::Duration at, const ScenarioKind& kind,
                  RunOutcome& run) {
   countKind(record, kind, run.kinds[kind.name]);
   const auto period = static_cast<std::size_t>(at / kTimelinePeriod);
@@ -87,10 +87,10 @@
   if (answeredWhole(record)) {
     return;
   }
-  if (record.end == AskEnd::kRefused) {
+  if (record.end == RequestStatus::kRefused) {
     run.refusal.add(record.ended_at - record.asked_at);
   }
-  ++run.errors[record.end == AskEnd::kOpen ? "still open" : record.error];
+  ++run.errors[record.end == RequestStatus::kOpen ? "still open" : record.error];
 }
 
 }  // namespace
@@ -135,7 +135,7 @@
   }
   fleet.time().runFor(scenario.duration + kDrainTime);
   RunOutcome outcome;
-  for (const AskRecord& record : fleet.records()) {
+  for (const SimulatedRequest& record : fleet.records()) {
     const common::Duration at = record.asked_at - start;
     if (at >= scenario.warm_up) {
       countRecord(record, at, scenario.kinds[record.kind], outcome);
@@ -148,10 +148,10 @@
 }
 
 Spread spreadOf(const PolicyOutcome& outcome,
-                const std::function<double(const RunOutcome&)>& figure) {
+                const std::function<double(const RunOutcome&)>& metric) {
   Spread spread;
   for (std::size_t index = 0; index < outcome.runs.size(); ++index) {
-    const double value = figure(outcome.runs[index]);
+    const double value = metric(outcome.runs[index]);
     spread.mean += value / static_cast<double>(outcome.runs.size());
     spread.least = index == 0 ? value : std::min(spread.least, value);
     spread.most = index == 0 ? value : std::max(spread.most, value);
--- a/bench/simulate/scenario_run.h
+++ b/bench/simulate/scenario_run.h
@@ -65,6 +65,6 @@
   double most = 0;
 };
 Spread spreadOf(const PolicyOutcome& outcome,
-                const std::function<double(const RunOutcome&)>& figure);
+                const std::function<double(const RunOutcome&)>& metric);
 
 }  // namespace cypresswall::bench
--- a/standins/engine/main.cpp
+++ b/standins/engine/main.cpp
@@ -87,7 +87,7 @@
 }
 
 /// One engine with its front.
-struct HostedEngine {
+struct EngineInstance {
   std::unique_ptr<EmulatedEngine> engine;
   std::unique_ptr<cypresswall::standins::EngineFront> front;
 };
@@ -108,10 +108,10 @@
   common::SeededRandom random(FLAGS_seed);
   standins::HttpKvPeer kv_peer(curl, process.scheduler());
   standins::HttpWeightSource weights(FLAGS_platform, curl);
-  std::vector<HostedEngine> hosted;
+  std::vector<EngineInstance> hosted;
   for (const std::string& address : standins::splitList(FLAGS_addresses)) {
     settings.name = address;
-    HostedEngine host;
+    EngineInstance host;
     host.engine =
         std::make_unique<EmulatedEngine>(settings, process.clock(), process.scheduler(), random,
                                          FLAGS_platform.empty() ? nullptr : &weights, &kv_peer);
--- a/standins/fronts/engine_front.cpp
+++ b/standins/fronts/engine_front.cpp
@@ -73,7 +73,7 @@
 }
 
 void EngineFront::handle(const http::Request& request, const ResponderPointer& responder) {
-  answering(responder, [&] { route(request, responder); });
+  respondingToErrors(responder, [&] { route(request, responder); });
 }
 
 void EngineFront::route(const http::Request& request, const ResponderPointer& responder) {
@@ -91,7 +91,7 @@
   } else if (request.method == "DELETE" && request.path.starts_with(kStreamPrefix)) {
     cancelStream(request, responder);
   } else if (call == "POST /v1/orders") {
-    takeOrder(request, responder);
+    handleOrder(request, responder);
   } else if (call == "GET /v1/load") {
     respondJson(*responder, 200, encodeLoad(*engine_.load()));
   } else if (call == "GET /v1/cache/events") {
@@ -147,7 +147,7 @@
   responder->respond(204, {}, "");
 }
 
-void EngineFront::takeOrder(const http::Request& request, const ResponderPointer& responder) {
+void EngineFront::handleOrder(const http::Request& request, const ResponderPointer& responder) {
   const engines::EngineOrder order = decodeOrder(parseObject(request.body));
   respondJson(*responder, 200, encodeReply(*engine_.handleOrder(order)));
 }
--- a/standins/fronts/engine_front.h
+++ b/standins/fronts/engine_front.h
@@ -30,7 +30,7 @@
   void routeAdmin(const http::Request& request, const ResponderPointer& responder);
   void startStream(const http::Request& request, const ResponderPointer& responder);
   void cancelStream(const http::Request& request, const ResponderPointer& responder);
-  void takeOrder(const http::Request& request, const ResponderPointer& responder);
+  void handleOrder(const http::Request& request, const ResponderPointer& responder);
   void exportKv(const http::Request& request, const ResponderPointer& responder);
   void setFaults(const http::Request& request, const ResponderPointer& responder);
   void forget(const StreamKey& key) { connections_.erase(key); }
--- a/standins/fronts/json_http.cpp
+++ b/standins/fronts/json_http.cpp
@@ -61,7 +61,7 @@
   return number;
 }
 
-void answering(const ResponderPointer& responder, const std::function<void()>& handler) {
+void respondingToErrors(const ResponderPointer& responder, const std::function<void()>& handler) {
   try {
     handler();
   } catch (const RequestError& error) {
--- a/standins/fronts/json_http.h
+++ b/standins/fronts/json_http.h
@@ -66,6 +66,6 @@
                             std::uint64_t fallback);
 
 /// Calls `handler`, and answers 400 if it throws RequestError.
-void answering(const ResponderPointer& responder, const std::function<void()>& handler);
+void respondingToErrors(const ResponderPointer& responder, const std::function<void()>& handler);
 
 }  // namespace cypresswall::standins
--- a/standins/fronts/platform_front.cpp
+++ b/standins/fronts/platform_front.cpp
@@ -44,7 +44,7 @@
 }  // namespace
 
 void PlatformFront::handle(const http::Request& request, const ResponderPointer& responder) {
-  answering(responder, [&] { route(request, responder); });
+  respondingToErrors(responder, [&] { route(request, responder); });
 }
 
 void PlatformFront::route(const http::Request& request, const ResponderPointer& responder) {
--- a/standins/fronts/service_front.cpp
+++ b/standins/fronts/service_front.cpp
@@ -7,7 +7,7 @@
 using nlohmann::json;
 
 void ServiceFront::handle(const http::Request& request, const ResponderPointer& responder) {
-  answering(responder, [&] { route(request, responder); });
+  respondingToErrors(responder, [&] { route(request, responder); });
 }
 
 void ServiceFront::route(const http::Request& request, const ResponderPointer& responder) {
--- a/tests/bench/load_test.cpp
+++ b/tests/bench/load_test.cpp
@@ -84,7 +84,7 @@
   CPPUNIT_TEST(percentilesAreExact);
   CPPUNIT_TEST(mixIsParsedAndChecked);
   CPPUNIT_TEST(promptsHaveTheirLengthAndDiffer);
-  CPPUNIT_TEST(eventsMayBeCutAnywhere);
+  CPPUNIT_TEST(eventsMayBeSplitAnywhere);
   CPPUNIT_TEST(checksAnswersOfARealServer);
   CPPUNIT_TEST_SUITE_END();
 
@@ -123,7 +123,7 @@
     }
   }
 
-  void eventsMayBeCutAnywhere() {
+  void eventsMayBeSplitAnywhere() {
     const std::string engine =
         "data: {\"attempt\": 1, \"index\": 0, \"token\": \" ba\"}\n\n"
         "data: {\"attempt\": 1, \"index\": 1, \"token\": \" be\"}\n\n"
--- a/tests/bench/scenario_test.cpp
+++ b/tests/bench/scenario_test.cpp
@@ -25,9 +25,9 @@
 class ScenarioTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ScenarioTest);
   CPPUNIT_TEST(readsEveryShippedScenario);
-  CPPUNIT_TEST(ratesChangeEvenly);
+  CPPUNIT_TEST(ratesAreInterpolatedLinearly);
   CPPUNIT_TEST(errorsNameFileLineAndKey);
-  CPPUNIT_TEST(oneSeedGivesOneResult);
+  CPPUNIT_TEST(sameSeedGivesSameResult);
   CPPUNIT_TEST(timelineAddsUp);
   CPPUNIT_TEST(baselineRoutersServe);
   CPPUNIT_TEST(scheduleFollowsTheTrace);
@@ -44,7 +44,7 @@
     }
   }
 
-  void ratesChangeEvenly() {
+  void ratesAreInterpolatedLinearly() {
     const Scenario scenario = parseScenario(kSmall, "small.yaml");
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, scenario.rateAt("short", std::chrono::seconds(0)), 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(10, scenario.rateAt("short", std::chrono::seconds(5)), 1e-9);
@@ -65,7 +65,7 @@
                  "small.yaml:9: load[1].at: must be later than the point before");
   }
 
-  void oneSeedGivesOneResult() {
+  void sameSeedGivesSameResult() {
     const Scenario scenario = parseScenario(kSmall, "small.yaml");
     const RolePolicy policy{"mixed", PlannerKind::kFixed, 0, 0};
     const RunOutcome first = runScenario(scenario, policy, 7);
--- a/tests/process/order_check.cpp
+++ b/tests/process/order_check.cpp
@@ -11,7 +11,7 @@
 void checkOrders(const nlohmann::json& ledger) {
   CPPUNIT_ASSERT_EQUAL(0, ledger["counts"]["streams_cut_by_order"].get<int>());
   std::map<std::string, std::string> content_by_number;
-  std::map<std::uint64_t, std::pair<int, int>> highest_by_life;
+  std::map<std::uint64_t, std::pair<int, int>> highest_by_incarnation;
   for (const nlohmann::json& order : ledger["orders"]) {
     const auto target = order["engine_incarnation"].get<std::uint64_t>();
     const std::string number =
@@ -23,7 +23,7 @@
     }
     const std::pair<int, int> epoch{order["epoch"]["generation"].get<int>(),
                                     order["epoch"]["term"].get<int>()};
-    auto& highest = highest_by_life[target];
+    auto& highest = highest_by_incarnation[target];
     CPPUNIT_ASSERT(epoch >= highest);
     highest = epoch;
   }
--- a/tests/process/process_faults_test.cpp
+++ b/tests/process/process_faults_test.cpp
@@ -20,41 +20,41 @@
 
 class ProcessFaultsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ProcessFaultsTest);
-  CPPUNIT_TEST(killedHolderIsReplacedAndNothingRunsTwice);
+  CPPUNIT_TEST(killedHolderIsReplacedAndNoRequestRunsTwice);
   CPPUNIT_TEST(pausedHolderGivesNoOrderAfterItsLease);
-  CPPUNIT_TEST(storeOutageAndLostAnswerAreToldTruly);
-  CPPUNIT_TEST(engineCrashInMidChangeLeavesNothingDrained);
+  CPPUNIT_TEST(storeOutageAndLostAnswerAreReportedCorrectly);
+  CPPUNIT_TEST(engineCrashDuringChangeLeavesNoEngineDrained);
   CPPUNIT_TEST(rollingReplacementCutsNoRequest);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void killedHolderIsReplacedAndNothingRunsTwice() {
+  void killedHolderIsReplacedAndNoRequestRunsTwice() {
     TestFleet fleet(kNodes, kEngines);
     Workload load(fleet, kThreads);
     load.waitForMore(20, 5);
-    const std::size_t killed = fleet.holder();
+    const std::size_t killed = fleet.leaseHolder();
     fleet.daemon(killed).kill();
-    load.setUsed(killed, false);
+    load.setEnabled(killed, false);
     waitUntil("another node holds the lease",
-              [&] { return fleet.holder(others(killed)) < fleet.nodes(); });
+              [&] { return fleet.leaseHolder(others(killed)) < fleet.nodes(); });
     load.waitForMore(20, 5);
     fleet.restart(killed);
-    load.setUsed(killed, true);
+    load.setEnabled(killed, true);
     load.waitForMore(20, 5);
-    conclude("kill", fleet, load.finish());
+    checkAndReport("kill", fleet, load.finish());
   }
 
   void pausedHolderGivesNoOrderAfterItsLease() {
     TestFleet fleet(kNodes, kEngines);
     Workload load(fleet, kThreads);
     load.waitForMore(10, 2);
-    const std::size_t paused = fleet.holder();
+    const std::size_t paused = fleet.leaseHolder();
     const std::size_t asked = others(paused).front();
-    load.setUsed(paused, false);
+    load.setEnabled(paused, false);
     accept(fleet.command(asked, "pin engine runner-0 role decode"));
     fleet.daemon(paused).signal(SIGSTOP);
     waitUntil("another node holds the lease",
-              [&] { return fleet.holder(others(paused)) < fleet.nodes(); });
+              [&] { return fleet.leaseHolder(others(paused)) < fleet.nodes(); });
     waitUntil("the next holder carries out the pin",
               [&] { return fleet.engineLoad(0).value("role", "") == "decode"; });
     fleet.daemon(paused).signal(SIGCONT);
@@ -63,10 +63,10 @@
     waitUntil("orders go on under the next holder",
               [&] { return fleet.engineLoad(0).value("role", "") == "mixed"; });
     load.waitForMore(10, 2);
-    conclude("pause", fleet, load.finish());
+    checkAndReport("pause", fleet, load.finish());
   }
 
-  void storeOutageAndLostAnswerAreToldTruly() {
+  void storeOutageAndLostAnswerAreReportedCorrectly() {
     TestFleet fleet(kNodes, kEngines);
     Workload load(fleet, kThreads);
     fleet.platformFault({{"lose_next_answers", 1}});
@@ -86,10 +86,10 @@
       CPPUNIT_ASSERT(tenants.find("after") != std::string::npos);
       CPPUNIT_ASSERT(tenants.find("never") == std::string::npos);
     }
-    conclude("store", fleet, load.finish());
+    checkAndReport("store", fleet, load.finish());
   }
 
-  void engineCrashInMidChangeLeavesNothingDrained() {
+  void engineCrashDuringChangeLeavesNoEngineDrained() {
     TestFleet fleet(kNodes, kEngines);
     Workload load(fleet, kThreads);
     load.waitForMore(10, 2);
@@ -114,7 +114,7 @@
     load.waitForMore(20, 5);
     const WorkloadReport report = load.finish();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, report.broken_streams);
-    conclude("engine-crash", fleet, report);
+    checkAndReport("engine-crash", fleet, report);
   }
 
   void rollingReplacementCutsNoRequest() {
@@ -129,11 +129,11 @@
       load.waitForMore(5, 1);
     }
     const WorkloadReport report = load.finish();
-    printBreaks(report);
+    printIncidents(report);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, report.broken_streams);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, report.failed_streams);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, report.bookings_unknown);
-    conclude("rolling", fleet, report);
+    checkAndReport("rolling", fleet, report);
   }
 
  private:
@@ -152,14 +152,15 @@
                                  answer.value("status", ""));
   }
 
-  static void printBreaks(const WorkloadReport& report) {
-    for (const std::string& text : report.breaks) {
+  static void printIncidents(const WorkloadReport& report) {
+    for (const std::string& text : report.incidents) {
       std::printf("\nbroken: %s", text.c_str());
     }
   }
 
   /// Requires that no promise was broken, and prints what happened.
-  static void conclude(const char* name, const TestFleet& fleet, const WorkloadReport& report) {
+  static void checkAndReport(const char* name, const TestFleet& fleet,
+                             const WorkloadReport& report) {
     std::printf(
         "\n%s: streams whole=%llu failed=%llu broken=%llu refused=%llu bookings done=%llu "
         "not_run=%llu unknown=%llu violations=%zu\n",
--- a/tests/process/test_fleet.cpp
+++ b/tests/process/test_fleet.cpp
@@ -40,7 +40,8 @@
   }
 }
 
-TestFleet::TestFleet(std::size_t nodes, std::size_t engines, const Via& via) {
+TestFleet::TestFleet(std::size_t nodes, std::size_t engines,
+                     const AddressMapping& daemon_address_of) {
   constexpr int kNumbers = 200;
   const int process = getpid();
   network_ = "127." + std::to_string(20 + process % kNumbers) + "." +
@@ -54,9 +55,9 @@
   for (std::size_t engine = 0; engine < engines; ++engine) {
     engines_.push_back(host(kEnginePart, engine) + ":8001");
   }
-  daemons_platform_ = via ? via(platform_) : platform_;
+  platform_address_for_daemons_ = daemon_address_of ? daemon_address_of(platform_) : platform_;
   for (const std::string& engine : engines_) {
-    daemons_engines_.push_back(via ? via(engine) : engine);
+    engine_addresses_for_daemons_.push_back(daemon_address_of ? daemon_address_of(engine) : engine);
   }
   platform_program_ = std::make_unique<Program>(
       "cypresswall-platform-standin",
@@ -110,11 +111,11 @@
   }
   daemons_[node] = std::make_unique<Program>(
       "cypresswalld",
-      std::vector<std::string>{"--node_peer_address", peerAddress(node), "--node_gateway_address",
-                               gateways_[node], "--node_zone", kZone, "--node_region", kRegion,
-                               "--node_machine", "machine-" + std::to_string(node), "--seeds",
-                               joined(seeds), "--platform_object_api", daemons_platform_,
-                               "--platform_machine_list", daemons_platform_},
+      std::vector<std::string>{
+          "--node_peer_address", peerAddress(node), "--node_gateway_address", gateways_[node],
+          "--node_zone", kZone, "--node_region", kRegion, "--node_machine",
+          "machine-" + std::to_string(node), "--seeds", joined(seeds), "--platform_object_api",
+          platform_address_for_daemons_, "--platform_machine_list", platform_address_for_daemons_},
       folder_ + "/node-" + std::to_string(node) + ".log");
 }
 
@@ -141,7 +142,7 @@
       "      - {method: GET, path_prefix: /slots, repeatable: true}\nengines:\n";
   for (std::size_t engine = 0; engine < engines_.size(); ++engine) {
     file += "  - {name: " + engineName(engine) + ", zone: hall, machine: m" +
-            std::to_string(engine) + ", address: \"" + daemons_engines_[engine] +
+            std::to_string(engine) + ", address: \"" + engine_addresses_for_daemons_[engine] +
             "\", model: model}\n";
   }
   const json request = {{"command", "apply fleet.yaml"}, {"file", file}, {"wait", true}};
@@ -159,7 +160,7 @@
     }
     return true;
   });
-  waitUntil("a node holds the lease", [this] { return holder() < nodes(); });
+  waitUntil("a node holds the lease", [this] { return leaseHolder() < nodes(); });
 }
 
 json TestFleet::command(std::size_t node, const std::string& text) const {
@@ -168,7 +169,7 @@
   return json::parse(answer.body, nullptr, false);
 }
 
-std::size_t TestFleet::holder(const std::vector<std::size_t>& asked) const {
+std::size_t TestFleet::leaseHolder(const std::vector<std::size_t>& asked) const {
   for (const std::size_t node : asked) {
     const auto answer = command(node, "show leases where here = yes");
     if (answer.is_object() && answer.contains("rows") && !answer["rows"].empty()) {
@@ -178,12 +179,12 @@
   return nodes();
 }
 
-std::size_t TestFleet::holder() const {
+std::size_t TestFleet::leaseHolder() const {
   std::vector<std::size_t> all;
   for (std::size_t node = 0; node < nodes(); ++node) {
     all.push_back(node);
   }
-  return holder(all);
+  return leaseHolder(all);
 }
 
 void TestFleet::engineFault(std::size_t engine, const json& fault) const {
--- a/tests/process/test_fleet.h
+++ b/tests/process/test_fleet.h
@@ -24,12 +24,12 @@
 class TestFleet {
  public:
   /// \return the address by which the daemons reach the process at `target`
-  using Via = std::function<std::string(const std::string& target)>;
+  using AddressMapping = std::function<std::string(const std::string& target)>;
 
   /// Starts everything, declares the fleet, and waits until it serves.
   /// \param via called for the platform, then for each engine; the addresses themselves if not
   /// given
-  TestFleet(std::size_t nodes, std::size_t engines, const Via& via = {});
+  TestFleet(std::size_t nodes, std::size_t engines, const AddressMapping& daemon_address_of = {});
   ~TestFleet();
 
   std::size_t nodes() const { return daemons_.size(); }
@@ -42,8 +42,8 @@
   /// Carries out an operators' command at a node. \return the answer's JSON
   nlohmann::json command(std::size_t node, const std::string& text) const;
   /// \return number of the node that says it holds the lease; nodes() if none of the asked does.
-  std::size_t holder(const std::vector<std::size_t>& asked) const;
-  std::size_t holder() const;
+  std::size_t leaseHolder(const std::vector<std::size_t>& asked) const;
+  std::size_t leaseHolder() const;
 
   std::string engineName(std::size_t engine) const { return "runner-" + std::to_string(engine); }
   void engineFault(std::size_t engine, const nlohmann::json& fault) const;
@@ -64,8 +64,8 @@
   std::string folder_;
   std::string platform_;
   /// Where daemons reach the platform and the engines.
-  std::string daemons_platform_;
-  std::vector<std::string> daemons_engines_;
+  std::string platform_address_for_daemons_;
+  std::vector<std::string> engine_addresses_for_daemons_;
   std::string service_;
   std::vector<std::string> engines_;
   std::vector<std::string> gateways_;
--- a/tests/process/workload.cpp
+++ b/tests/process/workload.cpp
@@ -59,9 +59,9 @@
 }  // namespace
 
 Workload::Workload(const TestFleet& fleet, std::size_t threads)
-    : fleet_(fleet), used_(fleet.nodes()) {
-  for (auto& used : used_) {
-    used = true;
+    : fleet_(fleet), enabled_(fleet.nodes()) {
+  for (auto& enabled : enabled_) {
+    enabled = true;
   }
   for (std::size_t thread = 0; thread < threads; ++thread) {
     threads_.emplace_back([this, thread] { run(thread); });
@@ -87,9 +87,9 @@
 }
 
 const std::string& Workload::pickGateway(std::uint64_t number) const {
-  for (std::size_t step = 0; step < used_.size(); ++step) {
-    const std::size_t node = (number + step) % used_.size();
-    if (used_[node]) {
+  for (std::size_t step = 0; step < enabled_.size(); ++step) {
+    const std::size_t node = (number + step) % enabled_.size();
+    if (enabled_[node]) {
       return fleet_.gateway(node);
     }
   }
@@ -108,7 +108,7 @@
   const std::lock_guard lock(mutex_);
   if (answer.status == 0 && !answer.not_connected) {
     report_.broken_streams += 1;
-    noteBreak(prompt, answer);
+    recordIncident(prompt, answer);
     return;
   }
   if (answer.status != 200) {
@@ -119,17 +119,17 @@
   const StreamedText streamed = readStream(answer.body);
   const std::string expected = expectedText(prompt);
   if (expected.compare(0, streamed.text.size(), streamed.text) != 0) {
-    violation("altered answer to '" + prompt + "': " + streamed.text);
+    addViolation("altered answer to '" + prompt + "': " + streamed.text);
   } else if (streamed.error) {
     report_.failed_streams += 1;
   } else if (!answer.complete || !streamed.ended) {
     report_.broken_streams += 1;
-    noteBreak(prompt, answer);
+    recordIncident(prompt, answer);
     if (answer.complete) {
-      violation("an answer ended without a word: " + prompt);
+      addViolation("an answer ended without a word: " + prompt);
     }
   } else if (streamed.text != expected) {
-    violation("short answer to '" + prompt + "'");
+    addViolation("short answer to '" + prompt + "'");
   } else {
     report_.whole_streams += 1;
   }
@@ -141,14 +141,14 @@
     const auto answer =
         httpCall("POST", gateway, std::string("/services/") + kHttpService + "/bookings",
                  R"({"slot":")" + key + "\"}", {{"Idempotency-Key", key}});
-    noteBooking(answer, key);
+    recordBooking(answer, key);
     if (answer.status == 200) {
       return;
     }
   }
 }
 
-void Workload::noteBooking(const HttpAnswer& answer, const std::string& key) {
+void Workload::recordBooking(const HttpAnswer& answer, const std::string& key) {
   const std::lock_guard lock(mutex_);
   KeyHistory& history = keys_[key];
   if (answer.not_connected) {
@@ -156,7 +156,7 @@
   }
   const std::string outcome = answer.header("x-cypresswall-outcome");
   if (answer.complete && outcome == "done") {
-    history.told_done = true;
+    history.reported_done = true;
     report_.bookings_done += 1;
   } else if (answer.complete && outcome == "not-run") {
     report_.bookings_not_run += 1;
@@ -164,15 +164,15 @@
     return;
   } else {
     report_.bookings_unknown += 1;
-    noteBreak(key, answer);
+    recordIncident(key, answer);
   }
-  history.only_told_not_run = false;
+  history.only_reported_not_run = false;
 }
 
 void Workload::checkRefusal(const HttpAnswer& answer) {
   const bool refused_for_load = answer.status == 503 || answer.status == 429;
   if (refused_for_load && answer.header("retry-after").empty()) {
-    violation("a refusal without Retry-After: " + answer.body);
+    addViolation("a refusal without Retry-After: " + answer.body);
   }
 }
 
@@ -210,22 +210,22 @@
   for (const auto& [key, history] : keys_) {
     const std::uint64_t count = runs[key];
     if (count > 1) {
-      violation(key + " ran " + std::to_string(count) + " times");
+      addViolation(key + " ran " + std::to_string(count) + " times");
     }
-    if (history.told_done && count != 1) {
-      violation(key + " was said to be done and ran " + std::to_string(count) + " times");
+    if (history.reported_done && count != 1) {
+      addViolation(key + " was said to be done and ran " + std::to_string(count) + " times");
     }
-    if (history.only_told_not_run && count != 0) {
-      violation(key + " was said not to have run, and ran");
+    if (history.only_reported_not_run && count != 0) {
+      addViolation(key + " was said not to have run, and ran");
     }
   }
 }
 
-void Workload::noteBreak(const std::string& request, const HttpAnswer& answer) {
-  report_.breaks.push_back(request + ": status " + std::to_string(answer.status) + " with " +
-                           std::to_string(answer.body.size()) + " bytes, " + answer.error);
+void Workload::recordIncident(const std::string& request, const HttpAnswer& answer) {
+  report_.incidents.push_back(request + ": status " + std::to_string(answer.status) + " with " +
+                              std::to_string(answer.body.size()) + " bytes, " + answer.error);
 }
 
-void Workload::violation(const std::string& text) { report_.violations.push_back(text); }
+void Workload::addViolation(const std::string& text) { report_.violations.push_back(text); }
 
 }  // namespace cypresswall::testing
--- a/tests/process/workload.h
+++ b/tests/process/workload.h
@@ -28,7 +28,7 @@
   std::uint64_t bookings_not_run = 0;
   std::uint64_t bookings_unknown = 0;
   /// What was seen of each broken stream and each booking without a known outcome.
-  std::vector<std::string> breaks;
+  std::vector<std::string> incidents;
   /// Answers that differ from what was to be given, and refusals for load without Retry-After.
   std::vector<std::string> violations;
 };
@@ -41,7 +41,7 @@
   Workload& operator=(const Workload&) = delete;
 
   /// Callers leave a node out from now on, or ask it again.
-  void setUsed(std::size_t node, bool used) { used_[node] = used; }
+  void setEnabled(std::size_t node, bool enabled) { enabled_[node] = enabled; }
   WorkloadReport report() const;
   /// Waits until so many more streams came whole and so many more bookings were done.
   void waitForMore(std::uint64_t streams, std::uint64_t bookings) const;
@@ -51,23 +51,23 @@
  private:
   /// What callers were told about one key.
   struct KeyHistory {
-    bool told_done = false;
-    bool only_told_not_run = true;
+    bool reported_done = false;
+    bool only_reported_not_run = true;
   };
 
   void run(std::size_t thread);
   void stream(const std::string& gateway, const std::string& prompt);
   void checkStream(const HttpAnswer& answer, const std::string& prompt);
   void book(std::size_t thread, const std::string& key);
-  void noteBooking(const HttpAnswer& answer, const std::string& key);
+  void recordBooking(const HttpAnswer& answer, const std::string& key);
   void checkRefusal(const HttpAnswer& answer);
   void checkLedger();
   const std::string& pickGateway(std::uint64_t number) const;
-  void noteBreak(const std::string& request, const HttpAnswer& answer);
-  void violation(const std::string& text);
+  void recordIncident(const std::string& request, const HttpAnswer& answer);
+  void addViolation(const std::string& text);
 
   const TestFleet& fleet_;
-  std::vector<std::atomic<bool>> used_;
+  std::vector<std::atomic<bool>> enabled_;
   std::atomic<bool> stop_{false};
   mutable std::mutex mutex_;
   WorkloadReport report_;
--- a/tests/properties/answers/refusals_test.cpp
+++ b/tests/properties/answers/refusals_test.cpp
@@ -24,12 +24,12 @@
 using std::chrono::seconds;
 
 constexpr int kRuns = 30;
-constexpr common::Duration kAskingTime = seconds(10);
+constexpr common::Duration kLoadDuration = seconds(10);
 /// First-token limit that the fleet declares: no request is held for longer without a token.
 constexpr common::Duration kFirstTokenLimit = seconds(3);
 /// From the request to its refusal, if no attempt was made; messages to other nodes take a few
 /// milliseconds each.
-constexpr common::Duration kAtOnce = milliseconds(100);
+constexpr common::Duration kRefusalTimeLimit = milliseconds(100);
 
 RunBounds refusalBounds() {
   RunBounds bounds;
@@ -37,12 +37,12 @@
   bounds.maximum_zones = 2;
   bounds.maximum_engines = 2;
   bounds.maximum_faults = 6;
-  bounds.faults_within = kAskingTime;
+  bounds.faults_within = kLoadDuration;
   return bounds;
 }
 
 /// A request that waits until its limit has passed counts as given up as well.
-bool givenUp(const CallerRecord& record) {
+bool rejectedOrExpired(const CallerRecord& record) {
   return record.result == CallerResult::kError &&
          (record.error.kind == ErrorKind::kOverloaded ||
           record.error.kind == ErrorKind::kDeadlineExceeded ||
@@ -84,15 +84,15 @@
       settings.topology = run.topology;
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.requests = 600, .within = kAskingTime});
+      planRequests(fleet, {.requests = 600, .within = kLoadDuration});
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kAskingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(seconds(60));
       RC_ASSERT(fleet.openRequests() == 0U);
       for (const CallerRecord& record : fleet.records()) {
-        if (!givenUp(record)) {
+        if (!rejectedOrExpired(record)) {
           continue;
         }
         const auto took = record.ended_at - record.asked_at;
@@ -101,8 +101,8 @@
         RC_LOG() << record.request_id << " given up after " << common::toSeconds(took)
                  << " s: " << record.error.message << '\n';
         RC_ASSERT(record.error.retry_after > common::Duration{0});
-        RC_ASSERT(record.tokens > 0U || took <= kFirstTokenLimit + kAtOnce);
-        RC_ASSERT(!never_sent || took <= kAtOnce);
+        RC_ASSERT(record.tokens > 0U || took <= kFirstTokenLimit + kRefusalTimeLimit);
+        RC_ASSERT(!never_sent || took <= kRefusalTimeLimit);
         longest = std::max(longest, never_sent ? took : common::Duration{0});
         ++(never_sent ? refused : after_attempts);
       }
--- a/tests/properties/answers/whole_answers_test.cpp
+++ b/tests/properties/answers/whole_answers_test.cpp
@@ -19,7 +19,7 @@
 using std::chrono::seconds;
 
 constexpr int kRuns = 40;
-constexpr common::Duration kAskingTime = seconds(20);
+constexpr common::Duration kLoadDuration = seconds(20);
 /// Until every request has ended after the last fault.
 constexpr common::Duration kSettlingTime = seconds(60);
 
@@ -67,10 +67,10 @@
       settings.topology = run.topology;
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.within = kAskingTime});
+      planRequests(fleet, {.within = kLoadDuration});
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kAskingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(kSettlingTime);
       RC_ASSERT(fleet.openRequests() == 0U);
--- a/tests/properties/authority/lease_history.cpp
+++ b/tests/properties/authority/lease_history.cpp
@@ -6,23 +6,23 @@
   fleet_.simulation().onResume([this](simulation::SimulatedProcess& process) {
     for (std::size_t index = 0; index < fleet_.nodeCount(); ++index) {
       if (fleet_.slot(index).process == &process) {
-        ask(fleet_.slot(index));
+        sampleNode(fleet_.slot(index));
       }
     }
   });
-  look();
+  sampleAll();
 }
 
-void LeaseHistory::look() {
+void LeaseHistory::sampleAll() {
   for (std::size_t index = 0; index < fleet_.nodeCount(); ++index) {
     if (fleet_.running(index) && !fleet_.slot(index).process->paused()) {
-      ask(fleet_.slot(index));
+      sampleNode(fleet_.slot(index));
     }
   }
-  fleet_.time().schedule(kPeriod, [this] { look(); });
+  fleet_.time().schedule(kPeriod, [this] { sampleAll(); });
 }
 
-void LeaseHistory::ask(const simulation::NodeSlot& slot) {
+void LeaseHistory::sampleNode(const simulation::NodeSlot& slot) {
   const auto epoch = slot.node->authority().heldEpoch();
   if (!epoch) {
     return;
--- a/tests/properties/authority/lease_history.h
+++ b/tests/properties/authority/lease_history.h
@@ -22,7 +22,7 @@
   ///   an epoch was held that is not above all that others held before.
   const std::vector<std::string>& violations() const { return violations_; }
   /// \return leases that lapsed or were lost while their holder was alive and had not given up.
-  std::uint64_t changesOfHolder() const { return changes_; }
+  std::uint64_t holderChanges() const { return changes_; }
   /// \return how long each zone was without a holder, once per gap.
   const std::vector<common::Duration>& gaps() const { return gaps_; }
   /// \return true if each zone has exactly one holder now.
@@ -35,8 +35,8 @@
     common::MonotonicTime last_held;
   };
 
-  void look();
-  void ask(const simulation::NodeSlot& slot);
+  void sampleAll();
+  void sampleNode(const simulation::NodeSlot& slot);
 
   simulation::SimulatedFleet& fleet_;
   std::map<std::uint32_t, Zone> zones_;
--- a/tests/properties/authority/one_holder_test.cpp
+++ b/tests/properties/authority/one_holder_test.cpp
@@ -73,8 +73,8 @@
       }
       RC_ASSERT(history.everyZoneHeld());
       faults.merge(fleet.faults());
-      faults.add(FaultKind::kLeaseExpired, history.changesOfHolder());
-      changes += history.changesOfHolder();
+      faults.add(FaultKind::kLeaseExpired, history.holderChanges());
+      changes += history.holderChanges();
       gaps.insert(gaps.end(), history.gaps().begin(), history.gaps().end());
     });
     std::sort(gaps.begin(), gaps.end());
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -23,7 +23,7 @@
 constexpr int kRuns = 60;
 constexpr std::uint32_t kChanges = 8;
 constexpr std::uint32_t kRaces = 3;
-constexpr common::Duration kWorkingTime = seconds(20);
+constexpr common::Duration kLoadDuration = seconds(20);
 constexpr common::Duration kInForceWithin = seconds(7);
 /// From the end of all faults until everything must work again.
 constexpr common::Duration kRecoveryTime = seconds(30);
@@ -63,8 +63,8 @@
 }
 
 /// What operators were told must match what is in force in the end.
-void requireToldTheTruth(const simulation::SimulatedFleet& fleet, const Operators& operators,
-                         Tally& tally) {
+void requireReportedResultsMatch(const simulation::SimulatedFleet& fleet,
+                                 const Operators& operators, Tally& tally) {
   const auto configuration = fleet.slot(0).node->configuration().current();
   for (const OperatorChange& change : operators.changes()) {
     const bool in_force = configuration->tenants.contains(change.tenant);
@@ -130,10 +130,10 @@
       fleet.bringUp();
       ConfigurationHistory history(fleet);
       Operators operators(fleet);
-      operators.work(kChanges, kRaces, kWorkingTime);
+      operators.planChanges(kChanges, kRaces, kLoadDuration);
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kWorkingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(kRecoveryTime);
       for (const std::string& violation : history.violations()) {
@@ -141,7 +141,7 @@
       }
       requireRecovery(fleet, operators);
       requireRacesHaveOneWinner(operators);
-      requireToldTheTruth(fleet, operators, tally);
+      requireReportedResultsMatch(fleet, operators, tally);
       requireInForceInTime(operators, history, tally);
       faults.merge(fleet.faults());
     });
--- a/tests/properties/configuration/configuration_history.cpp
+++ b/tests/properties/configuration/configuration_history.cpp
@@ -5,22 +5,22 @@
 namespace cypresswall::testing {
 
 ConfigurationHistory::ConfigurationHistory(simulation::SimulatedFleet& fleet) : fleet_(fleet) {
-  look();
+  sampleAll();
 }
 
-void ConfigurationHistory::look() {
+void ConfigurationHistory::sampleAll() {
   for (std::size_t index = 0; index < fleet_.nodeCount(); ++index) {
     if (fleet_.running(index)) {
-      lookAt(fleet_.slot(index));
+      sampleNode(fleet_.slot(index));
     }
   }
   if (fleet_.simulation().network().anyCut()) {
     cuts_.push_back(fleet_.time().now());
   }
-  fleet_.time().schedule(kPeriod, [this] { look(); });
+  fleet_.time().schedule(kPeriod, [this] { sampleAll(); });
 }
 
-void ConfigurationHistory::lookAt(const simulation::NodeSlot& slot) {
+void ConfigurationHistory::sampleNode(const simulation::NodeSlot& slot) {
   const auto configuration = slot.node->configuration().current();
   auto& samples = samples_[slot.process->id()];
   const std::uint64_t before = samples.empty() ? 0 : samples.back().version;
--- a/tests/properties/configuration/configuration_history.h
+++ b/tests/properties/configuration/configuration_history.h
@@ -34,8 +34,8 @@
     bool awake = true;
   };
 
-  void look();
-  void lookAt(const simulation::NodeSlot& slot);
+  void sampleAll();
+  void sampleNode(const simulation::NodeSlot& slot);
 
   simulation::SimulatedFleet& fleet_;
   std::map<common::NodeId, std::vector<Sample>> samples_;
--- a/tests/properties/configuration/operators.cpp
+++ b/tests/properties/configuration/operators.cpp
@@ -28,7 +28,7 @@
 
 OperatorChange& Operators::change(std::size_t node) { return submit(node, std::nullopt); }
 
-void Operators::race(std::size_t first, std::size_t second) {
+void Operators::submitRacingChanges(std::size_t first, std::size_t second) {
   if (!fleet_.running(first) || !fleet_.running(second)) {
     return;
   }
@@ -39,7 +39,7 @@
   fleet_.faults().add(simulation::FaultKind::kOperatorRace);
 }
 
-void Operators::work(std::uint32_t changes, std::uint32_t races, common::Duration within) {
+void Operators::planChanges(std::uint32_t changes, std::uint32_t races, common::Duration within) {
   auto& random = fleet_.simulation().random();
   const auto anyTime = [&] { return common::Duration(random.below(within.count())); };
   const auto anyNode = [this] { return fleet_.simulation().random().below(fleet_.nodeCount()); };
@@ -47,7 +47,8 @@
     fleet_.time().schedule(anyTime(), [this, anyNode] { change(anyNode()); });
   }
   for (std::uint32_t number = 0; number < races; ++number) {
-    fleet_.time().schedule(anyTime(), [this, anyNode] { race(anyNode(), anyNode()); });
+    fleet_.time().schedule(anyTime(),
+                           [this, anyNode] { submitRacingChanges(anyNode(), anyNode()); });
   }
 }
 
--- a/tests/properties/configuration/operators.h
+++ b/tests/properties/configuration/operators.h
@@ -27,9 +27,9 @@
   /// Submits one change at a node.
   OperatorChange& change(std::size_t node);
   /// Submits two changes at two nodes, both made for the version that the first node holds.
-  void race(std::size_t first, std::size_t second);
+  void submitRacingChanges(std::size_t first, std::size_t second);
   /// Plans changes and races at random nodes over a while.
-  void work(std::uint32_t changes, std::uint32_t races, common::Duration within);
+  void planChanges(std::uint32_t changes, std::uint32_t races, common::Duration within);
 
   const std::deque<OperatorChange>& changes() const { return changes_; }
 
--- a/tests/properties/leaving/leaving_machine_test.cpp
+++ b/tests/properties/leaving/leaving_machine_test.cpp
@@ -18,8 +18,8 @@
 using std::chrono::seconds;
 
 constexpr int kRuns = 60;
-constexpr common::Duration kAskingTime = seconds(25);
-constexpr common::Duration kNoWorkAfter = seconds(3);
+constexpr common::Duration kLoadDuration = seconds(25);
+constexpr common::Duration kLeavingGracePeriod = seconds(3);
 
 RunBounds leavingBounds() {
   RunBounds bounds;
@@ -41,7 +41,7 @@
     const auto& topology = fleet_.settings().topology;
     for (std::uint32_t zone = 0; zone < topology.zones; ++zone) {
       for (std::uint32_t engine = 1; engine < topology.engines_per_zone; ++engine) {
-        const auto at = common::Duration(fleet_.simulation().random().below(kAskingTime.count()));
+        const auto at = common::Duration(fleet_.simulation().random().below(kLoadDuration.count()));
         fleet_.time().schedule(at, [this, zone, engine] { leave(zone, engine); });
       }
     }
@@ -52,7 +52,7 @@
     std::uint64_t late = 0;
     for (const auto& [address, shown_at] : shown_at_) {
       for (const auto& stream : fleet_.engines().find(address)->ledger().streams) {
-        if (stream.started_at > shown_at + kNoWorkAfter) {
+        if (stream.started_at > shown_at + kLeavingGracePeriod) {
           RC_LOG() << address << " shown as leaving at "
                    << common::toSeconds(shown_at.time_since_epoch()) << " s got "
                    << stream.stream_id << " at "
@@ -91,12 +91,12 @@
       settings.topology = run.topology;
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.requests = 150, .within = kAskingTime + seconds(10)});
+      planRequests(fleet, {.requests = 150, .within = kLoadDuration + seconds(10)});
       LeavingEngines leaving(fleet, simulation::PlatformSettings{}.machine_list_lag);
       leaving.plan();
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kAskingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(seconds(20));
       RC_ASSERT(leaving.lateStreams() == 0U);
--- a/tests/properties/leaving/leaving_services_test.cpp
+++ b/tests/properties/leaving/leaving_services_test.cpp
@@ -20,8 +20,8 @@
 using std::chrono::seconds;
 
 constexpr int kRuns = 40;
-constexpr common::Duration kAskingTime = seconds(25);
-constexpr common::Duration kNoWorkAfter = seconds(3);
+constexpr common::Duration kLoadDuration = seconds(25);
+constexpr common::Duration kLeavingGracePeriod = seconds(3);
 
 RunBounds leavingServiceBounds() {
   RunBounds bounds;
@@ -50,8 +50,8 @@
     for (std::uint32_t zone = 0; zone < topology.zones; ++zone) {
       for (std::uint32_t number = 1; number < topology.backends_per_zone; ++number) {
         const auto address = simulation::backendAddress(zone, number);
-        leaveSometime(simulation::backendMachine(zone, number),
-                      [this, address] { calls_[address] = callsOf(fleet_, address); });
+        scheduleLeaving(simulation::backendMachine(zone, number),
+                        [this, address] { calls_[address] = callsOf(fleet_, address); });
       }
     }
   }
@@ -60,8 +60,8 @@
     for (std::uint32_t zone = 0; zone < topology.zones; ++zone) {
       for (std::uint32_t number = 2; number < topology.nodes_per_zone; ++number) {
         const auto address = simulation::nodeAddress(zone, number);
-        leaveSometime(simulation::nodeMachine(zone, number),
-                      [this, address] { no_work_from_[address] = fleet_.time().now(); });
+        scheduleLeaving(simulation::nodeMachine(zone, number),
+                        [this, address] { no_work_from_[address] = fleet_.time().now(); });
       }
     }
   }
@@ -96,13 +96,13 @@
 
  private:
   template <typename Callback>
-  void leaveSometime(const common::MachineName& machine, Callback&& work_over) {
+  void scheduleLeaving(const common::MachineName& machine, Callback&& work_over) {
     const auto lag = simulation::PlatformSettings{}.machine_list_lag;
-    const auto at = common::Duration(fleet_.simulation().random().below(kAskingTime.count()));
+    const auto at = common::Duration(fleet_.simulation().random().below(kLoadDuration.count()));
     fleet_.time().schedule(at, [this, machine] {
       fleet_.platform().setMachineState(machine, object_store::MachineState::kLeaving);
     });
-    fleet_.time().schedule(at + lag + kNoWorkAfter, std::forward<Callback>(work_over));
+    fleet_.time().schedule(at + lag + kLeavingGracePeriod, std::forward<Callback>(work_over));
   }
 
   simulation::SimulatedFleet& fleet_;
@@ -121,9 +121,9 @@
   simulation::SimulatedFleet fleet(run.seed, settings);
   fleet.bringUp();
   BookingWorkload workload;
-  workload.plain = 100;
-  workload.polls = 100;
-  workload.within = kAskingTime + seconds(10);
+  workload.bookings_without_key = 100;
+  workload.repeatable_calls = 100;
+  workload.within = kLoadDuration + seconds(10);
   planBookings(fleet, workload);
   LeavingMachines leaving(fleet);
   plan(leaving);
--- a/tests/properties/once/at_most_once_test.cpp
+++ b/tests/properties/once/at_most_once_test.cpp
@@ -33,11 +33,11 @@
 
 class AtMostOnceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AtMostOnceTest);
-  CPPUNIT_TEST(bookingsRunAtMostOnceAndNotRunIsTrue);
+  CPPUNIT_TEST(bookingsRunAtMostOnceAndNotRunIsCorrect);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void bookingsRunAtMostOnceAndNotRunIsTrue() {
+  void bookingsRunAtMostOnceAndNotRunIsCorrect() {
     simulation::FaultCounters faults;
     RequestTally tally;
     std::uint64_t keyed_done = 0;
@@ -60,8 +60,8 @@
       player.endAll();
       fleet.time().runFor(seconds(30));
       RC_ASSERT(fleet.openRequests() == 0U);
-      requireOnce(fleet, fleet.services());
-      keyed_done += keyedDone(fleet);
+      requireAtMostOnce(fleet, fleet.services());
+      keyed_done += countDoneWithKey(fleet);
       faults.merge(fleet.faults());
       tally.add(fleet);
     });
--- a/tests/properties/once_across_zones/once_across_zones_test.cpp
+++ b/tests/properties/once_across_zones/once_across_zones_test.cpp
@@ -77,7 +77,7 @@
 }
 
 /// Removes what zone `zone` runs, so that the zone itself can be removed; its nodes stay.
-std::vector<configuration::ObjectChange> withoutWorkIn(
+std::vector<configuration::ObjectChange> removalsOfZoneWorkloads(
     const configuration::FleetConfiguration& fleet, const common::ZoneName& zone) {
   using configuration::ObjectKind;
   std::vector<configuration::ObjectChange> objects;
@@ -106,7 +106,7 @@
 /// After the faults every zone's keys can be claimed from every node again, except that keys of a
 /// zone that lost a quorum for good are uncertain until their retention has passed.
 /// \return number of requests that were done
-std::uint64_t requireClaimable(simulation::SimulatedFleet& fleet) {
+std::uint64_t requireKeysClaimable(simulation::SimulatedFleet& fleet) {
   std::vector<const simulation::CallerRecord*> asked;
   for (std::size_t index = 0; index < fleet.nodeCount(); ++index) {
     asked.push_back(&fleet.book(index, "afterwards-" + std::to_string(index)));
@@ -169,9 +169,9 @@
       player.endAll();
       fleet.time().runFor(seconds(30));
       RC_ASSERT(fleet.openRequests() == 0U);
-      requireOnce(fleet, fleet.services());
-      claimable += requireClaimable(fleet);
-      keyed_done += keyedDone(fleet);
+      requireAtMostOnce(fleet, fleet.services());
+      claimable += requireKeysClaimable(fleet);
+      keyed_done += countDoneWithKey(fleet);
       passed_on += counted(fleet, "cypresswall_claims_passed_on_total");
       faults.merge(fleet.faults());
       tally.add(fleet);
@@ -210,11 +210,12 @@
       fleet.bringUp();
       const auto zone = simulation::zoneName(run.topology.zones - 1);
       std::uint64_t accepted = 0;
-      change(fleet, withoutWorkIn(*fleet.slot(0).node->configuration().current(), zone), accepted);
+      change(fleet, removalsOfZoneWorkloads(*fleet.slot(0).node->configuration().current(), zone),
+             accepted);
       fleet.time().runFor(seconds(2));
       BookingWorkload workload;
       workload.keys = 120;
-      workload.asks_per_key = 5;
+      workload.requests_per_key = 5;
       workload.within = seconds(140);
       planBookings(fleet, workload);
       planZoneChanges(fleet, zone, accepted);
@@ -224,10 +225,10 @@
       player.endAll();
       fleet.time().runFor(seconds(10));
       RC_ASSERT(fleet.openRequests() == 0U);
-      requireOnce(fleet, fleet.services());
+      requireAtMostOnce(fleet, fleet.services());
       changes += accepted;
       moved += counted(fleet, "cypresswall_claims_moved_total");
-      keyed_done += keyedDone(fleet);
+      keyed_done += countDoneWithKey(fleet);
       faults.merge(fleet.faults());
       tally.add(fleet);
     });
--- a/tests/properties/orders/fenced_orders_test.cpp
+++ b/tests/properties/orders/fenced_orders_test.cpp
@@ -23,7 +23,7 @@
 
 constexpr int kRuns = 40;
 constexpr std::uint32_t kRolePins = 10;
-constexpr common::Duration kWorkingTime = seconds(30);
+constexpr common::Duration kLoadDuration = seconds(30);
 constexpr common::Duration kRecoveryTime = seconds(60);
 
 RunBounds orderBounds() {
@@ -43,7 +43,7 @@
   bounds.minimum_engines = 2;
   bounds.maximum_engines = 3;
   bounds.maximum_faults = 10;
-  bounds.faults_within = kWorkingTime;
+  bounds.faults_within = kLoadDuration;
   return bounds;
 }
 
@@ -54,13 +54,13 @@
 
   void plan() {
     for (std::uint32_t number = 0; number < kRolePins; ++number) {
-      const auto at = common::Duration(fleet_.simulation().random().below(kWorkingTime.count()));
+      const auto at = common::Duration(fleet_.simulation().random().below(kLoadDuration.count()));
       fleet_.time().schedule(at, [this] { pinAtTwoNodes(); });
     }
   }
 
   /// \return engines that do not have the role that is pinned for them at node `index`.
-  std::vector<std::string> notAsPinned(std::size_t index) const {
+  std::vector<std::string> enginesWithWrongRole(std::size_t index) const {
     std::vector<std::string> wrong;
     const auto configuration = fleet_.slot(index).node->configuration().current();
     for (const auto& [name, pin] : configuration->engine_overrides) {
@@ -105,7 +105,7 @@
   std::uint64_t received = 0;
   std::uint64_t accepted = 0;
   std::uint64_t refused_stale = 0;
-  std::uint64_t refused_for_earlier_life = 0;
+  std::uint64_t refused_for_earlier_incarnation = 0;
   std::uint64_t role_changes = 0;
 };
 
@@ -130,7 +130,7 @@
 }
 
 /// INV-3: what takes effect comes from ever higher epochs, also over an engine's restarts.
-void requireGrowingEpochs(const emulation::EngineLedger& ledger) {
+void requireMonotonicEpochs(const emulation::EngineLedger& ledger) {
   common::Epoch highest;
   for (const auto& entry : ledger.orders) {
     if (entry.verdict != engines::OrderVerdict::kAccepted) {
@@ -147,7 +147,7 @@
     ++tally.received;
     tally.accepted += entry.verdict == engines::OrderVerdict::kAccepted ? 1 : 0;
     tally.refused_stale += entry.verdict == engines::OrderVerdict::kStaleEpoch ? 1 : 0;
-    tally.refused_for_earlier_life +=
+    tally.refused_for_earlier_incarnation +=
         entry.verdict == engines::OrderVerdict::kWrongIncarnation ? 1 : 0;
   }
   tally.role_changes += ledger.role_changes;
@@ -178,22 +178,22 @@
       settings.topology = run.topology;
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.requests = 100, .within = kWorkingTime});
+      planRequests(fleet, {.requests = 100, .within = kLoadDuration});
       RolePins pins(fleet);
       pins.plan();
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kWorkingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(kRecoveryTime);
       for (const auto& [address, engine] : fleet.engines().all()) {
         requireNoConflict(engine->ledger());
-        requireGrowingEpochs(engine->ledger());
+        requireMonotonicEpochs(engine->ledger());
         RC_ASSERT(engine->ledger().streams_cut_by_order == 0U);
         addUp(orders, engine->ledger());
       }
       RC_ASSERT(fleet.openRequests() == 0U);
-      const auto wrong = pins.notAsPinned(0);
+      const auto wrong = pins.enginesWithWrongRole(0);
       RC_LOG() << "not as pinned: " << (wrong.empty() ? "none" : wrong.front()) << '\n';
       RC_ASSERT(wrong.empty());
       requireNothingLeftDraining(fleet);
@@ -202,9 +202,9 @@
     });
     std::cout << "\nINV-1, INV-2, INV-3: " << orders.received << " orders received, "
               << orders.accepted << " accepted, " << orders.refused_stale << " of a lower epoch, "
-              << orders.refused_for_earlier_life << " for an earlier life, " << orders.role_changes
-              << " role changes; " << requests.summary() << "; faults: " << faults.summary()
-              << std::endl;
+              << orders.refused_for_earlier_incarnation << " for an earlier life, "
+              << orders.role_changes << " role changes; " << requests.summary()
+              << "; faults: " << faults.summary() << std::endl;
     CPPUNIT_ASSERT(orders.role_changes > 0);
     CPPUNIT_ASSERT(requests.done > requests.errors + requests.broken);
     CPPUNIT_ASSERT(faults.count(FaultKind::kKill) > 0);
--- a/tests/properties/replay/replay_test.cpp
+++ b/tests/properties/replay/replay_test.cpp
@@ -44,7 +44,7 @@
 class ReplayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReplayTest);
   CPPUNIT_TEST(sameSeedGivesSameDigest);
-  CPPUNIT_TEST(printsTheSpeedAtPortaviasSize);
+  CPPUNIT_TEST(reportsSimulationSpeedAtPortaviaSize);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -56,7 +56,7 @@
   }
 
   /// 4 zones of 3 nodes and 3 engines, one model request a second, for ten minutes.
-  void printsTheSpeedAtPortaviasSize() {
+  void reportsSimulationSpeedAtPortaviaSize() {
     constexpr common::Duration kSimulated = std::chrono::minutes(10);
     constexpr double kSecondsPerHour = 3600;
     constexpr double kSecondsPerMinute = 60;
--- a/tests/properties/stopping/planned_stop_test.cpp
+++ b/tests/properties/stopping/planned_stop_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr int kRuns = 60;
 constexpr std::uint32_t kBookings = 40;
-constexpr common::Duration kAskingTime = seconds(20);
+constexpr common::Duration kLoadDuration = seconds(20);
 
 RunBounds stoppingBounds() {
   RunBounds bounds;
@@ -32,14 +32,14 @@
 void planBookings(simulation::SimulatedFleet& fleet) {
   auto& random = fleet.simulation().random();
   for (std::uint32_t number = 0; number < kBookings; ++number) {
-    const auto at = common::Duration(random.below(kAskingTime.count()));
+    const auto at = common::Duration(random.below(kLoadDuration.count()));
     fleet.time().schedule(
         at, [&fleet] { fleet.book(fleet.simulation().random().below(fleet.nodeCount()), ""); });
   }
 }
 
 /// A request either was taken and has its whole answer, or was refused as not run.
-void requireUncut(const CallerRecord& record) {
+void requireCompleteOrNotRun(const CallerRecord& record) {
   RC_LOG() << record.request_id << " at " << record.node.toString() << ": result "
            << static_cast<int>(record.result) << ", " << toString(record.error.outcome) << ", "
            << record.error.message << '\n';
@@ -65,15 +65,15 @@
       settings.service_answer_time = std::chrono::milliseconds(300);
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.within = kAskingTime});
+      planRequests(fleet, {.within = kLoadDuration});
       planBookings(fleet);
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kAskingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(seconds(30));
       for (const CallerRecord& record : fleet.records()) {
-        requireUncut(record);
+        requireCompleteOrNotRun(record);
       }
       faults.merge(fleet.faults());
       tally.add(fleet);
--- a/tests/properties/support/bookings.cpp
+++ b/tests/properties/support/bookings.cpp
@@ -22,7 +22,7 @@
   return fleet.simulation().random().below(fleet.nodeCount());
 }
 
-bool surelyNotRun(const CallerRecord& record) {
+bool certainlyNotRun(const CallerRecord& record) {
   return record.result == CallerResult::kNotConnected ||
          (record.result == CallerResult::kError && record.error.outcome == Outcome::kNotRun);
 }
@@ -35,7 +35,7 @@
   for (std::uint32_t number = 0; number < workload.keys; ++number) {
     const std::string key = "slot-" + std::to_string(number);
     auto at = anyTime();
-    const auto asks = 1 + random.below(workload.asks_per_key);
+    const auto asks = 1 + random.below(workload.requests_per_key);
     for (std::uint64_t ask = 0; ask < asks; ++ask) {
       fleet.time().schedule(at, [&fleet, key] { fleet.book(anyNode(fleet), key); });
       if (random.below(2) != 0) {
@@ -43,22 +43,22 @@
       }
     }
   }
-  for (std::uint32_t number = 0; number < workload.plain; ++number) {
+  for (std::uint32_t number = 0; number < workload.bookings_without_key; ++number) {
     fleet.time().schedule(anyTime(), [&fleet] { fleet.book(anyNode(fleet), ""); });
   }
-  for (std::uint32_t number = 0; number < workload.polls; ++number) {
+  for (std::uint32_t number = 0; number < workload.repeatable_calls; ++number) {
     fleet.time().schedule(anyTime(), [&fleet] { fleet.poll(anyNode(fleet)); });
   }
 }
 
-void requireOnce(const simulation::SimulatedFleet& fleet,
-                 const simulation::SimulatedServices& services) {
+void requireAtMostOnce(const simulation::SimulatedFleet& fleet,
+                       const simulation::SimulatedServices& services) {
   std::map<std::string, KeyHistory> keys;
   for (const CallerRecord& record : fleet.records()) {
     if (record.request_id.rfind("booking", 0) != 0) {
       continue;
     }
-    const bool not_run = surelyNotRun(record);
+    const bool not_run = certainlyNotRun(record);
     RC_LOG() << record.request_id << " key '" << record.key << "' at " << record.node.toString()
              << ", " << common::toSeconds(record.asked_at.time_since_epoch()) << " s: result "
              << static_cast<int>(record.result) << ", outcome " << toString(record.error.outcome)
@@ -81,7 +81,7 @@
   }
 }
 
-std::uint64_t keyedDone(const simulation::SimulatedFleet& fleet) {
+std::uint64_t countDoneWithKey(const simulation::SimulatedFleet& fleet) {
   std::uint64_t done = 0;
   for (const CallerRecord& record : fleet.records()) {
     done += !record.key.empty() && record.result == CallerResult::kDone ? 1 : 0;
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -5,17 +5,17 @@
 namespace cypresswall::testing {
 namespace {
 
-constexpr std::uint64_t kLeastMilliseconds = 200;
-constexpr std::uint64_t kMoreMilliseconds = 1500;
+constexpr std::uint64_t kMinimumMilliseconds = 200;
+constexpr std::uint64_t kMillisecondsRange = 1500;
 constexpr double kOverlapShare = 0.3;
 
-bool strikesNode(FaultKind kind) { return kind <= FaultKind::kNodeStopped; }
-bool strikesStore(FaultKind kind) {
+bool affectsNode(FaultKind kind) { return kind <= FaultKind::kNodeStopped; }
+bool affectsStore(FaultKind kind) {
   return kind >= FaultKind::kStoreDown && kind <= FaultKind::kStoreAnswerLost;
 }
 
 /// \return 0 for nodes, 1 for the store, 2 for engines; faults of one group never overlap
-int groupOf(FaultKind kind) { return strikesNode(kind) ? 0 : strikesStore(kind) ? 1 : 2; }
+int groupOf(FaultKind kind) { return affectsNode(kind) ? 0 : affectsStore(kind) ? 1 : 2; }
 
 }  // namespace
 
@@ -23,15 +23,15 @@
                                      std::size_t engines) {
   common::SeededRandom random(seed);
   const auto time = [&random] {
-    return std::chrono::milliseconds(kLeastMilliseconds + random.below(kMoreMilliseconds));
+    return std::chrono::milliseconds(kMinimumMilliseconds + random.below(kMillisecondsRange));
   };
   std::vector<PlannedFault> plan;
   for (std::size_t i = 0; i < count; ++i) {
     PlannedFault fault;
     fault.kind = static_cast<FaultKind>(random.below(kFaultKinds));
-    fault.victim = random.below(strikesNode(fault.kind) ? nodes : engines);
-    fault.lasts = time();
-    fault.calm = time();
+    fault.target = random.below(affectsNode(fault.kind) ? nodes : engines);
+    fault.duration = time();
+    fault.pause_after = time();
     plan.push_back(fault);
   }
   for (std::size_t i = 0; i + 1 < plan.size(); ++i) {
@@ -46,8 +46,8 @@
   std::string text;
   for (const PlannedFault& fault : plan) {
     text += text.empty() ? "" : " ";
-    text += std::string(nameOf(fault.kind)) + "/" + std::to_string(fault.victim) + "/" +
-            std::to_string(fault.lasts.count()) + "ms" + (fault.overlaps_next ? "+" : "");
+    text += std::string(nameOf(fault.kind)) + "/" + std::to_string(fault.target) + "/" +
+            std::to_string(fault.duration.count()) + "ms" + (fault.overlaps_next ? "+" : "");
   }
   return text;
 }
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -38,10 +38,10 @@
 struct PlannedFault {
   FaultKind kind = FaultKind::kNodeKilled;
   /// Node or engine that it strikes; no meaning for the store.
-  std::size_t victim = 0;
-  std::chrono::milliseconds lasts{0};
+  std::size_t target = 0;
+  std::chrono::milliseconds duration{0};
   /// Load without a new fault afterwards.
-  std::chrono::milliseconds calm{0};
+  std::chrono::milliseconds pause_after{0};
   /// The next fault begins before this one ends.
   bool overlaps_next = false;
 };
--- a/tests/soak/soak_round.cpp
+++ b/tests/soak/soak_round.cpp
@@ -12,27 +12,27 @@
 constexpr std::size_t kThreads = 6;
 constexpr int kStopSeconds = 30;
 constexpr std::chrono::milliseconds kSlow{300};
-constexpr std::uint64_t kStreamsAfterwards = 20;
-constexpr std::uint64_t kBookingsAfterwards = 5;
+constexpr std::uint64_t kStreamsAfterFaults = 20;
+constexpr std::uint64_t kBookingsAfterFaults = 5;
 
-void pass(std::chrono::milliseconds time) { std::this_thread::sleep_for(time); }
+void sleepFor(std::chrono::milliseconds time) { std::this_thread::sleep_for(time); }
 
-ProxyHarm harmOf(FaultKind kind) {
-  ProxyHarm harm;
+ProxyFaults proxyFaultsOf(FaultKind kind) {
+  ProxyFaults faults;
   switch (kind) {
     case FaultKind::kStoreSilent:
     case FaultKind::kEngineSilent:
-      harm.drop_requests = true;
-      harm.drop_answers = true;
+      faults.drop_requests = true;
+      faults.drop_answers = true;
       break;
     case FaultKind::kStoreAnswersCut:
     case FaultKind::kEngineAnswersCut:
-      harm.drop_answers = true;
+      faults.drop_answers = true;
       break;
     default:
-      harm.delay = kSlow;
+      faults.delay = kSlow;
   }
-  return harm;
+  return faults;
 }
 
 }  // namespace
@@ -50,20 +50,20 @@
 
 TcpProxy& SoakRound::proxyOf(const PlannedFault& fault) {
   const bool engine = fault.kind >= FaultKind::kEngineCrashed;
-  return *proxies_.at(engine ? 1 + fault.victim : 0);
+  return *proxies_.at(engine ? 1 + fault.target : 0);
 }
 
-void SoakRound::strike(const PlannedFault& fault) {
+void SoakRound::injectFault(const PlannedFault& fault) {
   ++result_.faults[static_cast<std::size_t>(fault.kind)];
   switch (fault.kind) {
     case FaultKind::kNodeKilled:
-      fleet_->daemon(fault.victim).kill();
+      fleet_->daemon(fault.target).kill();
       break;
     case FaultKind::kNodePaused:
-      fleet_->daemon(fault.victim).signal(SIGSTOP);
+      fleet_->daemon(fault.target).signal(SIGSTOP);
       break;
     case FaultKind::kNodeStopped:
-      fleet_->daemon(fault.victim).signal(SIGTERM);
+      fleet_->daemon(fault.target).signal(SIGTERM);
       break;
     case FaultKind::kStoreDown:
       fleet_->platformFault({{"down", true}});
@@ -72,34 +72,34 @@
       fleet_->platformFault({{"lose_next_answers", 1}});
       break;
     case FaultKind::kEngineCrashed:
-      fleet_->engineFault(fault.victim, {{"crash", true}});
+      fleet_->engineFault(fault.target, {{"crash", true}});
       break;
     case FaultKind::kEngineStreamBroken:
-      fleet_->engineFault(fault.victim, {{"break_stream_after_tokens", 3}});
+      fleet_->engineFault(fault.target, {{"break_stream_after_tokens", 3}});
       break;
     case FaultKind::kStoreReset:
     case FaultKind::kEngineReset:
       proxyOf(fault).resetConnections();
       break;
     default:
-      proxyOf(fault).setHarm(harmOf(fault.kind));
+      proxyOf(fault).setFaults(proxyFaultsOf(fault.kind));
   }
 }
 
-void SoakRound::heal(const PlannedFault& fault) {
+void SoakRound::clearFault(const PlannedFault& fault) {
   switch (fault.kind) {
     case FaultKind::kNodeKilled:
-      fleet_->restart(fault.victim);
+      fleet_->restart(fault.target);
       break;
     case FaultKind::kNodePaused:
-      fleet_->daemon(fault.victim).signal(SIGCONT);
+      fleet_->daemon(fault.target).signal(SIGCONT);
       break;
     case FaultKind::kNodeStopped:
-      if (fleet_->daemon(fault.victim).waitForExit(kStopSeconds) != 0) {
+      if (fleet_->daemon(fault.target).waitForExit(kStopSeconds) != 0) {
         result_.violations.push_back("a stopped node did not end by itself with exit code 0");
-        fleet_->daemon(fault.victim).kill();
+        fleet_->daemon(fault.target).kill();
       }
-      fleet_->restart(fault.victim);
+      fleet_->restart(fault.target);
       break;
     case FaultKind::kStoreDown:
       fleet_->platformFault({{"down", false}});
@@ -111,11 +111,11 @@
     case FaultKind::kEngineReset:
       break;
     default:
-      proxyOf(fault).setHarm({});
+      proxyOf(fault).setFaults({});
   }
 }
 
-void SoakRound::change(std::size_t number) {
+void SoakRound::submitChange(std::size_t number) {
   const std::string tenant = "tenant-" + std::to_string(number);
   const auto answer = fleet_->command(
       number % kNodes, "declare tenant " + tenant + " key key-of-" + tenant + " requests 10");
@@ -125,7 +125,7 @@
   }
 }
 
-void SoakRound::checkChanges() {
+void SoakRound::checkAcceptedChanges() {
   for (const std::string& tenant : accepted_) {
     for (std::size_t node = 0; node < kNodes; ++node) {
       waitUntil("node " + std::to_string(node) + " shows the accepted " + tenant, [&] {
@@ -141,25 +141,25 @@
     fleet_ = std::make_unique<TestFleet>(
         kNodes, kEngines, [this](const std::string& target) { return throughProxy(target); });
     Workload load(*fleet_, kThreads);
-    load.waitForMore(kStreamsAfterwards, kBookingsAfterwards);
+    load.waitForMore(kStreamsAfterFaults, kBookingsAfterFaults);
     const PlannedFault* open = nullptr;
     for (std::size_t i = 0; i < plan_.size(); ++i) {
       const PlannedFault& fault = plan_[i];
-      strike(fault);
-      pass(fault.lasts);
-      change(i);
+      injectFault(fault);
+      sleepFor(fault.duration);
+      submitChange(i);
       if (fault.overlaps_next) {
         open = &fault;
         continue;
       }
-      heal(fault);
+      clearFault(fault);
       if (open != nullptr) {
-        heal(*std::exchange(open, nullptr));
+        clearFault(*std::exchange(open, nullptr));
       }
-      pass(fault.calm);
+      sleepFor(fault.pause_after);
     }
-    load.waitForMore(kStreamsAfterwards, kBookingsAfterwards);
-    checkChanges();
+    load.waitForMore(kStreamsAfterFaults, kBookingsAfterFaults);
+    checkAcceptedChanges();
     result_.load = load.finish();
     for (const std::string& violation : result_.load.violations) {
       result_.violations.push_back(violation);
--- a/tests/soak/soak_round.h
+++ b/tests/soak/soak_round.h
@@ -36,11 +36,11 @@
 
  private:
   std::string throughProxy(const std::string& target);
-  void strike(const PlannedFault& fault);
-  void heal(const PlannedFault& fault);
+  void injectFault(const PlannedFault& fault);
+  void clearFault(const PlannedFault& fault);
   /// Asks for a change of the configuration; an accepted one has to last.
-  void change(std::size_t number);
-  void checkChanges();
+  void submitChange(std::size_t number);
+  void checkAcceptedChanges();
   TcpProxy& proxyOf(const PlannedFault& fault);
 
   std::vector<PlannedFault> plan_;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -10,13 +10,13 @@
 
 class SoakTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SoakTest);
-  CPPUNIT_TEST(oneSeedGivesOnePlan);
+  CPPUNIT_TEST(sameSeedGivesSamePlan);
   CPPUNIT_TEST(everyKindIsPlanned);
-  CPPUNIT_TEST(keptSeedsHold);
+  CPPUNIT_TEST(regressionSeedsPass);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void oneSeedGivesOnePlan() {
+  void sameSeedGivesSamePlan() {
     const auto plan = [](std::uint64_t seed) { return describe(planFaults(seed, 8, 3, 4)); };
     CPPUNIT_ASSERT_EQUAL(plan(7), plan(7));
     CPPUNIT_ASSERT(plan(7) != plan(8));
@@ -26,7 +26,7 @@
     std::array<int, kFaultKinds> planned{};
     for (const PlannedFault& fault : planFaults(1, 400, 3, 4)) {
       ++planned[static_cast<std::size_t>(fault.kind)];
-      CPPUNIT_ASSERT(fault.victim < 4);
+      CPPUNIT_ASSERT(fault.target < 4);
     }
     for (std::size_t kind = 0; kind < kFaultKinds; ++kind) {
       CPPUNIT_ASSERT_MESSAGE(kFaultNames[kind], planned[kind] > 0);
@@ -34,7 +34,7 @@
   }
 
   /// Lines of regressions.txt: a seed, the number of faults, and the cause of its failure.
-  void keptSeedsHold() {
+  void regressionSeedsPass() {
     std::ifstream file(CYPRESSWALL_SOAK_REGRESSIONS);
     CPPUNIT_ASSERT(file.good());
     std::string line;
--- a/tests/soak/tcp_proxy.cpp
+++ b/tests/soak/tcp_proxy.cpp
@@ -43,7 +43,7 @@
   void end() {
     resetSocket(to_target_.from);
     resetSocket(to_caller_.from);
-    proxy_.forget(*this);
+    proxy_.removeLink(*this);
   }
   bool lostBytes() const { return lost_bytes_; }
 
@@ -61,41 +61,42 @@
     std::array<char, kBufferBytes> buffer{};
   };
 
-  void pump(Direction& way, tcp::socket& to, bool request) {
+  void pump(Direction& direction, tcp::socket& to, bool request) {
     auto self = shared_from_this();
-    way.from.async_read_some(
-        asio::buffer(way.buffer),
-        [self, &way, &to, request](const asio::error_code& error, std::size_t bytes) {
+    direction.from.async_read_some(
+        asio::buffer(direction.buffer),
+        [self, &direction, &to, request](const asio::error_code& error, std::size_t bytes) {
           if (error) {
             self->close();
           } else {
-            self->pass(way, to, request, bytes);
+            self->forward(direction, to, request, bytes);
           }
         });
   }
-  void pass(Direction& way, tcp::socket& to, bool request, std::size_t bytes) {
-    const ProxyHarm& harm = proxy_.harm_;
-    if (request ? harm.drop_requests : harm.drop_answers) {
+  void forward(Direction& direction, tcp::socket& to, bool request, std::size_t bytes) {
+    const ProxyFaults& faults = proxy_.faults_;
+    if (request ? faults.drop_requests : faults.drop_answers) {
       lost_bytes_ = true;
-      pump(way, to, request);
+      pump(direction, to, request);
       return;
     }
-    way.timer.expires_after(harm.delay);
+    direction.timer.expires_after(faults.delay);
     auto self = shared_from_this();
-    way.timer.async_wait([self, &way, &to, request, bytes](const asio::error_code& error) {
-      if (!error) {
-        self->write(way, to, request, bytes);
-      }
-    });
+    direction.timer.async_wait(
+        [self, &direction, &to, request, bytes](const asio::error_code& error) {
+          if (!error) {
+            self->write(direction, to, request, bytes);
+          }
+        });
   }
-  void write(Direction& way, tcp::socket& to, bool request, std::size_t bytes) {
+  void write(Direction& direction, tcp::socket& to, bool request, std::size_t bytes) {
     auto self = shared_from_this();
-    asio::async_write(to, asio::buffer(way.buffer.data(), bytes),
-                      [self, &way, &to, request](const asio::error_code& error, std::size_t) {
+    asio::async_write(to, asio::buffer(direction.buffer.data(), bytes),
+                      [self, &direction, &to, request](const asio::error_code& error, std::size_t) {
                         if (error) {
                           self->close();
                         } else {
-                          self->pump(way, to, request);
+                          self->pump(direction, to, request);
                         }
                       });
   }
@@ -104,7 +105,7 @@
     asio::error_code ignored;
     to_target_.from.close(ignored);
     to_caller_.from.close(ignored);
-    proxy_.forget(*this);
+    proxy_.removeLink(*this);
   }
 
   TcpProxy& proxy_;
@@ -136,14 +137,14 @@
   });
 }
 
-void TcpProxy::forget(const Link& link) {
+void TcpProxy::removeLink(const Link& link) {
   links_.remove_if([&link](const auto& known) { return known.get() == &link; });
 }
 
-void TcpProxy::setHarm(const ProxyHarm& harm) {
-  asio::post(context_, [this, harm] {
-    harm_ = harm;
-    if (harm.drop_requests || harm.drop_answers) {
+void TcpProxy::setFaults(const ProxyFaults& faults) {
+  asio::post(context_, [this, faults] {
+    faults_ = faults;
+    if (faults.drop_requests || faults.drop_answers) {
       return;
     }
     const auto links = links_;
--- a/tests/soak/tcp_proxy.h
+++ b/tests/soak/tcp_proxy.h
@@ -14,7 +14,7 @@
 
 /// What a proxy does to bytes that pass. A dropped byte ends its connection when the harm is over:
 /// as in TCP, nothing arrives with a gap.
-struct ProxyHarm {
+struct ProxyFaults {
   std::chrono::milliseconds delay{0};
   /// From whoever connected to the target.
   bool drop_requests = false;
@@ -32,7 +32,7 @@
   const std::string& address() const { return address_; }
   /// Sets what is done to bytes from now on; without any harm, connections that lost bytes are
   /// reset.
-  void setHarm(const ProxyHarm& harm);
+  void setFaults(const ProxyFaults& faults);
   /// Resets every open connection.
   void resetConnections();
 
@@ -40,13 +40,13 @@
   class Link;
 
   void accept();
-  void forget(const Link& link);
+  void removeLink(const Link& link);
 
   std::string address_;
   asio::io_context context_;
   asio::ip::tcp::endpoint target_;
   asio::ip::tcp::acceptor acceptor_;
-  ProxyHarm harm_;
+  ProxyFaults faults_;
   std::list<std::shared_ptr<Link>> links_;
   std::thread thread_;
 };
--- a/tests/standins/platform_front_test.cpp
+++ b/tests/standins/platform_front_test.cpp
@@ -16,7 +16,7 @@
   CPPUNIT_TEST(writesAndReadsObjects);
   CPPUNIT_TEST(storeFailuresHaveTheirStatus);
   CPPUNIT_TEST(watchAnswersWithTheChange);
-  CPPUNIT_TEST(machinesLag);
+  CPPUNIT_TEST(machineListLags);
   CPPUNIT_TEST(weightStoreRefusesWithRetryAfter);
   CPPUNIT_TEST(serviceSaysNotRun);
   CPPUNIT_TEST_SUITE_END();
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT(idle->json().at("objects").empty());
   }
 
-  void machinesLag() {
+  void machineListLags() {
     const std::string machine = R"("name": "m", "zone": "z", "addresses": ["127.0.0.1"])";
     call("POST", "/admin/machines", "{" + machine + R"(, "at_once": true})");
     call("POST", "/admin/machines", "{" + machine + R"(, "state": "leaving"})");
--- a/tests/support/routing_node.h
+++ b/tests/support/routing_node.h
@@ -93,7 +93,7 @@
     auto& members = process_->emplace<membership::Membership>(membership::MembershipSettings{},
                                                               *context_, machines);
     membership_ = &process_->emplace<CountingMembership>(members);
-    meetPeers();
+    introducePeers();
     nameEngines();
     configuration_ = &process_->emplace<SettableConfiguration>();
     auto& client = process_->emplace<ScriptedEngineClient>(*process_, engines_);
@@ -108,16 +108,16 @@
     run(std::chrono::seconds(1));
     reportEngines();
     fillCaches();
-    beginPeersPrompts();
+    startPeerPrompts();
   }
 
   /// A request with 17,020 prompt tokens in four named parts: two that all or many share, a text
   /// of 429 that a third of the prompts of one kind share, and the caller's own.
   routing::RouteRequest longRequest() {
     constexpr std::array<std::uint32_t, 4> kEnds = {1000, 4000, 13300, 17020};
-    constexpr std::array<std::uint64_t, 4> kThings = {1, 30, 429, std::uint64_t{1} << 40U};
+    constexpr std::array<std::uint64_t, 4> kVariants = {1, 30, 429, std::uint64_t{1} << 40U};
     routing::RouteRequest request = plainRequest("long");
-    request.shape = shapeOf({kEnds.begin(), kEnds.end()}, {kThings.begin(), kThings.end()});
+    request.shape = shapeOf({kEnds.begin(), kEnds.end()}, {kVariants.begin(), kVariants.end()});
     request.maximum_tokens = 13;
     request.first_token_limit = std::chrono::seconds(6);
     return request;
@@ -195,12 +195,12 @@
   void receive(const api::Envelope& envelope) { context_->dispatcher.dispatch(envelope); }
 
   /// Heartbeats of all peers come in.
-  void hearPeers() {
+  void receiveAllHeartbeats() {
     for (int peer = 1; peer < size_; ++peer) {
-      hearPeer(peer);
+      receivePeerHeartbeat(peer);
     }
   }
-  void hearPeer(int peer) {
+  void receivePeerHeartbeat(int peer) {
     receive(fromPeer(peer, membership::Heartbeat{1, membersHash(), 0, 0}));
   }
 
@@ -208,7 +208,7 @@
   void run(common::Duration time) {
     const common::Duration step = membership::MembershipSettings{}.heartbeat_interval;
     for (common::Duration passed{0}; passed < time; passed += step) {
-      hearPeers();
+      receiveAllHeartbeats();
       simulation_.time().runFor(std::min<common::Duration>(step, time - passed));
     }
   }
@@ -243,7 +243,7 @@
     return api::Envelope::make(peerOf(peer), context_->self, message);
   }
 
-  void meetPeers() {
+  void introducePeers() {
     for (int peer = 1; peer < size_; ++peer) {
       receive(fromPeer(
           peer, membership::Introduction{
@@ -309,7 +309,7 @@
   }
 
   /// Two of five engines compute a peer's prompt.
-  void beginPeersPrompts() {
+  void startPeerPrompts() {
     constexpr int kInFive = 5;
     constexpr int kBusyInFive = 2;
     for (int number = 0; number < size_; ++number) {
--- a/tests/support/virtual_world.cpp
+++ b/tests/support/virtual_world.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// A late write takes effect at least this long after it was sent.
-constexpr common::Duration kLeastLateness = std::chrono::seconds(1);
+constexpr common::Duration kMinimumWriteDelay = std::chrono::seconds(1);
 
 constexpr common::Duration kStoreTimeLimit = std::chrono::milliseconds(500);
 
@@ -130,7 +130,7 @@
       std::move(callback), [&world, write = std::move(write)]() -> Result {
         auto& store = world.store;
         if (store.late_writes > 0 && world.random.unit() < store.late_writes) {
-          const auto delay = kLeastLateness + common::fromSeconds(3.0 * world.random.unit());
+          const auto delay = kMinimumWriteDelay + common::fromSeconds(3.0 * world.random.unit());
           world.at(world.now() + delay,
                    [&store, write] { store.late_effects += store.write(write) ? 1 : 0; });
           return Failure{object_store::StoreFailure::kUnknownOutcome, "no answer yet"};
