--- a/bench/decision_cost/node_work_benchmark.cpp
+++ b/bench/decision_cost/node_work_benchmark.cpp
@@ -1,5 +1,6 @@
-/// What the work of one node costs in a zone of as many nodes as engines, and how that grows with
-/// the zone. The benchmarks' argument is both numbers. "messages" are those sent in one operation.
+/// Cost of one node's work in a zone with equal numbers of nodes and engines, and how it scales
+/// with the zone size, which is the benchmarks' argument. The counter "messages" gives the messages
+/// sent per operation.
 #include <benchmark/benchmark.h>
 
 #include "cypresswall/membership/zone_gossip.h"
@@ -11,7 +12,7 @@
 
 using testing::RoutingNode;
 
-/// Runs `operation` of a node again and again, and counts what it sends.
+/// Runs `operation` in the benchmark loop and counts the messages that the node sends.
 template <typename Operation>
 void measure(benchmark::State& state, RoutingNode& node, Operation operation) {
   const std::uint64_t before = node.transport().messages;
@@ -23,16 +24,16 @@
   state.SetComplexityN(state.range(0));
 }
 
-/// Prepares as many things to be used in turns.
+/// Builds a fixed set of inputs, so that their construction is not measured.
 template <typename Make>
 auto prepare(Make make) {
   constexpr int kCount = 1024;
-  std::vector<decltype(make())> things;
-  things.reserve(kCount);
+  std::vector<decltype(make())> inputs;
+  inputs.reserve(kCount);
   for (int i = 0; i < kCount; ++i) {
-    things.push_back(make());
+    inputs.push_back(make());
   }
-  return things;
+  return inputs;
 }
 
 void routeAll(benchmark::State& state, RoutingNode& node,
@@ -48,7 +49,7 @@
   }
 }
 
-/// From the choice to the end of the answer, with a prompt of four named parts.
+/// From choosing an engine to the end of the answer, for a prompt with four named parts.
 void longRequest(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   routeAll(state, node, prepare([&] { return node.longRequest(); }));
@@ -59,7 +60,7 @@
   routeAll(state, node, prepare([&] { return node.shortRequest(); }));
 }
 
-/// The choice alone.
+/// Choosing an engine only.
 void longChoice(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   const auto requests = prepare([&] { return node.longRequest(); });
@@ -70,7 +71,7 @@
   });
 }
 
-/// The report of a watched engine comes in.
+/// Handles a load report of an engine that this node polls.
 void ownReport(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   int next = 0;
@@ -80,7 +81,7 @@
   });
 }
 
-/// A peer's publication of one engine comes in.
+/// Handles a peer's published load of one engine.
 void peersReport(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   int next = 0;
@@ -93,7 +94,7 @@
   });
 }
 
-/// A peer tells of the start and of the end of a long prompt: two messages.
+/// Handles a peer's notices of the start and the end of a long prompt: two messages.
 void peersNotice(benchmark::State& state) {
   constexpr std::uint32_t kFirstNumber = 100000;
   RoutingNode node(static_cast<int>(state.range(0)));
@@ -110,7 +111,7 @@
   });
 }
 
-/// This node tells its peers of the start and of the end of a long prompt.
+/// Notifies peers of the start and the end of a long prompt.
 void ownNotice(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   const routing::RouteRequest request = node.longRequest();
@@ -126,7 +127,7 @@
   });
 }
 
-/// A second passes in which all loads change: reads of watched engines, publications, heartbeats
+/// One second of control traffic while all loads change: engine polls, publications, and heartbeats
 /// sent and received.
 void controlSecond(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
@@ -136,7 +137,7 @@
   });
 }
 
-/// One peer's heartbeat comes in; a zone's nodes send two a second each.
+/// Handles one heartbeat; each node of a zone sends two per second.
 void peersHeartbeat(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   int peer = 1;
@@ -146,7 +147,7 @@
   });
 }
 
-/// A changed value is told to the zone, with the heartbeats of half a second.
+/// Gossips one changed value, together with the heartbeats of half a second.
 void gossipTick(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   auto& gossip = node.process().emplace<membership::ZoneGossip>(membership::MembershipSettings{},
@@ -171,7 +172,7 @@
   }
 };
 
-/// Announcements of a reader of both topics for a second, with the heartbeats of that time.
+/// One second of store relay announcements by a reader of both topics, with heartbeats.
 void relaySecond(benchmark::State& state) {
   RoutingNode node(static_cast<int>(state.range(0)));
   auto& copy = node.process().emplace<UpToDateStoreCopy>();
--- a/bench/decision_cost/planner_benchmark.cpp
+++ b/bench/decision_cost/planner_benchmark.cpp
@@ -1,4 +1,4 @@
-/// Cost of one round of the planner at the size of the target zone.
+/// Cost of one planning round in a zone of the target size.
 #include <benchmark/benchmark.h>
 
 #include "cypresswall/common/random.h"
--- a/bench/decision_cost/routing_benchmark.cpp
+++ b/bench/decision_cost/routing_benchmark.cpp
@@ -1,4 +1,4 @@
-/// Cost of one routing decision at the size of the target zone.
+/// Cost of one routing decision in a zone of the target size.
 #include <benchmark/benchmark.h>
 
 #include "cypresswall/routing/cost_router.h"
@@ -7,7 +7,7 @@
 namespace cypresswall {
 namespace {
 
-/// A router before `engine_count` engines with random loads.
+/// A router over `engine_count` engines with random loads.
 class RouterBench {
  public:
   explicit RouterBench(int engine_count, bool split_roles) : simulation_(1) {
--- a/bench/load/event_scanner.cpp
+++ b/bench/load/event_scanner.cpp
@@ -44,7 +44,7 @@
   const std::string_view mark = engine ? kEngineToken : kGatewayToken;
   const auto at = data.find(mark);
   if (at != std::string_view::npos) {
-    // Emulated tokens hold no escaped characters.
+    // Emulated tokens contain no characters that JSON escapes.
     const std::string_view text = data.substr(at + mark.size());
     const auto end = text.find('"');
     if (end != std::string_view::npos && end > 0) {
--- a/bench/load/event_scanner.h
+++ b/bench/load/event_scanner.h
@@ -1,5 +1,5 @@
-/// Reads the server-sent events of a streamed answer, from an engine or from a gateway, with little
-/// work for each event, so that one generator can drive many streams.
+/// Parses the server-sent events of a streamed answer of an engine or a gateway, at a low cost per
+/// event, so that one load generator can drive many streams.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,27 @@
 
 namespace cypresswall::bench {
 
-/// Whose events are read.
+/// Format of the events.
 enum class Dialect : std::uint8_t {
   kEngine,   ///< docs/protocols.md, "Engine"
   kGateway,  ///< POST /v1/completions with "stream": true
 };
 
-/// Receives what events say.
+/// Receives the parsed events.
 class EventListener {
  public:
   virtual ~EventListener() = default;
   virtual void onToken(std::string_view text) = 0;
-  /// The event that says that the answer is whole.
+  /// Called for the event that marks the answer as complete.
   virtual void onComplete() = 0;
-  /// An event that reports a failure; `body` is its JSON.
+  /// Called for an event that reports a failure; `body` is its JSON.
   virtual void onErrorEvent(std::string_view body) = 0;
 };
 
 class EventScanner {
  public:
   EventScanner(Dialect dialect, EventListener& listener) : dialect_(dialect), listener_(listener) {}
-  /// Takes bytes as they arrive; events may be cut anywhere.
+  /// Parses bytes as they arrive; an event may be split at any byte.
   void feed(std::string_view bytes);
 
  private:
@@ -37,7 +37,7 @@
 
   Dialect dialect_;
   EventListener& listener_;
-  /// The beginning of a line whose end has not arrived.
+  /// Incomplete last line.
   std::string partial_;
 };
 
--- a/bench/load/latency_samples.h
+++ b/bench/load/latency_samples.h
@@ -1,4 +1,4 @@
-/// Latencies of one kind, kept in full, with exact percentiles.
+/// All latencies of one kind, for exact percentiles.
 #pragma once
 
 #include <cstddef>
--- a/bench/load/load_generator.cpp
+++ b/bench/load/load_generator.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Arrivals later than this were not sent as planned.
+/// Requests sent with a longer delay than this count as LoadResult::sent_late.
 constexpr auto kLateThreshold = std::chrono::milliseconds(1);
 constexpr auto kRampStep = std::chrono::milliseconds(10);
 
--- a/bench/load/load_generator.h
+++ b/bench/load/load_generator.h
@@ -1,5 +1,5 @@
-/// Generates load from one thread: an open loop of new requests at a rate, or a number of streams
-/// that are held open.
+/// Generates load from one thread: an open loop of new requests at a given rate, or a number of
+/// streams that are held open.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,18 +20,18 @@
 /// One phase of load on one target.
 struct LoadPlan {
   std::vector<RequestKind> kinds;
-  /// Requests a second, arriving at random (Poisson); zero starts none.
+  /// Rate of Poisson arrivals; zero starts none.
   double requests_per_second = 0;
-  /// Streams started at the beginning of the phase and held.
+  /// Streams started at the beginning of the phase and held open.
   std::uint32_t held_streams = 0;
-  /// Time over which held streams are started.
+  /// Time over which the starts of held streams are spread.
   common::Duration ramp{0};
-  /// New requests come this long, after the ramp.
+  /// Time for which new requests are started, after the ramp.
   common::Duration duration = std::chrono::seconds(10);
-  /// Open requests may end until this long after that; later ones count as abandoned.
+  /// Time that open requests have to end after `duration`; later ones count as abandoned.
   common::Duration drain = std::chrono::seconds(10);
   std::uint64_t seed = 1;
-  /// Of the first request; the numbers of several generators must not meet.
+  /// Number of the first request; the ranges of several generators must not overlap.
   std::uint64_t first_number = 0;
   std::uint64_t number_step = 1;
 };
--- a/bench/load/load_report.cpp
+++ b/bench/load/load_report.cpp
@@ -42,7 +42,7 @@
   return seconds > 0 ? static_cast<double>(report.result.total().tokens) / seconds : 0;
 }
 
-/// \return tokens for each second of processor time that the process used, zero if it used none.
+/// \return tokens per second of processor time used by the process; zero if it used none.
 double tokensPerProcessorSecond(const TargetReport& report, const UsageOfPhase& usage) {
   const double seconds = common::toSeconds(usage.processor_time);
   return seconds > 0 ? static_cast<double>(report.result.total().tokens) / seconds : 0;
@@ -105,7 +105,7 @@
   }
 }
 
-/// Compares the last target with the first.
+/// Writes the difference between the last target and the first.
 void writeDifference(std::ostream& out, const TargetReport& base, const TargetReport& other) {
   const KindResult base_total = base.result.total();
   const KindResult other_total = other.result.total();
--- a/bench/load/load_report.h
+++ b/bench/load/load_report.h
@@ -1,4 +1,4 @@
-/// Reports of a load run: text for people, JSON and CSV for programs.
+/// Reports of a load run: human-readable text, JSON and CSV.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/bench/load/load_request.h
+++ b/bench/load/load_request.h
@@ -14,14 +14,14 @@
 
 namespace cypresswall::bench {
 
-/// Where requests go and how they are put.
+/// The server under load and the format of requests to it.
 struct LoadTarget {
   /// "direct" or "gateway", for reports.
   std::string name;
   Dialect dialect = Dialect::kGateway;
-  /// Taken in turn.
+  /// Used round-robin.
   std::vector<common::Address> addresses;
-  /// What the engines serve; decides the expected answers.
+  /// Model, version and adapter that the engines serve; they determine the expected answers.
   common::ModelName model;
   std::string version;
   std::string adapter;
@@ -37,7 +37,7 @@
               LoadResult& result, std::function<void()> on_end);
 
   void start(runtime::CurlMulti& curl);
-  /// Ends the request at the end of a phase.
+  /// Cancels the request because its phase has ended.
   void abandon();
   std::uint64_t tokens() const { return tokens_; }
 
--- a/bench/load/load_result.h
+++ b/bench/load/load_result.h
@@ -1,4 +1,4 @@
-/// What one phase of a load measured.
+/// Measurements of one load phase.
 #pragma once
 
 #include <array>
@@ -11,13 +11,13 @@
 
 namespace cypresswall::bench {
 
-/// How a request ended, as its caller saw it.
+/// Outcome of a request as seen by its caller.
 enum class RequestEnd : std::uint8_t {
-  kDone,       ///< the whole expected answer
+  kDone,       ///< complete, with the expected answer
   kRefused,    ///< 429, 503 or an engine's 409
   kNotRun,     ///< another error with the outcome "not-run"
   kUnknown,    ///< an error with the outcome "unknown" or none
-  kBroken,     ///< the connection ended without a last event
+  kBroken,     ///< the connection ended before the final event
   kWrong,      ///< complete, but not the expected answer
   kNotSent,    ///< no byte reached the target
   kAbandoned,  ///< still open when the phase ended
@@ -39,16 +39,16 @@
 struct LoadResult {
   std::map<std::string, KindResult> kinds;
   LatencySamples between_tokens;
-  /// Time until a refusal was answered.
+  /// Time until a refusal arrived.
   LatencySamples refusal;
   std::uint64_t refusals_with_retry_after = 0;
   /// Requests that the generator sent more than a millisecond late.
   std::uint64_t sent_late = 0;
-  /// Messages of failures, with how often each came.
+  /// Number of failures by message.
   std::map<std::string, std::uint64_t> errors;
 
   void merge(const LoadResult& other);
-  /// \return all kinds taken together.
+  /// \return the sum over all kinds.
   KindResult total() const;
 };
 
--- a/bench/load/load_run.cpp
+++ b/bench/load/load_run.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::bench {
 namespace {
 
-/// Request numbers of different phases stay apart, so that no prompt comes twice in a run.
+/// Each phase has its own range of request numbers, so that no prompt repeats within a run.
 constexpr std::uint64_t kNumbersPerPhase = 100'000'000;
 
 /// Runs one phase on all threads.
--- a/bench/load/load_run.h
+++ b/bench/load/load_run.h
@@ -1,4 +1,4 @@
-/// A whole load run: phases on one or two targets, in turn.
+/// A complete load run: phases that alternate between one or two targets.
 #pragma once
 
 #include <functional>
@@ -13,24 +13,24 @@
 struct LoadRunSettings {
   std::vector<LoadTarget> targets;
   LoadPlan plan;
-  /// How often each target is measured; the targets take turns, so that slow changes of the
-  /// machine touch all of them.
+  /// Phases per target. The targets alternate, so that slow changes of the machine's speed affect
+  /// all of them.
   std::uint32_t rounds = 1;
   std::uint32_t threads = 1;
   std::vector<WatchedProcess> watched;
 };
 
-/// What was measured on one target over all rounds.
+/// Measurements of one target over all rounds.
 struct TargetReport {
   std::string name;
   LoadResult result;
   /// Wall-clock time of all phases, from the first request to the last answer.
   common::Duration time{0};
-  /// Summed over the rounds, in the order of LoadRunSettings::watched; memory is the largest.
+  /// Sums over the rounds (for memory, the maximum), in the order of LoadRunSettings::watched.
   std::vector<UsageOfPhase> usages;
 };
 
-/// \param progress called with a line for people before each phase
+/// \param progress called with a human-readable line before each phase
 std::vector<TargetReport> runLoad(const LoadRunSettings& settings,
                                   const std::function<void(const std::string&)>& progress);
 
--- a/bench/load/process_usage.cpp
+++ b/bench/load/process_usage.cpp
@@ -39,7 +39,7 @@
   if (!std::getline(stat_file, stat) || !(memory_file >> total_pages >> resident_pages)) {
     return std::nullopt;
   }
-  // The name in parentheses may hold blanks; fields are counted after it, from the third.
+  // The process name in parentheses may contain spaces, so parsing starts after it, at field 3.
   std::istringstream fields(stat.substr(stat.rfind(')') + 1));
   constexpr int kFieldsBeforeTimes = 11;
   std::string skipped;
--- a/bench/load/process_usage.h
+++ b/bench/load/process_usage.h
@@ -11,7 +11,7 @@
 
 namespace cypresswall::bench {
 
-/// A "--watch" list that can't be read.
+/// A "--watch" list that can't be parsed.
 class WatchListError : public common::Error {
  public:
   using common::Error::Error;
@@ -32,7 +32,7 @@
   std::uint64_t resident_bytes = 0;
 };
 
-/// \return nothing if there is no such process.
+/// \return std::nullopt if there is no such process.
 std::optional<ProcessUsage> readProcessUsage(int pid);
 
 }  // namespace cypresswall::bench
--- a/bench/load/request_mix.h
+++ b/bench/load/request_mix.h
@@ -1,4 +1,4 @@
-/// The kinds of requests in a load, and their prompts.
+/// Kinds of requests in a load, and the generation of their prompts.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace cypresswall::bench {
 
-/// A "--mix" that can't be read.
+/// A "--mix" that can't be parsed.
 class MixError : public common::Error {
  public:
   using common::Error::Error;
@@ -19,11 +19,11 @@
 /// One kind of requests.
 struct RequestKind {
   std::string name;
-  /// Share of all requests, relative to the other kinds' shares.
+  /// Weight of this kind relative to the other kinds.
   double share = 1;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t output_tokens = 0;
-  /// Declared service (or model) that the gateway is asked for.
+  /// Declared service or model named in requests to the gateway.
   std::string service;
 };
 
@@ -32,11 +32,11 @@
 /// \throws MixError
 std::vector<RequestKind> parseMix(const std::string& text, const std::string& default_service);
 
-/// \return the index of a kind, drawn by share.
+/// \return the index of a kind, chosen at random in proportion to its share.
 std::size_t drawKind(const std::vector<RequestKind>& kinds, common::RandomSource& random);
 
-/// \return a prompt of `tokens` tokens (as common::shapeOfPrompt counts them) that no other
-///   `number` gives; at least one token.
+/// \return a prompt of `tokens` tokens as counted by common::shapeOfPrompt (at least one), unique
+///   to `number`.
 std::string makePrompt(std::uint64_t number, std::uint32_t tokens);
 
 }  // namespace cypresswall::bench
--- a/bench/load/usage_monitor.h
+++ b/bench/load/usage_monitor.h
@@ -1,4 +1,4 @@
-/// Watches processes while a phase runs: processor time used, and memory before and at its peak.
+/// Measures processes during a phase: processor time, and resident memory before and at its peak.
 #pragma once
 
 #include <atomic>
@@ -17,11 +17,11 @@
   common::Duration processor_time{0};
   std::uint64_t resident_before = 0;
   std::uint64_t resident_peak = 0;
-  /// False if the process was gone at the end.
+  /// False if the process no longer existed at the end of the phase.
   bool alive = true;
 };
 
-/// Samples from its own thread between start() and finish().
+/// Samples on its own thread between start() and finish().
 class UsageMonitor {
  public:
   explicit UsageMonitor(std::vector<WatchedProcess> processes);
--- a/bench/measure_gateway.sh
+++ b/bench/measure_gateway.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Measures one daemon against engines that are asked directly, in one run: the time that it adds to
-# the first token, the tokens that it relays a second of processor time, its memory with 5000 open
-# streams and when idle.
+# Compares requests through one daemon with requests sent directly to the engines, in one run:
+# latency added to the first token, tokens relayed per second of processor time, memory with 5000
+# open streams and when idle.
 # usage: [RATE=N] measure_gateway.sh BUILD_DIR [SECONDS_PER_PHASE [PART...]]
-# parts: first_token (N requests a second, default 85), relay, relay_paced, streams
+# parts: first_token (N requests per second, default 85), relay, relay_paced, streams
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -33,7 +33,7 @@
     --retry-all-errors "$@" 2>>"$logs/fetch.log"
 }
 
-# begin ENGINE_FLAGS...: starts a fresh platform, engines and daemon, and puts the fleet in force.
+# begin ENGINE_FLAGS...: starts a new platform, engines and daemon, and applies the fleet.
 begin() {
   stop
   "$bin/cypresswall-platform-standin" --address $platform >"$logs/platform.log" 2>&1 &
@@ -51,7 +51,7 @@
   pids+=("$daemon")
   fetch "http://$gateway/readyz" >/dev/null
   "$bin/cypressctl" --server $gateway apply -f bench/fleets/one-node.yaml --wait >/dev/null
-  # Until an engine serves.
+  # Wait until an engine serves.
   fetch "http://$gateway/v1/completions" -H 'Content-Type: application/json' \
     -d '{"model":"bench","prompt":"ready?","max_tokens":1}' >/dev/null
 }
@@ -62,21 +62,22 @@
   begin
   echo "resident memory of the idle daemon: $(resident "$daemon")"
   # 4 engines x 32 streams, 12 ms + 0.4 ms per stream and step: a request of 60 prompt and 40 output
-  # tokens holds a place for about 0.75 s at half load, so 85 a second fill half of the 128 places.
+  # tokens occupies a stream slot for about 0.75 s at half load, so 85 per second use half of the
+  # 128 slots.
   "$bin/cypresswall-bench" load --direct $engines --gateway $gateway --service bench \
     --mix short:1:60:40 --rate "${RATE:-85}" --rounds 3 --duration "$seconds" --watch daemon="$daemon"
 }
 
-# More tokens than one daemon can relay, so that its processor time is the limit. Tokens wait in
-# sockets then, and several leave with one read and one write.
+# More tokens than one daemon can relay, so that its processor time is the limit. Tokens then queue
+# in sockets, and one read and one write relay several of them.
 measure_relay() {
   begin --maximum_streams 1000 --decode_step_base_us 8000 --decode_step_per_stream_us 0
   "$bin/cypresswall-bench" load --gateway $gateway --service bench --mix held:1:20:1000000 \
     --streams 800 --duration "$seconds" --drain 0 --threads 3 --watch daemon="$daemon"
 }
 
-# 20 tokens a second on each stream, below the limit: nearly each token has a read and a write of its
-# own, the cost of a token in everyday use.
+# 20 tokens per second on each stream, below the limit: nearly every token takes a read and a write
+# of its own, as in normal operation.
 measure_relay_paced() {
   begin --maximum_streams 1000 --decode_step_base_us 50000 --decode_step_per_stream_us 0
   "$bin/cypresswall-bench" load --gateway $gateway --service bench --mix held:1:20:1000000 \
--- a/bench/simulate/baseline_routers.h
+++ b/bench/simulate/baseline_routers.h
@@ -1,4 +1,4 @@
-/// Routers that the cost-based one is measured against. They refuse nothing for load.
+/// Baseline routers for comparison with the cost-based router. They never refuse requests for load.
 #pragma once
 
 #include <map>
@@ -10,7 +10,7 @@
 
 namespace cypresswall::bench {
 
-/// What the baselines share: which engines may be chosen, and routes to them.
+/// Common part of the baselines: selection of candidate engines and creation of routes.
 class BaselineRouter : public routing::Router {
  public:
   explicit BaselineRouter(routing::EngineDirectory& directory) : directory_(directory) {}
@@ -34,7 +34,7 @@
   routing::EngineDirectory& directory_;
 };
 
-/// Takes the engines in turn.
+/// Chooses engines round-robin.
 class RoundRobinRouter final : public BaselineRouter {
  public:
   using BaselineRouter::BaselineRouter;
@@ -46,8 +46,8 @@
   std::size_t next_ = 0;
 };
 
-/// Takes the engine with the fewest streams: those of its last report and those that this node
-/// began there since.
+/// Chooses the engine with the fewest streams: those in its last report plus those that this node
+/// has started there since.
 class LeastLoadedRouter final : public BaselineRouter {
  public:
   LeastLoadedRouter(const api::ProcessContext& context, routing::EngineDirectory& directory)
@@ -74,7 +74,7 @@
   std::size_t streamsOn(routing::EngineSlot engine) const;
 
   const api::ProcessContext& context_;
-  /// Attempts under way, by stream.
+  /// Attempts in flight, by stream id.
   std::map<std::string, StartedAttempt> started_attempts_;
 };
 
--- a/bench/simulate/offline_planner.cpp
+++ b/bench/simulate/offline_planner.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::bench {
 namespace {
 
-/// Drain and change of one engine.
+/// Time to drain one engine and change its role.
 constexpr common::Duration kRoleChangeTime = std::chrono::seconds(6);
 
 std::uint32_t changesBetween(const RoleCounts& from, const RoleCounts& to, std::uint32_t engines) {
@@ -23,13 +23,13 @@
   return period.total();
 }
 
-/// Answers lost by the changes from one assignment to another at the start of a period.
+/// Cost, in answers, of changing from one assignment to another at the start of a period.
 double transitionCost(const Scenario& scenario, const EvaluatedAssignment& from,
                       const EvaluatedAssignment& to, std::size_t period) {
   const ScenarioFleetSize& fleet = scenario.fleet;
   const double changes = fleet.zones * static_cast<double>(changesBetween(from.roles, to.roles,
                                                                           fleet.engines_per_zone));
-  // Of a zone's answers, those of an engine's share are lost while it is away.
+  // While an engine changes its role, its share of the answers is lost.
   const double engines = static_cast<double>(fleet.zones) * fleet.engines_per_zone;
   const double asked = static_cast<double>(sumOf(to.run.timeline[period]).asked);
   const double lost = asked / engines * (kRoleChangeTime / common::Duration{1}) /
@@ -57,7 +57,8 @@
 std::vector<ScheduleEntry> bestSchedule(const Scenario& scenario,
                                         const std::vector<EvaluatedAssignment>& traced) {
   const std::size_t periods = traced.front().run.timeline.size();
-  // The best value of all that ends in an assignment, and the assignment before, by period.
+  // Dynamic programming: the best value that ends in each assignment, and by period the assignment
+  // before it.
   std::vector<double> value(traced.size(), 0);
   std::vector<std::vector<std::size_t>> before(periods);
   for (std::size_t period = 0; period < periods; ++period) {
@@ -86,7 +87,7 @@
     const std::size_t from = before[period][at];
     if (from != at) {
       const auto start = static_cast<std::int64_t>(period) * kTimelinePeriod;
-      // The changes are to be done when the period begins.
+      // Changes start early enough to be complete when the period begins.
       const auto lead = kRoleChangeTime * changesBetween(traced[from].roles, traced[at].roles,
                                                          scenario.fleet.engines_per_zone);
       schedule.push_back({std::max(common::Duration{0}, start - lead), traced[at].roles});
--- a/bench/simulate/offline_planner.h
+++ b/bench/simulate/offline_planner.h
@@ -1,4 +1,4 @@
-/// The offline bound: the best schedule of roles for a trace that is known beforehand.
+/// Offline upper bound: the best schedule of roles for a trace that is known in advance.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,21 @@
 
 namespace cypresswall::bench {
 
-/// One way of assigning a zone's roles, with what it served of the trace.
+/// One assignment of roles in a zone, with the outcome of the whole trace under it.
 struct EvaluatedAssignment {
   RoleCounts roles;
-  /// The whole trace under these roles alone.
+  /// Outcome of the whole trace with these roles fixed.
   RunOutcome run;
 };
 
-/// Runs the trace of one seed under each assignment that is worth a try: up to two thirds of a
-/// zone's engines in the role "prefill", the others all mixed or all in "decode". \throws
-/// FleetStartError
+/// Runs the trace of one seed under each plausible assignment: up to two thirds of a zone's engines
+/// in the role "prefill", the others all mixed or all in "decode". \throws FleetStartError
 std::vector<EvaluatedAssignment> evaluateAssignments(const Scenario& scenario, std::uint64_t seed);
 
-/// \param traced not empty, the first one all mixed; its runs are of equal length
-/// \return the roles to have from when on, so that answers in time, less the policy's weight of
-///   each change and what is lost while engines are away, are the most. All engines begin mixed,
-///   and the first change comes with the load, before answers count.
+/// \param traced not empty; the first is all mixed; all runs have the same length
+/// \return the schedule of roles that maximises answers in time, less the policy's weight of each
+///   role change and the answers lost while engines change. All engines start mixed, and the first
+///   change is made when the load starts, before answers are counted.
 std::vector<ScheduleEntry> bestSchedule(const Scenario& scenario,
                                         const std::vector<EvaluatedAssignment>& traced);
 
--- a/bench/simulate/scenario.h
+++ b/bench/simulate/scenario.h
@@ -1,4 +1,4 @@
-/// A scenario file: a fleet, the load put on it over time, and what goes wrong.
+/// A scenario file: a fleet, its load over time, and the faults injected.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace cypresswall::bench {
 
-/// A scenario that can't be used; what() is "file:line: key: message".
+/// An invalid scenario; what() is "file:line: key: message".
 class ScenarioError : public common::Error {
  public:
   using common::Error::Error;
@@ -32,7 +32,7 @@
   common::Duration first_token_limit = std::chrono::milliseconds(1300);
   common::Duration between_tokens_limit = std::chrono::milliseconds(79);
   configuration::Urgency urgency = configuration::Urgency::kNormal;
-  /// Prompts begin with one of this many common prefixes; zero for none.
+  /// Number of common prompt prefixes; each prompt starts with one of them. Zero for none.
   std::uint32_t prefix_groups = 0;
   /// Length of a common prefix, in cache pieces.
   std::uint32_t prefix_pieces = 1;
@@ -43,38 +43,38 @@
   std::uint32_t nodes_per_zone = 2;
   std::uint32_t engines_per_zone = 4;
   common::Duration between_zones = std::chrono::microseconds(1500);
-  /// One way between callers and gateways.
+  /// One-way delay between callers and gateways.
   common::Duration to_clients = std::chrono::milliseconds(3);
   emulation::EngineSettings engine;
 };
 
-/// Requests a second of each kind at one time; between two points the rates change evenly.
+/// Requests per second of each kind at a time; rates are interpolated linearly between points.
 struct LoadPoint {
   common::Duration at{0};
   std::map<std::string, double> rates;
 };
 
 enum class ScenarioFaultKind : std::uint8_t {
-  kEngineCrash,      ///< of the engine with the number `value`
+  kEngineCrash,      ///< crashes the engine with index `value`
   kStoreDown,        ///< for `value` seconds
   kLoadLag,          ///< of all engines, in seconds
   kCacheEventLoss,   ///< of all engines, 0 to 1
   kCacheEventDelay,  ///< of all engines, in seconds
-  kRateLimit         ///< named by the first `value` engines
+  kRateLimit         ///< announced by the first `value` engines
 };
 
 struct ScenarioFault {
   common::Duration at{0};
   ScenarioFaultKind kind = ScenarioFaultKind::kEngineCrash;
   double value = 0;
-  /// Of kRateLimit: the limit that each of the engines names.
+  /// For kRateLimit: the limit that each of the engines announces.
   double requests_per_second = 0;
 };
 
 struct Scenario {
   std::string name;
   common::Duration duration = std::chrono::minutes(10);
-  /// Requests asked before this are not counted.
+  /// Requests sent before this time are not counted.
   common::Duration warm_up = std::chrono::seconds(30);
   ScenarioFleetSize fleet;
   configuration::PlanningPolicy planning;
@@ -82,15 +82,15 @@
   std::vector<LoadPoint> load;
   std::vector<ScenarioFault> faults;
 
-  /// \return requests a second of a kind, `at` after the start.
+  /// \return requests per second of a kind, `at` after the start.
   double rateAt(const std::string& kind, common::Duration at) const;
   /// \return the highest rate of a kind.
   double peakRate(const std::string& kind) const;
 };
 
-/// \param file_name used in errors only. \throws ScenarioError
+/// \param file_name used only in error messages. \throws ScenarioError
 Scenario parseScenario(const std::string& text, const std::string& file_name);
-/// \throws ScenarioError also if the file can't be read
+/// \throws ScenarioError, also if the file can't be read
 Scenario loadScenario(const std::string& path);
 
 }  // namespace cypresswall::bench
--- a/bench/simulate/scenario_file.cpp
+++ b/bench/simulate/scenario_file.cpp
@@ -1,4 +1,4 @@
-// Reading of scenario files.
+// Parsing of scenario files.
 #include <yaml-cpp/yaml.h>
 
 #include <cmath>
@@ -14,7 +14,7 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// One map of the file; every key has to be asked for, so that unknown ones are found.
+/// One map of the file. Keys that were never read are reported as unknown.
 class Section {
  public:
   Section(const YAML::Node& node, std::string path, const std::string& file)
@@ -48,7 +48,7 @@
     return static_cast<std::uint32_t>(value);
   }
 
-  /// A time in seconds.
+  /// Reads a duration given in seconds.
   common::Duration time(const std::string& key, common::Duration fallback) {
     return common::fromSeconds(number(key, common::toSeconds(fallback)));
   }
@@ -226,7 +226,8 @@
   return fault;
 }
 
-/// An engine that computes no prompt of a kind within the kind's limit can't meet any goal.
+/// Rejects a kind whose prompts an engine can't compute within the kind's limit: no policy could
+/// meet the limit.
 void checkKindFits(const ScenarioFleetSize& fleet, const ScenarioKind& kind, Section& section) {
   const double seconds = kind.prompt_tokens.least / fleet.engine.speed.prefill_tokens_per_second;
   if (common::fromSeconds(seconds) > kind.first_token_limit) {
--- a/bench/simulate/scenario_fleet.cpp
+++ b/bench/simulate/scenario_fleet.cpp
@@ -14,10 +14,10 @@
 constexpr const char* kModel = "model";
 constexpr const char* kVersion = "1";
 constexpr const char* kRegion = "region-1";
-/// Utilisation at which the threshold planner moves an engine.
+/// Utilisation at which the threshold planner changes an engine's role.
 constexpr double kPlannerThreshold = 0.75;
 constexpr common::Duration kStartLimit = std::chrono::seconds(60);
-/// Zones have to know each other before all of them can approve a change.
+/// Zones must have discovered each other before all of them can approve a change.
 constexpr common::Duration kDiscoveryTime = std::chrono::seconds(5);
 
 std::string zoneName(std::uint32_t zone) { return "zone-" + std::to_string(zone + 1); }
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-/// One request on its way through a node.
+/// One request in flight at a node.
 class ScenarioFleet::Session final : public execution::ModelCallObserver {
  public:
   Session(ScenarioFleet& fleet, std::uint64_t number, SimulatedRequest& record)
@@ -278,7 +278,7 @@
   if (!time().runUntilTrue([&] { return all(in_force); }, kStartLimit)) {
     throw FleetStartError("the declarations did not reach every node");
   }
-  // Until every node has a load report of every engine.
+  // Wait until every node has a load report of every engine.
   time().runFor(kDiscoveryTime);
 }
 
@@ -320,7 +320,7 @@
 }
 
 void ScenarioFleet::sessionEnded(std::uint64_t session) {
-  // The executor is in the middle of a call to the session.
+  // Deferred: the executor is still inside a callback of the session.
   time().schedule(common::Duration{0}, [this, session] { sessions_.erase(session); });
 }
 
--- a/bench/simulate/scenario_fleet.h
+++ b/bench/simulate/scenario_fleet.h
@@ -1,5 +1,5 @@
-/// A scenario's fleet in virtual time: nodes with the daemon's own deciding modules, emulated
-/// engines and platform, and callers that note when their tokens came.
+/// A scenario's fleet in virtual time: nodes with the daemon's own decision modules, emulated
+/// engines and platform, and callers that record when tokens arrived.
 #pragma once
 
 #include <cstdint>
@@ -21,21 +21,21 @@
 
 namespace cypresswall::bench {
 
-/// A fleet that does not come up within its bound.
+/// The fleet did not start within its time limit.
 class FleetStartError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// Who assigns roles while a run goes on.
+/// Planner that assigns roles during a run.
 enum class PlannerKind : std::uint8_t {
-  kFixed,      ///< nobody: roles stay as they are at the start
+  kFixed,      ///< none: roles keep their initial assignment
   kCost,       ///< the daemon's own planner
   kThreshold,  ///< planning::ThresholdPlanner
   kScheduled,  ///< ScheduledPlanner, the offline bound
 };
 
-/// Who chooses the engine of a request.
+/// Router that chooses the engine of a request.
 enum class RouterKind : std::uint8_t {
   kCost,         ///< the daemon's own router
   kRoundRobin,   ///< RoundRobinRouter
@@ -47,18 +47,18 @@
   /// For reports.
   std::string name = "planned";
   PlannerKind planner = PlannerKind::kCost;
-  /// Of each zone's engines, in the order of their names, this many begin in the role "prefill" and
-  /// this many in "decode"; the others are mixed.
+  /// Initial number of engines per zone, in name order, in the role "prefill" and in "decode"; the
+  /// others are mixed.
   std::uint32_t prefill_engines = 0;
   std::uint32_t decode_engines = 0;
   RouterKind router = RouterKind::kCost;
-  /// Of PlannerKind::kScheduled.
+  /// For PlannerKind::kScheduled.
   std::vector<ScheduleEntry> schedule = {};
 };
 
 enum class RequestStatus : std::uint8_t { kOpen, kDone, kRefused, kFailed };
 
-/// One request as its caller saw it.
+/// One request as seen by its caller.
 struct SimulatedRequest {
   std::size_t kind = 0;
   common::MonotonicTime asked_at;
@@ -79,18 +79,18 @@
   ScenarioFleet(const ScenarioFleet&) = delete;
   ScenarioFleet& operator=(const ScenarioFleet&) = delete;
 
-  /// Starts all nodes and puts the declarations in force. \throws FleetStartError
+  /// Starts all nodes and applies the declarations. \throws FleetStartError
   void bringUp();
-  /// Tells a scheduled planner that the load starts now.
+  /// Sets the start of the load for the scheduled planner to now.
   void beginLoad() { load_start_ = time().now(); }
-  /// Sends one request of a kind to a node drawn at random.
+  /// Sends one request of a kind to a random node.
   void sendRequest(std::size_t kind);
   void beginFault(const ScenarioFault& fault);
 
   simulation::VirtualTime& time() { return simulation_.time(); }
   common::RandomSource& random() { return random_; }
   const std::deque<SimulatedRequest>& records() const { return records_; }
-  /// \return the sum of all engines' ledgers, without the lists.
+  /// \return the sum of the counters in all engines' ledgers, without their lists.
   emulation::EngineLedger engineTotals() const;
   std::uint64_t eventsRun() { return simulation_.time().executedEvents(); }
 
@@ -111,7 +111,7 @@
   std::vector<configuration::ObjectChange> declarations() const;
   engines::EngineRole initialRole(std::uint32_t number) const;
   common::PromptShape drawPrompt(const ScenarioKind& kind);
-  /// The first engines, in the order of their addresses, name this limit.
+  /// Makes the first `count` engines, in address order, announce this rate limit.
   void limitEngines(std::size_t count, double requests_per_second);
   void changeAllEngines(const std::function<void(emulation::EngineFaults&)>& change);
   void sessionEnded(std::uint64_t session);
--- a/bench/simulate/scenario_report.cpp
+++ b/bench/simulate/scenario_report.cpp
@@ -14,7 +14,7 @@
   return static_cast<double>(duration.count()) / 1000.0;
 }
 
-/// One figure of a run, with its name in reports.
+/// One metric of a run, with its name in reports.
 struct Metric {
   const char* name;
   int decimals;
@@ -61,7 +61,7 @@
   return all;
 }
 
-/// What was lost of each kind, and why, period by period; periods without a loss are left out.
+/// Writes the lost requests of each kind by period and cause; periods without a loss are omitted.
 void writeTimeline(std::ostream& out, const RunOutcome& run) {
   for (std::size_t period = 0; period < run.timeline.size(); ++period) {
     const double begin = common::toSeconds(kTimelinePeriod) * static_cast<double>(period);
--- a/bench/simulate/scenario_report.h
+++ b/bench/simulate/scenario_report.h
@@ -1,4 +1,4 @@
-/// Reports of simulated scenarios: text for people, JSON and CSV for programs.
+/// Reports of simulated scenarios: human-readable text, JSON and CSV.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/bench/simulate/scenario_run.cpp
+++ b/bench/simulate/scenario_run.cpp
@@ -7,13 +7,13 @@
 namespace cypresswall::bench {
 namespace {
 
-/// Open requests get this long to end after the last one was asked.
+/// Time that open requests have to end after the last request was sent.
 constexpr common::Duration kDrainTime = std::chrono::seconds(30);
 
 double processorSeconds() { return static_cast<double>(std::clock()) / CLOCKS_PER_SEC; }
 
-/// Asks requests of one kind at its changing rate: arrivals at the peak rate are kept with the
-/// share that the present rate has of it.
+/// Poisson arrivals of one kind at a varying rate, by thinning: an arrival at the peak rate is kept
+/// with the probability current rate / peak rate.
 class ArrivalProcess {
  public:
   ArrivalProcess(const Scenario& scenario, ScenarioFleet& fleet, std::size_t kind,
@@ -77,7 +77,7 @@
   }
 }
 
-/// \param at since the start of the run
+/// \param at time since the start of the run
 void countRecord(const SimulatedRequest& record, common::Duration at, const ScenarioKind& kind,
                  RunOutcome& run) {
   countKind(record, kind, run.kinds[kind.name]);
--- a/bench/simulate/scenario_run.h
+++ b/bench/simulate/scenario_run.h
@@ -1,4 +1,5 @@
-/// Runs a scenario under several role policies and seeds, and sums up what callers saw.
+/// Runs a scenario under several role policies and seeds, and aggregates the results seen by
+/// callers.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +17,10 @@
 /// Requests of one kind in one run.
 struct KindOutcome {
   std::uint64_t asked = 0;
-  /// Whole answers whose first token, and mean time between tokens, met the kind's limits.
+  /// Complete answers that met the kind's limits for the first token and the mean token interval.
   std::uint64_t in_time = 0;
   std::uint64_t late = 0;
-  /// Of the late answers, those whose first token was late; the others were slow between tokens.
+  /// Late answers whose first token was late; the others exceeded the token interval.
   std::uint64_t late_first_token = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
@@ -28,22 +29,22 @@
   LatencySamples between_tokens;
 };
 
-/// Part of a run's simulated time that RunOutcome::timeline tells apart.
+/// Length of a period of RunOutcome::timeline.
 inline constexpr common::Duration kTimelinePeriod = std::chrono::seconds(60);
 
 /// One run: one policy, one seed.
 struct RunOutcome {
   std::map<std::string, KindOutcome> kinds;
-  /// The same by the period in which requests were asked, the first one from the start.
+  /// As `kinds`, by the period in which requests were sent; the first starts with the run.
   std::vector<std::map<std::string, KindOutcome>> timeline;
   LatencySamples refusal;
   std::uint64_t refusals_without_retry_after = 0;
   emulation::EngineLedger engines;
   std::map<std::string, std::uint64_t> errors;
-  /// Simulated time over processor time.
+  /// Ratio of simulated time to processor time.
   double speed = 0;
 
-  /// \return answers in time over requests asked, 0 to 1.
+  /// \return the share of requests answered in time, 0 to 1.
   double goodput() const;
   KindOutcome total() const;
   double cacheHitShare() const;
@@ -58,7 +59,7 @@
   std::vector<RunOutcome> runs;
 };
 
-/// Mean and spread of a figure over the runs of a policy.
+/// Mean, minimum and maximum of a metric over the runs of a policy.
 struct Spread {
   double mean = 0;
   double least = 0;
--- a/bench/simulate/scheduled_planner.cpp
+++ b/bench/simulate/scheduled_planner.cpp
@@ -7,7 +7,7 @@
 
 using engines::EngineRole;
 
-/// \return engines that `wanted` has beyond those that have the role now.
+/// \return the number of engines by which `wanted` exceeds those that have the role now.
 std::int64_t missing(const std::map<EngineRole, std::int64_t>& wanted,
                      const std::map<EngineRole, std::int64_t>& present, EngineRole role) {
   const auto found = present.find(role);
--- a/bench/simulate/scheduled_planner.h
+++ b/bench/simulate/scheduled_planner.h
@@ -1,4 +1,4 @@
-/// The planner of the offline bound: roles follow a schedule that was made with the trace known.
+/// Planner of the offline bound: roles follow a schedule computed from a trace known in advance.
 #pragma once
 
 #include <vector>
@@ -7,20 +7,20 @@
 
 namespace cypresswall::bench {
 
-/// How many of a zone's engines have which role; the others are mixed.
+/// Number of engines per role in a zone; the others are mixed.
 struct RoleCounts {
   std::uint32_t prefill = 0;
   std::uint32_t decode = 0;
 };
 
-/// From when on which roles are wanted.
+/// Roles wanted from a time on.
 struct ScheduleEntry {
-  /// Since the start of the load.
+  /// Time since the start of the load.
   common::Duration at{0};
   RoleCounts roles;
 };
 
-/// Brings each model's engines, one at a time, to the roles that the schedule wants now.
+/// Changes each model's engines, one at a time, to the roles that the schedule wants now.
 class ScheduledPlanner final : public planning::Planner {
  public:
   /// \param schedule ordered by time; \param start when the load starts; both outlive the planner
--- a/cmake/Targets.cmake
+++ b/cmake/Targets.cmake
@@ -1,9 +1,10 @@
-# Compile options shared by every target, and the functions that declare the project's
-# libraries, programs and tests. One call each keeps the subsystem folders free of repetition.
+# Compile options shared by all targets, and functions that declare the project's libraries,
+# programs and tests.
 
 add_library(cypresswall_options INTERFACE)
-# ASIO_DISABLE_STD_ALIGNED_ALLOC: otherwise Asio chooses between operator new and aligned_alloc by
-# whether a header of the C++ library came before its own, so that two files may disagree.
+# ASIO_DISABLE_STD_ALIGNED_ALLOC: otherwise Asio uses operator new or aligned_alloc depending on
+# whether a C++ library header was included before its own, so that two translation units may
+# differ.
 target_compile_definitions(cypresswall_options INTERFACE
   ASIO_STANDALONE ASIO_DISABLE_STD_ALIGNED_ALLOC MSGPACK_NO_BOOST FMT_HEADER_ONLY=0
   CYPRESSWALL_VERSION="${PROJECT_VERSION}")
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# Plays days without one mechanism at a time, each beside the same day with all of them, and prints
-# what each mechanism is worth.
+# Runs days with one mechanism switched off at a time, paired with the same day with all mechanisms,
+# and prints the contribution of each mechanism.
 # usage: ablation.sh COMMAND OUT_DIR DEPLOYMENTS DAYS SEEDS [SWITCH...]
-#   COMMAND      plays one day, run by bash with TEMPLATE (the template of settings to play with),
-#                DEPLOYMENT, DAY and SEED in its environment; the last line that it prints is the
-#                day's worth alone. It runs what is already built.
-#   OUT_DIR      gets the templates, and worths.tsv: switch, deployment, day, seed, worth. A run that
-#                was broken off goes on there, and plays nothing twice.
+#   COMMAND      runs one day; started by bash with TEMPLATE (the settings template to use),
+#                DEPLOYMENT, DAY and SEED in its environment. The last line of its output is the
+#                day's worth and nothing else. It must use existing builds.
+#   OUT_DIR      receives the templates, and worths.tsv: switch, deployment, day, seed, worth. An
+#                interrupted run resumes from there and repeats no day.
 #   DEPLOYMENTS, DAYS, SEEDS   separated by commas
 #   SWITCH       keys to switch off (default: each switch of docs/settings.md)
-# Spread is the standard deviation of the differences over the pairs, not that of their mean. The
-# exit code is 1 if a day wasn't played; its pairs are left out.
+# Spread is the standard deviation of the differences over the pairs, not the standard error of
+# their mean. The exit code is 1 if a day could not be run; its pairs are left out.
 set -euo pipefail
 if [ "$#" -lt 5 ]; then
   sed -n '4s/^# //p' "$0" >&2
@@ -26,7 +26,7 @@
 shift 5
 switches=("$@")
 if [ "$#" -eq 0 ]; then
-  # shellcheck disable=SC2016  # the page's marks of code
+  # shellcheck disable=SC2016  # backquotes of Markdown
   mapfile -t switches < <(sed -n 's/^| `\([a-z_.]*\)` | switch |.*/\1/p' "$root/docs/settings.md")
 fi
 mkdir -p "$out"
@@ -43,7 +43,7 @@
 
 writeTemplates() {
   if ! [ -e "$out/none.template" ]; then
-    # A command that copies its template over this one may have been broken off.
+    # An interrupted command may have left its own template in place of this one.
     if grep -Eq '^ +[a-z_]+: off$' "$template"; then
       echo "$template switches something off already" >&2
       exit 2
--- a/scripts/check-layers.sh
+++ b/scripts/check-layers.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Fails if a folder of src/cypresswall imports another one that isn't in a layer below its own, unless
-# the pair is listed as known. Also fails for a listed pair that is gone, so that the list only
-# shrinks, and for a folder without a layer. Prints the known pairs that are left.
+# Fails if a folder of src/cypresswall includes headers of a folder that isn't in a lower layer,
+# unless the pair is listed as a known exception. Also fails for a listed pair that no longer
+# exists, so that the list only shrinks, and for a folder without a layer. Prints the remaining
+# exceptions.
 # usage: check-layers.sh [FOLDER]      (default: src/cypresswall)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 sources=${1:-src/cypresswall}
 
-# From the top to the bottom; folders of one line don't import each other. CONTRIBUTING.md names the
-# order. Only what emulates the outside stands above the node.
+# From top to bottom; folders on one line don't include each other. CONTRIBUTING.md describes the
+# order. Only folders that emulate external systems are above the node.
 layers=(
   "simulation"
   "emulation"
@@ -31,7 +32,7 @@
   "common"
 )
 
-# Pairs that go upwards today. Never add one: declare an interface below instead.
+# Existing upward includes. Never add one: declare an interface in the lower layer instead.
 known=(
   "idempotency configuration"
   "idempotency lease"
@@ -41,7 +42,7 @@
   "surroundings settings"
 )
 
-# Prints "FOLDER IMPORTED" for each pair of two folders.
+# Prints "FOLDER INCLUDED_FOLDER" for each pair.
 importedPairs() {
   grep -rhoE --include='*.h' --include='*.cpp' --with-filename \
       '^ *# *include "cypresswall/[a-z_]+/' "$sources" |
@@ -49,7 +50,7 @@
     awk '$1 != $2' | sort -u
 }
 
-# Prints "FOLDER NUMBER", the number counted from the top.
+# Prints "FOLDER LAYER", with layers numbered from the top.
 numberedLayers() {
   printf '%s\n' "${layers[@]}" | awk '{ for (i = 1; i <= NF; ++i) print $i, NR }'
 }
--- a/scripts/check-tidy.sh
+++ b/scripts/check-tidy.sh
@@ -2,10 +2,10 @@
 # Runs clang-tidy over the project's sources with the compile commands of a build folder.
 # usage: check-tidy.sh BUILD_DIR [file...]
 #
-# A file that was clean is not read again while nothing that clang-tidy sees of it has changed: its
-# text and that of all its headers with comments and macros, its compile command, the checks and the
-# version of clang-tidy. The marks are kept in CYPRESSWALL_TIDY_CACHE (default: ~/.cache); an empty
-# folder there makes every file be read.
+# A clean file is skipped while no input of clang-tidy has changed: the text of the file and its
+# headers with comments and macros, its compile command, the checks and the version of clang-tidy.
+# The cache is in CYPRESSWALL_TIDY_CACHE (default: below ~/.cache); an empty folder checks every
+# file.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export build_dir=$1
@@ -22,7 +22,7 @@
 tool_version=$(clang-tidy --version)
 export tool_version
 
-# The compile command of a source, without its output.
+# Prints the compile command of a source file, without its output option.
 command_of() {
   awk -v file="\"file\": \"$root/$1\"" '
     /"command":/ { command = $0 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Starts a whole fleet on loopback, serves requests, changes a role under load, and stops cleanly.
+# Starts a complete fleet on loopback, serves requests, changes a role under load, and stops
+# cleanly.
 # usage: demo.sh BUILD_DIR [portavia|hinokuni]
-# Exits 0 only if every step did what it shows. Logs are kept in a folder of their own on failure.
+# Exits with 0 only if every step succeeded. On failure, the logs are kept in a folder of their own.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -70,13 +71,13 @@
   exit 1
 }
 
-# Answers of the demo's own processes, tried again while they are not there yet.
+# HTTP calls to the demo's own processes, with retries until they are up.
 fetch() {
   curl --silent --show-error --fail --max-time 10 --retry 60 --retry-delay 1 --retry-max-time 60 \
     --retry-all-errors "$@" 2>>"$logs/fetch.log"
 }
 
-# start NAME PROGRAM ARGUMENTS...: runs a program in the background; its process is $!.
+# start NAME PROGRAM ARGUMENTS...: runs a program in the background; $! is its process id.
 start() {
   local name=$1
   shift
@@ -156,7 +157,7 @@
 control() { "$bin/cypressctl" --server "$(join_by_comma "${gateways[@]}")" "$@"; }
 
 say "Applying examples/$deployment.yaml"
-# Zones that have not met yet refuse a change; they meet within seconds.
+# Zones refuse a change until they have discovered each other, which takes seconds.
 applied=
 for _ in $(seq 30); do
   if control apply -f "examples/$deployment.yaml" --wait; then
@@ -221,7 +222,7 @@
 control unpin engine "$changed" --wait
 
 say "An operation that may not be repeated ($http_service$once_path)"
-# Sent once, without tries of curl's own.
+# Sent once, without curl's retries.
 curl --silent --show-error --max-time 10 -D "$logs/headers.txt" -X POST \
   "http://${gateways[1]}/services/$http_service$once_path" \
   -H "Authorization: Bearer $tenant_key" -H 'Content-Type: application/json' -d '{"demo": 1}'
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs by apt the packages that the build needs and that are missing; does nothing otherwise.
+# Installs the missing packages that the build needs with apt; does nothing if there are none.
 set -euo pipefail
 
 packages=(
--- a/scripts/run-mutants.sh
+++ b/scripts/run-mutants.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows that the tests guard what they claim to: applies each patch of tests/mutants/, one at a
-# time, to a scratch copy of the sources, rebuilds and runs the test that the patch names, which
-# must fail. Prints a table; the exit code is 0 only if every mutant was killed.
+# Mutation testing: applies each patch of tests/mutants/, one at a time, to a scratch copy of the
+# sources, rebuilds, and runs the test that the patch names, which must fail. Prints a table; the
+# exit code is 0 only if every mutant was killed.
 #
 # usage: run-mutants.sh [patch...]     (default: tests/mutants/*.patch)
 #   MUTANT_JOBS   compile jobs (default 6)
@@ -21,7 +21,7 @@
 
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
-# The same layout as a working copy, so that the compiler cache knows what it compiled there.
+# Same layout as a working copy, so that the compiler cache hits.
 copy=$scratch/copy
 build=$copy/build
 mkdir -p "$copy"
@@ -39,7 +39,7 @@
 }
 
 declare -A baseline
-checkBaseline() { # test program, suite; prints nothing, fails if the unchanged sources fail it
+checkBaseline() { # test program, suite; fails if the test fails on the unmodified sources
   local key="$1 $2"
   if [ -z "${baseline[$key]:-}" ]; then
     if buildTest "$1" && runTest "$1" "$2"; then
--- a/standins/engine/main.cpp
+++ b/standins/engine/main.cpp
@@ -47,7 +47,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Differs in each life of the process.
+/// \return a value that differs each time the process starts.
 std::uint64_t firstIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(since_epoch).count()) *
@@ -86,7 +86,7 @@
   return faults;
 }
 
-/// One engine with its front.
+/// One engine with its HTTP front end.
 struct EngineInstance {
   std::unique_ptr<EmulatedEngine> engine;
   std::unique_ptr<cypresswall::standins::EngineFront> front;
--- a/standins/fronts/engine_front.cpp
+++ b/standins/fronts/engine_front.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-/// One stream on its way to a caller as server-sent events.
+/// One stream sent to a caller as server-sent events.
 class EngineFront::StreamConnection final : public emulation::StreamObserver {
  public:
   StreamConnection(EngineFront& front, StreamKey key, ResponderPointer responder)
@@ -29,7 +29,7 @@
   void abort() { responder_->abort(); }
 
   void onToken(std::uint32_t index, const std::string& text) override {
-    // The emulated tokens hold no character that JSON escapes.
+    // Emulated tokens contain no characters that JSON escapes.
     std::string event;
     event.reserve(event_start_.size() + text.size() + 40);
     event += event_start_;
@@ -57,7 +57,7 @@
   }
 
  private:
-  /// Destroys this object; nothing may follow.
+  /// Destroys this object; must be the last call.
   void end() { front_.forget(StreamKey(key_)); }
 
   EngineFront& front_;
--- a/standins/fronts/engine_front.h
+++ b/standins/fronts/engine_front.h
@@ -1,4 +1,4 @@
-/// HTTP front of one emulated engine: the engine protocol of docs/protocols.md.
+/// HTTP front end of one emulated engine: the engine protocol of docs/protocols.md.
 #pragma once
 
 #include <map>
--- a/standins/fronts/engine_json.h
+++ b/standins/fronts/engine_json.h
@@ -1,4 +1,4 @@
-/// The engine protocol's JSON (docs/protocols.md), as the engine's side reads and writes it.
+/// JSON encoding of the engine protocol (docs/protocols.md), engine side.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 engines::StreamRequest decodeStreamRequest(const nlohmann::json& body);
 /// \throws RequestError
 engines::EngineOrder decodeOrder(const nlohmann::json& body);
-/// Sets the faults that `body` names and leaves the others. \throws RequestError
+/// Sets the faults named in `body` and leaves the others unchanged. \throws RequestError
 void decodeFaults(const nlohmann::json& body, emulation::EngineFaults& faults);
 
 nlohmann::json encodeReply(const engines::OrderReply& reply);
--- a/standins/fronts/json_http.h
+++ b/standins/fronts/json_http.h
@@ -1,4 +1,4 @@
-/// JSON bodies over http::Responder, as all stand-ins use them.
+/// Helpers of the stand-ins for JSON bodies over http::Responder.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 using ResponderPointer = std::shared_ptr<http::Responder>;
 
-/// A request that breaks the protocol; answered with 400.
+/// A request that violates the protocol; answered with 400.
 class RequestError : public common::Error {
  public:
   using common::Error::Error;
@@ -23,10 +23,10 @@
 
 void respondJson(http::Responder& responder, int status, const nlohmann::json& body,
                  std::vector<http::Header> headers = {});
-/// Reads the fault `rate_limit`: requests a second, or null for none.
+/// Reads the fault `rate_limit`: requests per second, or null for none.
 std::optional<double> rateLimitOr(const nlohmann::json& object, std::optional<double> fallback);
-/// \return the header field by which a server names how many requests a second it takes from the
-///   whole fleet; none if it names nothing
+/// \return the header field in which a server announces how many requests per second it accepts
+///   from the whole fleet; empty if it announces no limit
 std::vector<http::Header> rateLimitHeaders(const std::optional<double>& requests_per_second);
 /// Answers with `{"error": message}`.
 void respondError(http::Responder& responder, int status, const std::string& message);
@@ -61,11 +61,11 @@
 common::Duration millisecondsOr(const nlohmann::json& object, const char* name,
                                 common::Duration fallback);
 
-/// \return a query value as a number. \throws RequestError if it is no whole number
+/// \return a query value as a number. \throws RequestError if it is not an integer
 std::uint64_t queryNumberOr(const http::Request& request, const std::string& name,
                             std::uint64_t fallback);
 
-/// Calls `handler`, and answers 400 if it throws RequestError.
+/// Calls `handler`; responds with 400 if it throws RequestError.
 void respondingToErrors(const ResponderPointer& responder, const std::function<void()>& handler);
 
 }  // namespace cypresswall::standins
--- a/standins/fronts/platform_front.h
+++ b/standins/fronts/platform_front.h
@@ -1,4 +1,4 @@
-/// HTTP front of the platform: object API, machine list and weight store of docs/protocols.md.
+/// HTTP front end of the platform: object API, machine list and weight store of docs/protocols.md.
 #pragma once
 
 #include <string>
--- a/standins/fronts/service_front.h
+++ b/standins/fronts/service_front.h
@@ -1,4 +1,4 @@
-/// HTTP front of an emulated plain HTTP service.
+/// HTTP front end of an emulated plain HTTP service.
 #pragma once
 
 #include "cypresswall/emulation/service.h"
@@ -11,7 +11,7 @@
  public:
   explicit ServiceFront(emulation::EmulatedService& service) : service_(service) {}
 
-  /// Every path but those under /admin/ is a call of the service.
+  /// Handles every path outside /admin/ as a call of the service.
   void handle(const http::Request& request, const ResponderPointer& responder);
 
  private:
--- a/standins/process/http_peers.cpp
+++ b/standins/process/http_peers.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kOk = 200;
 constexpr common::Duration kKvTimeLimit = std::chrono::seconds(5);
-/// Wait before weights are asked for again when the platform did not say how long.
+/// Delay before weights are requested again if the platform gave no Retry-After.
 constexpr common::Duration kWeightRetry = std::chrono::seconds(1);
 
 std::optional<emulation::KvExport> decodeKv(const runtime::CurlResponse& response) {
--- a/standins/process/http_peers.h
+++ b/standins/process/http_peers.h
@@ -1,5 +1,5 @@
-/// What an engine stand-in asks of other processes: KV cache of other engines, and weights of the
-/// platform's weight store.
+/// Requests of an engine stand-in to other processes: KV cache from other engines, and weights from
+/// the platform's weight store.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace cypresswall::standins {
 
-/// Fetches KV cache over HTTP; engines of the same process are asked directly.
+/// Fetches KV cache over HTTP, or directly from engines of the same process.
 class HttpKvPeer final : public emulation::KvPeer {
  public:
   HttpKvPeer(runtime::CurlMulti& curl, common::Scheduler& scheduler)
--- a/standins/process/standin_process.h
+++ b/standins/process/standin_process.h
@@ -1,5 +1,5 @@
-/// What every stand-in program is made of: one event loop, its clock and timers, HTTP servers, and
-/// a clean end on SIGTERM or SIGINT.
+/// Common part of the stand-in programs: one event loop with its clock and timers, HTTP servers,
+/// and a clean shutdown on SIGTERM or SIGINT.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,7 +20,7 @@
 
 class StandinProcess {
  public:
-  /// \param name stands in every log line
+  /// \param name included in every log line
   explicit StandinProcess(const std::string& name);
 
   asio::io_context& context() { return context_; }
@@ -28,7 +28,7 @@
   common::Scheduler& scheduler() { return scheduler_; }
   common::LogSink& log() { return log_; }
 
-  /// Adds a server; run() starts it.
+  /// Adds a server, to be started by run().
   void addServer(const std::string& address, http::Handler handler);
   /// Serves until SIGTERM or SIGINT. \return the program's exit code
   int run();
@@ -47,7 +47,7 @@
   std::vector<Listener> listeners_;
 };
 
-/// \return the parts of a comma-separated list, without empty ones.
+/// \return the non-empty parts of a comma-separated list.
 std::vector<std::string> splitList(const std::string& text);
 
 }  // namespace cypresswall::standins
--- a/standins/service/main.cpp
+++ b/standins/service/main.cpp
@@ -1,5 +1,5 @@
 /// Stand-in for a plain HTTP service (tracking portal, booking) with any number of back ends that
-/// share one ledger.
+/// share one ledger of executions.
 #include <gflags/gflags.h>
 
 #include "standins/fronts/service_front.h"
--- a/tests/bench/load_test.cpp
+++ b/tests/bench/load_test.cpp
@@ -25,7 +25,7 @@
   std::string error;
 };
 
-/// An emulated engine behind a real server, on a thread of its own.
+/// An emulated engine behind a real HTTP server, on its own thread.
 class RunningEngine {
  public:
   RunningEngine() : server_(http::makeServer(context_, settings(), handler())) {
@@ -162,7 +162,7 @@
     CPPUNIT_ASSERT_EQUAL(right.requests(), right.count(RequestEnd::kDone));
     CPPUNIT_ASSERT_EQUAL(right.requests() * 5, right.tokens);
 
-    // An engine that serves another model than expected is found out.
+    // Answers of an engine that serves another model than expected are detected as wrong.
     settings.targets[0].version = "";
     const KindResult wrong = runLoad(settings, ignore)[0].result.total();
     CPPUNIT_ASSERT_EQUAL(wrong.requests(), wrong.count(RequestEnd::kWrong));
--- a/tests/bench/scenario_test.cpp
+++ b/tests/bench/scenario_test.cpp
@@ -109,7 +109,8 @@
       }
       return result;
     };
-    // The second period is worth a change of one engine, of about six answers; the first is not.
+    // Changing one engine costs about six answers: it pays in the second period but not in the
+    // first.
     const auto schedule = bestSchedule(scenario, {traced({0, 0}, 99, 50), traced({1, 0}, 98, 90)});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, schedule.size());
     CPPUNIT_ASSERT(schedule[0].at == std::chrono::seconds(54));
@@ -122,7 +123,7 @@
   }
 
  private:
-  /// Expects the error that the small scenario gives with `from` replaced by `to`.
+  /// Requires the expected error after `from` is replaced by `to` in the small scenario.
   static void requireError(const std::string& from, const std::string& to,
                            const std::string& message) {
     std::string text = kSmall;
--- a/tests/process/http_call.h
+++ b/tests/process/http_call.h
@@ -1,4 +1,4 @@
-/// Blocking HTTP calls of the process tests.
+/// Blocking HTTP calls for the process tests.
 #pragma once
 
 #include <map>
@@ -7,16 +7,16 @@
 namespace cypresswall::testing {
 
 struct HttpAnswer {
-  /// Zero if no answer's head came.
+  /// Zero if no status line was received.
   int status = 0;
-  /// True if the whole answer came.
+  /// True if the complete answer was received.
   bool complete = false;
-  /// True if no connection could be made, so that nothing was asked.
+  /// True if the connection failed, so that no request was sent.
   bool not_connected = false;
-  /// Why the answer is not whole, in libcurl's words.
+  /// libcurl's message if the answer is incomplete.
   std::string error;
   std::string body;
-  /// Names in lower case.
+  /// Field names are in lower case.
   std::map<std::string, std::string> headers;
 
   std::string header(const std::string& name) const;
--- a/tests/process/order_check.h
+++ b/tests/process/order_check.h
@@ -1,12 +1,12 @@
-/// What an engine's ledger of orders has to show.
+/// Checks an engine's ledger of orders.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace cypresswall::testing {
 
-/// Fails the test unless no stream was cut by an order, accepted orders of one life of an engine
-/// never go back in epoch, and no two orders with one number differ.
+/// Fails the test if an order cut a stream, if accepted orders of one engine incarnation go back in
+/// epoch, or if two orders with the same number differ.
 void checkOrders(const nlohmann::json& ledger);
 
 }  // namespace cypresswall::testing
--- a/tests/process/process_faults_test.cpp
+++ b/tests/process/process_faults_test.cpp
@@ -1,5 +1,5 @@
-/// The invariants under faults of real processes: daemons and stand-ins on loopback under a mixed
-/// load, with kills, pauses beyond the lease, outages of the store and crashes of engines.
+/// Checks the invariants under faults of real processes: daemons and stand-ins on loopback under a
+/// mixed load, with kills, pauses longer than the lease, store outages and engine crashes.
 #include <csignal>
 #include <cstdio>
 
@@ -55,12 +55,12 @@
     fleet.daemon(paused).signal(SIGSTOP);
     waitUntil("another node holds the lease",
               [&] { return fleet.leaseHolder(others(paused)) < fleet.nodes(); });
-    waitUntil("the next holder carries out the pin",
+    waitUntil("the next holder executes the pin",
               [&] { return fleet.engineLoad(0).value("role", "") == "decode"; });
     fleet.daemon(paused).signal(SIGCONT);
-    waitUntil("the woken node answers", [&] { return fleet.ready(paused); });
+    waitUntil("the resumed node is ready", [&] { return fleet.ready(paused); });
     accept(fleet.command(asked, "pin engine runner-0 role mixed"));
-    waitUntil("orders go on under the next holder",
+    waitUntil("orders continue under the next holder",
               [&] { return fleet.engineLoad(0).value("role", "") == "mixed"; });
     load.waitForMore(10, 2);
     checkAndReport("pause", fleet, load.finish());
@@ -96,12 +96,12 @@
     fleet.engineFault(1, {{"crash_in_next_change", true}});
     const json before = fleet.engineLoad(1);
     accept(fleet.command(0, "pin engine runner-1 role decode"));
-    waitUntil("the engine came back in a new life", [&] {
+    waitUntil("the engine restarted with a new incarnation", [&] {
       const json load_now = fleet.engineLoad(1);
       return load_now.is_object() && load_now.value("incarnation", 0ULL) != 0 &&
              load_now["incarnation"] != before["incarnation"];
     });
-    waitUntil("the change is carried out after all", [&] {
+    waitUntil("the change completes after the restart", [&] {
       const json load_now = fleet.engineLoad(1);
       return load_now.is_object() && load_now.value("role", "") == "decode" &&
              load_now.value("state", "") == "ready";
@@ -158,7 +158,7 @@
     }
   }
 
-  /// Requires that no promise was broken, and prints what happened.
+  /// Prints the results and requires that no invariant was violated.
   static void checkAndReport(const char* name, const TestFleet& fleet,
                              const WorkloadReport& report) {
     std::printf(
--- a/tests/process/program.h
+++ b/tests/process/program.h
@@ -1,4 +1,4 @@
-/// A program run by a test, with its output in a file. It is killed with the test.
+/// A program started by a test, with its output in a file. The destructor kills it.
 #pragma once
 
 #include <sys/types.h>
@@ -10,7 +10,7 @@
 
 class Program {
  public:
-  /// Starts the program of that name from the build folder. \throws std::runtime_error
+  /// Starts the program `name` from the build folder. \throws std::runtime_error
   Program(const std::string& name, const std::vector<std::string>& arguments,
           const std::string& output_file);
   ~Program();
@@ -18,10 +18,10 @@
   Program& operator=(const Program&) = delete;
 
   void signal(int number) const;
-  /// Sends SIGKILL and waits for the end.
+  /// Sends SIGKILL and waits until the process has ended.
   void kill();
-  /// Waits for the end, at most `seconds`. \return the exit code; -1 if a signal or the time ended
-  ///   the wait
+  /// Waits at most `seconds` until the process has ended. \return the exit code; -1 on a time-out
+  ///   or if a signal ended the process
   int waitForExit(int seconds);
 
  private:
--- a/tests/process/test_fleet.h
+++ b/tests/process/test_fleet.h
@@ -1,5 +1,5 @@
-/// A fleet of real processes on loopback for one test: platform, engines, a service with a ledger,
-/// and one zone of daemons.
+/// A fleet of real processes on loopback for one test: platform, engines, an HTTP service with a
+/// ledger of executions, and one zone of daemons.
 #pragma once
 
 #include <functional>
@@ -18,30 +18,30 @@
 inline constexpr const char* kModelService = "chat";
 inline constexpr const char* kHttpService = "booking";
 
-/// Waits until `condition` holds, asking again and again; fails the test after a generous limit.
+/// Polls until `condition` holds; fails the test after a generous time limit.
 void waitUntil(const std::string& what, const std::function<bool()>& condition);
 
 class TestFleet {
  public:
-  /// \return the address by which the daemons reach the process at `target`
+  /// \return the address at which the daemons reach the process at `target`, such as a proxy
   using AddressMapping = std::function<std::string(const std::string& target)>;
 
-  /// Starts everything, declares the fleet, and waits until it serves.
-  /// \param via called for the platform, then for each engine; the addresses themselves if not
-  /// given
+  /// Starts all processes, declares the fleet, and waits until it serves.
+  /// \param via called for the platform, then for each engine;
+  ///   without it, daemons use the addresses themselves
   TestFleet(std::size_t nodes, std::size_t engines, const AddressMapping& daemon_address_of = {});
   ~TestFleet();
 
   std::size_t nodes() const { return daemons_.size(); }
   const std::string& gateway(std::size_t node) const { return gateways_[node]; }
   Program& daemon(std::size_t node) { return *daemons_[node]; }
-  /// Starts a daemon in the place of one that has ended, and waits until it is ready.
+  /// Restarts a daemon that has ended, and waits until it is ready.
   void restart(std::size_t node);
   bool ready(std::size_t node) const;
 
-  /// Carries out an operators' command at a node. \return the answer's JSON
+  /// Runs an operator command at a node. \return the JSON of the answer
   nlohmann::json command(std::size_t node, const std::string& text) const;
-  /// \return number of the node that says it holds the lease; nodes() if none of the asked does.
+  /// \return the number of the node among `asked` that reports holding the lease; nodes() if none.
   std::size_t leaseHolder(const std::vector<std::size_t>& asked) const;
   std::size_t leaseHolder() const;
 
@@ -59,11 +59,11 @@
   std::string peerAddress(std::size_t node) const;
   std::string host(int part, std::size_t number) const;
 
-  /// First two numbers after 127, of this test process's own.
+  /// Loopback prefix "127.a.b", different in each test process.
   std::string network_;
   std::string folder_;
   std::string platform_;
-  /// Where daemons reach the platform and the engines.
+  /// Addresses at which daemons reach the platform and the engines.
   std::string platform_address_for_daemons_;
   std::vector<std::string> engine_addresses_for_daemons_;
   std::string service_;
--- a/tests/process/workload.cpp
+++ b/tests/process/workload.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t kAnswerTokens = 24;
 constexpr int kBookingTries = 4;
-/// Every so many requests of a thread one is a booking.
+/// One in this many requests of a thread is a booking.
 constexpr std::uint64_t kBookingShare = 3;
 
 std::string expectedText(const std::string& prompt) {
@@ -22,7 +22,7 @@
       emulation::answerSeed(kModel, kModelVersion, "", shape.content_hash), kAnswerTokens);
 }
 
-/// A streamed answer as its caller read it.
+/// A streamed answer as received by its caller.
 struct StreamedText {
   std::string text;
   bool ended = false;
@@ -45,7 +45,7 @@
     }
     const json event = json::parse(data, nullptr, false);
     if (event.is_discarded()) {
-      continue;  // the connection ended within this event
+      continue;  // the connection ended in the middle of this event
     }
     if (event.contains("error")) {
       streamed.error = true;
@@ -126,7 +126,7 @@
     report_.broken_streams += 1;
     recordIncident(prompt, answer);
     if (answer.complete) {
-      addViolation("an answer ended without a word: " + prompt);
+      addViolation("an answer ended without a final event or an error: " + prompt);
     }
   } else if (streamed.text != expected) {
     addViolation("short answer to '" + prompt + "'");
@@ -183,7 +183,7 @@
 
 void Workload::waitForMore(std::uint64_t streams, std::uint64_t bookings) const {
   const WorkloadReport before = report();
-  waitUntil("the load goes on", [&] {
+  waitUntil("the load makes progress", [&] {
     const WorkloadReport now = report();
     return now.whole_streams >= before.whole_streams + streams &&
            now.bookings_done >= before.bookings_done + bookings;
@@ -213,10 +213,10 @@
       addViolation(key + " ran " + std::to_string(count) + " times");
     }
     if (history.reported_done && count != 1) {
-      addViolation(key + " was said to be done and ran " + std::to_string(count) + " times");
+      addViolation(key + " was reported done and ran " + std::to_string(count) + " times");
     }
     if (history.only_reported_not_run && count != 0) {
-      addViolation(key + " was said not to have run, and ran");
+      addViolation(key + " was reported as not run, but ran");
     }
   }
 }
--- a/tests/process/workload.h
+++ b/tests/process/workload.h
@@ -1,6 +1,5 @@
-/// A mixed load on a TestFleet: streamed answers that are compared byte by byte with what the
-/// emulated engines compute, and bookings that may run at most once, checked against the service's
-/// ledger.
+/// A mixed load on a TestFleet: streamed answers, compared byte by byte with the answers of the
+/// emulated engines, and bookings that may run at most once, checked against the service's ledger.
 #pragma once
 
 #include <atomic>
@@ -15,21 +14,22 @@
 
 namespace cypresswall::testing {
 
-/// What happened so far. Everything but the violations may be a fault's rightful consequence.
+/// Results so far. Only `violations` are failures; the rest may result from injected faults.
 struct WorkloadReport {
   std::uint64_t whole_streams = 0;
   /// Streams that ended with an explicit error, or with their gateway's connection.
   std::uint64_t failed_streams = 0;
-  /// Streams whose connection was made and ended before their answer was whole.
+  /// Streams whose connection was established and ended before the answer was complete.
   std::uint64_t broken_streams = 0;
-  /// Streams answered by a refusal, or whose connection could not be made.
+  /// Streams that were refused, or whose connection could not be established.
   std::uint64_t refused_streams = 0;
   std::uint64_t bookings_done = 0;
   std::uint64_t bookings_not_run = 0;
   std::uint64_t bookings_unknown = 0;
-  /// What was seen of each broken stream and each booking without a known outcome.
+  /// Details of each broken stream and each booking with unknown outcome.
   std::vector<std::string> incidents;
-  /// Answers that differ from what was to be given, and refusals for load without Retry-After.
+  /// Wrong answers, bookings that ran twice or contrary to their reported outcome, and refusals for
+  /// load without Retry-After.
   std::vector<std::string> violations;
 };
 
@@ -40,16 +40,16 @@
   Workload(const Workload&) = delete;
   Workload& operator=(const Workload&) = delete;
 
-  /// Callers leave a node out from now on, or ask it again.
+  /// Excludes a node from new requests, or includes it again.
   void setEnabled(std::size_t node, bool enabled) { enabled_[node] = enabled; }
   WorkloadReport report() const;
-  /// Waits until so many more streams came whole and so many more bookings were done.
+  /// Waits for this many more complete streams and done bookings.
   void waitForMore(std::uint64_t streams, std::uint64_t bookings) const;
-  /// Ends the load and adds what the service's ledger shows to the violations.
+  /// Ends the load, and adds violations found in the service's ledger.
   WorkloadReport finish();
 
  private:
-  /// What callers were told about one key.
+  /// Outcomes reported to the callers of one key.
   struct KeyHistory {
     bool reported_done = false;
     bool only_reported_not_run = true;
--- a/tests/properties/answers/refusals_test.cpp
+++ b/tests/properties/answers/refusals_test.cpp
@@ -1,5 +1,5 @@
-/// INV-10: a request given up on gets its final answer at once, with a time to come back: under
-/// more load than the engines can take, while nodes fail that the request does not depend on.
+/// INV-10: a refused request gets its final answer immediately, with a Retry-After. Tested under
+/// overload of the engines, while nodes fail that the request does not depend on.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -25,10 +25,10 @@
 
 constexpr int kRuns = 30;
 constexpr common::Duration kLoadDuration = seconds(10);
-/// First-token limit that the fleet declares: no request is held for longer without a token.
+/// Declared first-token limit: no request is kept waiting longer for its first token.
 constexpr common::Duration kFirstTokenLimit = seconds(3);
-/// From the request to its refusal, if no attempt was made; messages to other nodes take a few
-/// milliseconds each.
+/// Maximum time from a request to its refusal if no attempt was made; a message to another node
+/// takes a few milliseconds.
 constexpr common::Duration kRefusalTimeLimit = milliseconds(100);
 
 RunBounds refusalBounds() {
@@ -41,7 +41,7 @@
   return bounds;
 }
 
-/// A request that waits until its limit has passed counts as given up as well.
+/// A request that waited until its limit had passed counts too.
 bool rejectedOrExpired(const CallerRecord& record) {
   return record.result == CallerResult::kError &&
          (record.error.kind == ErrorKind::kOverloaded ||
@@ -50,7 +50,7 @@
           record.error.kind == ErrorKind::kDraining);
 }
 
-/// \return the attempts made for a request; nothing if its process has ended or forgotten it.
+/// \return the attempts of a request; std::nullopt if its process has ended or dropped the record.
 std::optional<std::vector<execution::AttemptRecord>> attemptsOf(
     const simulation::SimulatedFleet& fleet, const CallerRecord& record) {
   for (std::size_t index = 0; index < fleet.nodeCount(); ++index) {
@@ -98,7 +98,7 @@
         const auto took = record.ended_at - record.asked_at;
         const auto attempts = attemptsOf(fleet, record);
         const bool never_sent = attempts && attempts->empty();
-        RC_LOG() << record.request_id << " given up after " << common::toSeconds(took)
+        RC_LOG() << record.request_id << " refused or expired after " << common::toSeconds(took)
                  << " s: " << record.error.message << '\n';
         RC_ASSERT(record.error.retry_after > common::Duration{0});
         RC_ASSERT(record.tokens > 0U || took <= kFirstTokenLimit + kRefusalTimeLimit);
@@ -110,8 +110,8 @@
       tally.add(fleet);
     });
     std::cout << "\nINV-10: " << tally.summary() << "; " << refused
-              << " given up without an attempt, longest " << common::toSeconds(longest) << " s, "
-              << after_attempts << " after one or not known; faults: " << faults.summary()
+              << " refused or expired without an attempt, longest " << common::toSeconds(longest)
+              << " s, " << after_attempts << " after one or not known; faults: " << faults.summary()
               << std::endl;
     CPPUNIT_ASSERT(tally.done > 0);
     CPPUNIT_ASSERT(refused > 10 * kRuns);
--- a/tests/properties/answers/whole_answers_test.cpp
+++ b/tests/properties/answers/whole_answers_test.cpp
@@ -1,5 +1,5 @@
-/// INV-4: each caller gets the whole answer to its own request and no other. INV-10: a request
-/// given up on gets its final answer at once, with a time to come back.
+/// INV-4: each caller gets the complete answer to its own request and to no other. INV-10: a
+/// refused request gets its final answer immediately, with a Retry-After.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -20,7 +20,7 @@
 
 constexpr int kRuns = 40;
 constexpr common::Duration kLoadDuration = seconds(20);
-/// Until every request has ended after the last fault.
+/// Time after the last fault in which every request must end.
 constexpr common::Duration kSettlingTime = seconds(60);
 
 RunBounds answerBounds() {
@@ -31,7 +31,7 @@
   return bounds;
 }
 
-/// INV-10: a request given up on says when to come back, and its refusal comes at once.
+/// INV-10: a refusal arrives immediately and has a Retry-After.
 void requireRetryAfter(const CallerRecord& record) {
   using execution::ErrorKind;
   const bool for_load =
--- a/tests/properties/authority/lease_history.h
+++ b/tests/properties/authority/lease_history.h
@@ -1,4 +1,4 @@
-/// Watches who holds each zone's lease, in true time.
+/// Records the holder of each zone's lease in true time.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 class LeaseHistory {
  public:
-  /// Asks every awake process at each step of kPeriod, and each process that wakes before it runs
-  /// anything.
+  /// Interval at which all processes that are not paused are sampled. A process that resumes from a
+  /// pause is also sampled before it runs anything else.
   static constexpr common::Duration kPeriod = std::chrono::milliseconds(5);
 
   explicit LeaseHistory(simulation::SimulatedFleet& fleet);
 
-  /// \return a description of each moment at which two processes held one zone's lease, or at which
-  ///   an epoch was held that is not above all that others held before.
+  /// \return a description of each time at which two processes held the same zone's lease, or at
+  ///   which a held epoch was not above all epochs held before.
   const std::vector<std::string>& violations() const { return violations_; }
-  /// \return leases that lapsed or were lost while their holder was alive and had not given up.
+  /// \return the number of changes of a zone's lease to a new holder or epoch.
   std::uint64_t holderChanges() const { return changes_; }
-  /// \return how long each zone was without a holder, once per gap.
+  /// \return the lengths of all periods in which a zone had no holder.
   const std::vector<common::Duration>& gaps() const { return gaps_; }
-  /// \return true if each zone has exactly one holder now.
+  /// \return true if each zone currently has exactly one holder.
   bool everyZoneHeld() const;
 
  private:
--- a/tests/properties/authority/one_holder_test.cpp
+++ b/tests/properties/authority/one_holder_test.cpp
@@ -1,6 +1,6 @@
-/// INV-3, the lease's part: at any moment of true time at most one process of a zone believes that
-/// it holds the zone's lease, also at the moment it wakes from a pause, and epochs only grow. With
-/// liveness: after the faults each zone has one holder.
+/// INV-3 for the lease: at any point in true time at most one process of a zone considers itself
+/// the holder of the zone's lease, even right after it resumes from a pause, and epochs only
+/// increase. Liveness: after the faults each zone has one holder.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -1,6 +1,7 @@
-/// INV-9: an accepted configuration is in force on every reachable zone within 7 s and never
-/// reverts; of racing operators one wins and the other is told; a lost answer is settled as what
-/// truly happened. With liveness: after the faults a change is accepted and in force everywhere.
+/// INV-9: an accepted configuration is in force in every reachable zone within 7 s and is never
+/// reverted; of two concurrent changes one succeeds and the other operator is informed; after a
+/// lost answer the actual outcome is reported. Liveness: after the faults a change is accepted and
+/// in force everywhere.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -25,7 +26,7 @@
 constexpr std::uint32_t kRaces = 3;
 constexpr common::Duration kLoadDuration = seconds(20);
 constexpr common::Duration kInForceWithin = seconds(7);
-/// From the end of all faults until everything must work again.
+/// Time after the end of all faults in which the fleet must recover.
 constexpr common::Duration kRecoveryTime = seconds(30);
 
 RunBounds configurationBounds() {
@@ -40,7 +41,7 @@
   return bounds;
 }
 
-/// What one property's runs came to.
+/// Totals over the runs of one property.
 struct Tally {
   std::uint64_t accepted = 0;
   std::uint64_t refused = 0;
@@ -62,7 +63,7 @@
   }
 }
 
-/// What operators were told must match what is in force in the end.
+/// The results reported to operators must match the configuration that is in force at the end.
 void requireReportedResultsMatch(const simulation::SimulatedFleet& fleet,
                                  const Operators& operators, Tally& tally) {
   const auto configuration = fleet.slot(0).node->configuration().current();
--- a/tests/properties/configuration/configuration_history.h
+++ b/tests/properties/configuration/configuration_history.h
@@ -1,4 +1,4 @@
-/// Watches the configuration in force on every process of a fleet.
+/// Records the configuration in force on every process of a fleet.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,20 @@
 
 class ConfigurationHistory {
  public:
-  /// Looks at every process at each step of kPeriod.
+  /// Interval at which every process is sampled.
   static constexpr common::Duration kPeriod = std::chrono::milliseconds(50);
 
   explicit ConfigurationHistory(simulation::SimulatedFleet& fleet);
 
-  /// \return a description of each fault found: a version that went back, or one version with two
+  /// \return a description of each violation: a version that decreased, or one version with two
   ///   contents.
   const std::vector<std::string>& violations() const { return violations_; }
-  /// \return true if every process that lived and was awake over the whole time held at least
-  ///   `version` at its end; processes without the full time are passed over.
+  /// \return true if every process that ran without a pause over the whole interval held at least
+  ///   `version` at its end; other processes are ignored.
   bool heldEverywhere(std::uint64_t version, common::MonotonicTime from,
                       common::MonotonicTime to) const;
-  /// \return true if a cut between zones, or inside one, was seen in that time.
+  /// \return true if a network partition, between zones or inside one, was observed in that
+  ///   interval.
   bool cutWithin(common::MonotonicTime from, common::MonotonicTime to) const;
 
  private:
--- a/tests/properties/configuration/operators.h
+++ b/tests/properties/configuration/operators.h
@@ -1,5 +1,5 @@
-/// Operators of a simulated fleet who change its configuration, alone and racing one another, and
-/// remember what they were told.
+/// Operators of a simulated fleet who submit configuration changes, alone and concurrently, and
+/// record the reported results.
 #pragma once
 
 #include <deque>
@@ -10,13 +10,13 @@
 
 namespace cypresswall::testing {
 
-/// One change as its operator saw it. Each declares a tenant that no other change names.
+/// One change as seen by its operator. Each declares a tenant that no other change declares.
 struct OperatorChange {
   std::string tenant;
   common::NodeId node;
   std::optional<configuration::CommitResult> result;
   common::MonotonicTime answered_at;
-  /// Number of the race it took part in; changes of one race expect one version.
+  /// Number of the race that it belongs to; all changes of a race expect the same version.
   std::optional<std::uint64_t> race;
 };
 
@@ -26,9 +26,9 @@
 
   /// Submits one change at a node.
   OperatorChange& change(std::size_t node);
-  /// Submits two changes at two nodes, both made for the version that the first node holds.
+  /// Submits two changes at two nodes, both expecting the first node's current version.
   void submitRacingChanges(std::size_t first, std::size_t second);
-  /// Plans changes and races at random nodes over a while.
+  /// Schedules changes and races at random nodes and times.
   void planChanges(std::uint32_t changes, std::uint32_t races, common::Duration within);
 
   const std::deque<OperatorChange>& changes() const { return changes_; }
--- a/tests/properties/leaving/leaving_machine_test.cpp
+++ b/tests/properties/leaving/leaving_machine_test.cpp
@@ -1,5 +1,5 @@
-/// INV-7: an engine on a machine that is leaving gets no new work 3 s after the machine list shows
-/// it.
+/// INV-7: an engine on a leaving machine gets no new work from 3 s after the machine list shows the
+/// machine as leaving.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -30,13 +30,13 @@
   return bounds;
 }
 
-/// Machines of engines that leave during a run, and when the list shows it.
+/// Engine machines that leave during a run, and the times at which the machine list shows it.
 class LeavingEngines {
  public:
   LeavingEngines(simulation::SimulatedFleet& fleet, common::Duration list_lag)
       : fleet_(fleet), list_lag_(list_lag) {}
 
-  /// In each zone all engines but the first leave, at any time.
+  /// Schedules all engines of each zone except the first to leave at random times.
   void plan() {
     const auto& topology = fleet_.settings().topology;
     for (std::uint32_t zone = 0; zone < topology.zones; ++zone) {
@@ -47,7 +47,7 @@
     }
   }
 
-  /// \return streams that began on a leaving engine too late.
+  /// \return the number of streams started on a leaving engine after the limit.
   std::uint64_t lateStreams() const {
     std::uint64_t late = 0;
     for (const auto& [address, shown_at] : shown_at_) {
--- a/tests/properties/leaving/leaving_services_test.cpp
+++ b/tests/properties/leaving/leaving_services_test.cpp
@@ -1,5 +1,5 @@
-/// INV-7 beyond engines: 3 s after the machine list shows a machine as leaving, service back ends
-/// on it get no call, and our own nodes on it take no request.
+/// INV-7 for service back ends and nodes: from 3 s after the machine list shows a machine as
+/// leaving, back ends on it get no calls, and nodes on it accept no requests.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -66,7 +66,7 @@
     }
   }
 
-  /// \return calls that reached leaving back ends too late.
+  /// \return the number of calls that reached leaving back ends after the limit.
   std::uint64_t lateCalls() const {
     std::uint64_t late = 0;
     for (const auto& [address, calls] : calls_) {
@@ -74,7 +74,7 @@
     }
     return late;
   }
-  /// \return requests that leaving nodes took too late.
+  /// \return the number of requests that leaving nodes accepted after the limit.
   std::uint64_t lateRequests() const {
     std::uint64_t late = 0;
     for (const CallerRecord& record : fleet_.records()) {
@@ -106,12 +106,12 @@
   }
 
   simulation::SimulatedFleet& fleet_;
-  /// Calls that each leaving back end had got when it should get no more.
+  /// Calls received by each leaving back end at the time after which it must get no more.
   std::map<common::Address, std::uint64_t> calls_;
   std::map<common::Address, common::MonotonicTime> no_work_from_;
 };
 
-/// Plays one generated run; `plan` says which machines leave.
+/// Runs one generated case; `plan` selects the machines that leave.
 template <typename Plan>
 void playRun(Plan&& plan, simulation::FaultCounters& faults, RequestTally& tally) {
   const GeneratedRun run = *runs(leavingServiceBounds());
--- a/tests/properties/once/at_most_once_test.cpp
+++ b/tests/properties/once/at_most_once_test.cpp
@@ -1,6 +1,6 @@
-/// INV-5: "not run" is true. INV-6: a request that may not be repeated runs at most once, also when
-/// its caller asks again with the same key at another node of any zone. Checked against the back
-/// ends' ledgers.
+/// INV-5: a request reported as "not run" did not run. INV-6: a request that must not be repeated
+/// runs at most once, even if its caller retries with the same idempotency key at another node of
+/// any zone. Checked against the back ends' ledgers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
--- a/tests/properties/once_across_zones/once_across_zones_test.cpp
+++ b/tests/properties/once_across_zones/once_across_zones_test.cpp
@@ -1,6 +1,6 @@
-/// INV-6 across zones: a caller who asks again with the same key at a node of another zone must not
-/// make the request run twice, through cuts between zones, the loss of lease holders and changes of
-/// the declared zones.
+/// INV-6 across zones: a retry with the same idempotency key at a node of another zone must not run
+/// the request twice, even during partitions between zones, the loss of lease holders and changes
+/// of the declared zones.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -38,7 +38,7 @@
   return bounds;
 }
 
-/// Kills or pauses the lease holder of a random zone now and then.
+/// Schedules kills and pauses of the lease holders of random zones.
 void planHolderFaults(simulation::SimulatedFleet& fleet, std::uint32_t number,
                       common::Duration within) {
   auto& random = fleet.simulation().random();
@@ -63,7 +63,7 @@
   }
 }
 
-/// Submits a change at node 0, whether or not every zone answers.
+/// Submits a change at node 0 with late delivery, so that it does not need an answer of every zone.
 void change(simulation::SimulatedFleet& fleet, std::vector<configuration::ObjectChange> objects,
             std::uint64_t& accepted) {
   configuration::ConfigurationChangeRequest request;
@@ -76,7 +76,8 @@
   });
 }
 
-/// Removes what zone `zone` runs, so that the zone itself can be removed; its nodes stay.
+/// \return changes that remove the engines and back ends of `zone`, so that the zone itself can be
+///   removed; its nodes stay.
 std::vector<configuration::ObjectChange> removalsOfZoneWorkloads(
     const configuration::FleetConfiguration& fleet, const common::ZoneName& zone) {
   using configuration::ObjectKind;
@@ -103,9 +104,9 @@
   return sum;
 }
 
-/// After the faults every zone's keys can be claimed from every node again, except that keys of a
-/// zone that lost a quorum for good are uncertain until their retention has passed.
-/// \return number of requests that were done
+/// Requires that after the faults every zone's keys can be claimed from every node, except that
+/// keys of a zone that lost its quorum permanently stay uncertain until their retention has passed.
+/// \return the number of requests that were done
 std::uint64_t requireKeysClaimable(simulation::SimulatedFleet& fleet) {
   std::vector<const simulation::CallerRecord*> asked;
   for (std::size_t index = 0; index < fleet.nodeCount(); ++index) {
@@ -178,7 +179,7 @@
     });
     std::cout << "\nINV-6 across zones: " << tally.summary() << ", " << keyed_done
               << " done with a key, " << claimable << " of them after the faults, " << passed_on
-              << " claims and reports passed on; faults: " << faults.summary() << std::endl;
+              << " claims and reports forwarded; faults: " << faults.summary() << std::endl;
     CPPUNIT_ASSERT(keyed_done > 0);
     CPPUNIT_ASSERT(passed_on > 0);
     CPPUNIT_ASSERT(claimable > 2 * kFaultRuns);
@@ -188,8 +189,9 @@
     CPPUNIT_ASSERT(faults.count(FaultKind::kOneWayCut) > 0);
   }
 
-  /// The last zone is removed and declared again under callers, some of whom ask where the change
-  /// is not in force yet. Retention and margin are shortened, so that ownership also settles.
+  /// The last zone is removed and declared again under load, while some callers use nodes where the
+  /// change is not yet in force. Retention and margin are shortened so that the transfer of
+  /// ownership also completes within the run.
   void keysRunAtMostOnceThroughChangesOfTheZones() {
     simulation::FaultCounters faults;
     RequestTally tally;
@@ -232,9 +234,9 @@
       faults.merge(fleet.faults());
       tally.add(fleet);
     });
-    std::cout << "\nINV-6 through changes of the zones: " << tally.summary() << ", " << keyed_done
+    std::cout << "\nINV-6 during changes of the zones: " << tally.summary() << ", " << keyed_done
               << " done with a key, " << changes << " changes accepted, " << moved
-              << " claims refused since their key had moved; faults: " << faults.summary()
+              << " claims refused because their key had moved; faults: " << faults.summary()
               << std::endl;
     CPPUNIT_ASSERT(keyed_done > 0);
     CPPUNIT_ASSERT(changes > 2 * kZoneChangeRuns);
@@ -244,8 +246,8 @@
   }
 
  private:
-  /// Three changes in turn: the zone is removed, declared again, and removed once more; the waits
-  /// between them are shorter or longer than it takes for ownership to settle.
+  /// Schedules three changes: the zone is removed, declared again, and removed again, at intervals
+  /// both shorter and longer than the transfer of ownership takes.
   static void planZoneChanges(simulation::SimulatedFleet& fleet, const common::ZoneName& zone,
                               std::uint64_t& accepted) {
     using configuration::ObjectKind;
--- a/tests/properties/orders/fenced_orders_test.cpp
+++ b/tests/properties/orders/fenced_orders_test.cpp
@@ -1,7 +1,7 @@
 /// INV-1: an engine never receives conflicting orders. INV-2: a planned role change cuts no stream.
 /// INV-3: an order of a holder that lost its authority has no effect. Checked against the engines'
-/// own ledgers, with operators who race one another over the roles. With liveness: after the faults
-/// every engine is ready, takes work and has the role that was pinned last.
+/// own ledgers, with operators who change roles concurrently. Liveness: after the faults every
+/// engine is ready, accepts work and has the role that was pinned last.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <array>
@@ -47,7 +47,7 @@
   return bounds;
 }
 
-/// Operators who pin engines to roles, at random nodes, sometimes two at a time.
+/// Operators who pin engines to roles at random nodes, sometimes two concurrently.
 class RolePins {
  public:
   explicit RolePins(simulation::SimulatedFleet& fleet) : fleet_(fleet) {}
@@ -59,7 +59,7 @@
     }
   }
 
-  /// \return engines that do not have the role that is pinned for them at node `index`.
+  /// \return engines whose role differs from the one pinned for them at node `index`.
   std::vector<std::string> enginesWithWrongRole(std::size_t index) const {
     std::vector<std::string> wrong;
     const auto configuration = fleet_.slot(index).node->configuration().current();
@@ -116,7 +116,7 @@
          std::to_string(common::toSeconds(entry.at.time_since_epoch())) + " s";
 }
 
-/// INV-1: within one life of an engine, one position of one epoch has one content.
+/// INV-1: within one incarnation of an engine, each sequence number of an epoch has one content.
 void requireNoConflict(const emulation::EngineLedger& ledger) {
   using Position = std::tuple<std::uint64_t, common::Epoch, std::uint64_t>;
   std::map<Position, engines::OrderContent> contents;
@@ -129,7 +129,7 @@
   }
 }
 
-/// INV-3: what takes effect comes from ever higher epochs, also over an engine's restarts.
+/// INV-3: the epochs of accepted orders never decrease, even over restarts of the engine.
 void requireMonotonicEpochs(const emulation::EngineLedger& ledger) {
   common::Epoch highest;
   for (const auto& entry : ledger.orders) {
@@ -194,7 +194,7 @@
       }
       RC_ASSERT(fleet.openRequests() == 0U);
       const auto wrong = pins.enginesWithWrongRole(0);
-      RC_LOG() << "not as pinned: " << (wrong.empty() ? "none" : wrong.front()) << '\n';
+      RC_LOG() << "role differs from the pin: " << (wrong.empty() ? "none" : wrong.front()) << '\n';
       RC_ASSERT(wrong.empty());
       requireNothingLeftDraining(fleet);
       faults.merge(fleet.faults());
@@ -202,7 +202,7 @@
     });
     std::cout << "\nINV-1, INV-2, INV-3: " << orders.received << " orders received, "
               << orders.accepted << " accepted, " << orders.refused_stale << " of a lower epoch, "
-              << orders.refused_for_earlier_incarnation << " for an earlier life, "
+              << orders.refused_for_earlier_incarnation << " for an earlier incarnation, "
               << orders.role_changes << " role changes; " << requests.summary()
               << "; faults: " << faults.summary() << std::endl;
     CPPUNIT_ASSERT(orders.role_changes > 0);
--- a/tests/properties/replay/replay_test.cpp
+++ b/tests/properties/replay/replay_test.cpp
@@ -1,5 +1,5 @@
-/// One seed replays a run of a whole fleet exactly; also measures how fast a fleet of Portavia's
-/// size is simulated, and prints it.
+/// The same seed replays a run of a whole fleet exactly. Also measures and prints the simulation
+/// speed for a fleet of Portavia's size.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <ctime>
@@ -25,7 +25,7 @@
   return bounds;
 }
 
-/// \return the digest of everything that happened in the run.
+/// \return the digest of all events of the run.
 std::uint64_t digestOf(const GeneratedRun& run) {
   simulation::FleetSettings settings;
   settings.topology = run.topology;
@@ -55,7 +55,7 @@
     });
   }
 
-  /// 4 zones of 3 nodes and 3 engines, one model request a second, for ten minutes.
+  /// 4 zones of 3 nodes and 3 engines, one model request per second, for ten minutes.
   void reportsSimulationSpeedAtPortaviaSize() {
     constexpr common::Duration kSimulated = std::chrono::minutes(10);
     constexpr double kSecondsPerHour = 3600;
--- a/tests/properties/stopping/planned_stop_test.cpp
+++ b/tests/properties/stopping/planned_stop_test.cpp
@@ -1,5 +1,5 @@
-/// INV-8: a planned stop of any node cuts no request. Also with the store down, and with several
-/// nodes stopped at a time.
+/// INV-8: a planned stop of any node cuts no request, even with the store down or several nodes
+/// stopping at the same time.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -38,7 +38,7 @@
   }
 }
 
-/// A request either was taken and has its whole answer, or was refused as not run.
+/// Requires that a request either has its complete answer or was refused as not run.
 void requireCompleteOrNotRun(const CallerRecord& record) {
   RC_LOG() << record.request_id << " at " << record.node.toString() << ": result "
            << static_cast<int>(record.result) << ", " << toString(record.error.outcome) << ", "
--- a/tests/properties/support/bookings.cpp
+++ b/tests/properties/support/bookings.cpp
@@ -12,7 +12,7 @@
 using simulation::CallerRecord;
 using simulation::CallerResult;
 
-/// What became of all requests with one key.
+/// Results of all requests with one key.
 struct KeyHistory {
   std::uint32_t done = 0;
   bool all_not_run = true;
--- a/tests/properties/support/generators.cpp
+++ b/tests/properties/support/generators.cpp
@@ -49,7 +49,7 @@
 }
 
 rc::Gen<GeneratedRun> runs(const RunBounds& bounds) {
-  // The elements take their full range whatever the size; the size only bounds their number.
+  // Elements use their full range at any size; the size only bounds their number.
   const auto element = rc::gen::resize(rc::kNominalSize, faults(bounds));
   const auto schedule =
       rc::gen::resize(static_cast<int>(bounds.maximum_faults),
--- a/tests/properties/support/generators.h
+++ b/tests/properties/support/generators.h
@@ -1,5 +1,5 @@
-/// RapidCheck generators of whole runs: topology, seed and fault schedule. A counterexample shrinks
-/// to fewer faults, then to earlier and shorter ones.
+/// RapidCheck generators of complete runs: topology, seed and fault schedule. Counterexamples
+/// shrink to fewer faults, then to earlier and shorter ones.
 #pragma once
 
 #include <rapidcheck.h>
@@ -12,7 +12,7 @@
 
 namespace cypresswall::testing {
 
-/// The bounds of generated runs of one property.
+/// Bounds of the generated runs of a property.
 struct RunBounds {
   std::vector<simulation::FaultAction> actions;
   std::uint32_t minimum_zones = 1;
@@ -22,7 +22,7 @@
   std::uint32_t minimum_engines = 1;
   std::uint32_t maximum_engines = 3;
   std::uint32_t maximum_faults = 8;
-  /// Faults begin within this time.
+  /// Time within which faults begin.
   common::Duration faults_within = std::chrono::seconds(20);
   common::Duration longest_fault = std::chrono::seconds(8);
 };
--- a/tests/properties/support/workload.h
+++ b/tests/properties/support/workload.h
@@ -1,4 +1,4 @@
-/// Requests of callers over a while, at random nodes of a fleet.
+/// Model requests of callers at random times and nodes of a fleet.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
   std::uint32_t longest_answer = 120;
 };
 
-/// Plans all requests of a workload, counted from now.
+/// Schedules all requests of a workload from now on.
 void planRequests(simulation::SimulatedFleet& fleet, const ModelWorkload& workload);
 
-/// How the requests of a run ended.
+/// Number of requests by result.
 struct RequestTally {
   std::uint64_t done = 0;
   std::uint64_t errors = 0;
--- a/tests/scripts/ablation_test.sh
+++ b/tests/scripts/ablation_test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tests scripts/ablation.sh with days that are made up: the daemon takes each template's settings,
-# the table shows what was played, and a run that was broken off goes on.
+# Tests scripts/ablation.sh with a fake day command: the daemon accepts the settings of each
+# template, the table shows the days that were run, and an interrupted run resumes.
 # usage: ablation_test.sh SOURCE_DIR DAEMON
 set -euo pipefail
 source_dir=$1
@@ -14,8 +14,8 @@
   exit 1
 }
 
-# Plays a made-up day: it is worth 0.5 on day "a" and 0.7 on day "b", less 0.1 and 0.3 without
-# learnt prompt speeds. Day "b" fails while a file "broken" is there.
+# Fake day command: prints a worth of 0.5 for day "a" and 0.7 for day "b", less 0.1 and 0.3 without
+# learnt prompt speeds. Day "b" fails while the file "broken" exists.
 playMadeUpDay() {
   sed -e 's/{{seeds}}//; s/{{region}}/dobrogea/; s/{{node_name}}/m1/; s/{{limits.link_mbps}}/1000/' \
     -e 's/{{listen_addrs.control}}/127.0.1.1:7000/; s/{{listen_addrs.front}}/127.0.1.1:8080/' \
@@ -49,13 +49,13 @@
 expectPlayed() {
   local played
   played=$(wc -l <"$scratch/played")
-  [ "$played" -eq "$1" ] || fail "$played days were played, $1 expected"
+  [ "$played" -eq "$1" ] || fail "$played days were run, $1 expected"
 }
 
-# Every switch of the settings page, once, and nothing else.
+# The templates cover every switch of the settings page exactly once.
 ablation a >"$scratch/table"
 switches=$(grep -c '| switch |' "$source_dir/docs/settings.md")
-[ "$switches" -ge 10 ] || fail "only $switches switches on the page"
+[ "$switches" -ge 10 ] || fail "only $switches switches on the settings page"
 expectPlayed $((4 * (switches + 1)))
 expectRow '| none | 4 | 0.500 | | |'
 expectRow '| mechanisms.learnt_prompt_speeds | 4 | 0.400 | -0.100 | 0.000 |'
@@ -63,12 +63,12 @@
 [ "$(grep -c ': off$' "$scratch/out/planning.automatic_roles.template")" -eq 1 ] || fail "not off once"
 grep -q 'automatic_roles: on' "$scratch/out/planning.automatic_roles.template" && fail "on and off"
 
-# Days that fail are named, left out, and played by the next run, which plays nothing else.
+# Failed days are reported, left out, and run again by the next run, which runs no other day.
 : >"$scratch/played"
 touch "$scratch/broken"
-ablation a,b mechanisms.learnt_prompt_speeds >"$scratch/table" 2>"$scratch/errors" && fail "no error told"
+ablation a,b mechanisms.learnt_prompt_speeds >"$scratch/table" 2>"$scratch/errors" && fail "no failure reported"
 expectPlayed 8
-grep -Fqx 'not played: without none, one.toml, b, seed 1' "$scratch/errors" || fail "no day named"
+grep -Fqx 'not played: without none, one.toml, b, seed 1' "$scratch/errors" || fail "failed day not reported"
 expectRow '| mechanisms.learnt_prompt_speeds | 4 | 0.400 | -0.100 | 0.000 |'
 rm "$scratch/broken"
 ablation a,b mechanisms.learnt_prompt_speeds >"$scratch/table"
--- a/tests/soak/fault_plan.cpp
+++ b/tests/soak/fault_plan.cpp
@@ -14,7 +14,7 @@
   return kind >= FaultKind::kStoreDown && kind <= FaultKind::kStoreAnswerLost;
 }
 
-/// \return 0 for nodes, 1 for the store, 2 for engines; faults of one group never overlap
+/// \return 0 for nodes, 1 for the store, 2 for engines; faults of the same group never overlap
 int groupOf(FaultKind kind) { return affectsNode(kind) ? 0 : affectsStore(kind) ? 1 : 2; }
 
 }  // namespace
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -1,4 +1,4 @@
-/// Which faults a round of the soak brings about, and when. One seed gives one plan.
+/// Faults of one soak round and their timing. The same seed gives the same plan.
 #pragma once
 
 #include <array>
@@ -37,16 +37,16 @@
 
 struct PlannedFault {
   FaultKind kind = FaultKind::kNodeKilled;
-  /// Node or engine that it strikes; no meaning for the store.
+  /// Index of the node or engine; not used for store faults.
   std::size_t target = 0;
   std::chrono::milliseconds duration{0};
-  /// Load without a new fault afterwards.
+  /// Time under load without faults after this one.
   std::chrono::milliseconds pause_after{0};
   /// The next fault begins before this one ends.
   bool overlaps_next = false;
 };
 
-/// \return the faults of one round, in their order
+/// \return the faults of one round, in order
 std::vector<PlannedFault> planFaults(std::uint64_t seed, std::size_t count, std::size_t nodes,
                                      std::size_t engines);
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,5 +1,5 @@
-/// The soak: rounds of fresh seeds for some minutes, with a ledger at the end. Exit code 1 if a
-/// promise did not hold; the seed of such a round belongs into regressions.txt, with its cause.
+/// Soak test: runs rounds with new random seeds for some minutes and prints a summary. Exits with 1
+/// if an invariant was violated; add the seed of such a round to regressions.txt, with its cause.
 #include <gflags/gflags.h>
 
 #include <chrono>
@@ -8,8 +8,8 @@
 
 #include "tests/soak/soak_round.h"
 
-DEFINE_int64(minutes, 3, "begin rounds for so many minutes; ignored with --seed");
-DEFINE_uint64(seed, 0, "play the one round of this seed; zero for rounds of fresh seeds");
+DEFINE_int64(minutes, 3, "minutes in which new rounds are started; ignored with --seed");
+DEFINE_uint64(seed, 0, "run only the round of this seed; zero for rounds with random seeds");
 DEFINE_uint64(faults, 8, "faults in a round; a seed gives the same plan only with the same number");
 
 namespace {
@@ -19,7 +19,7 @@
 using cypresswall::testing::SoakResult;
 using cypresswall::testing::SoakRound;
 
-/// Sums over all rounds.
+/// Totals over all rounds.
 struct Ledger {
   std::uint64_t rounds = 0;
   std::uint64_t whole = 0;
--- a/tests/soak/soak_round.cpp
+++ b/tests/soak/soak_round.cpp
@@ -38,7 +38,7 @@
 }  // namespace
 
 std::string SoakRound::throughProxy(const std::string& target) {
-  // One host of the loopback further on, with the same port.
+  // The proxy listens on a higher loopback host, on the same port.
   const auto colon = target.rfind(':');
   const auto dot = target.rfind('.');
   constexpr int kProxyHosts = 20;
--- a/tests/soak/soak_round.h
+++ b/tests/soak/soak_round.h
@@ -1,5 +1,5 @@
-/// One round of the soak: a fleet of real processes under load, struck by the faults of one seed,
-/// and what callers, engines, the service and the operators saw of it.
+/// One soak round: a fleet of real processes under load with the faults of one seed, checked from
+/// the view of callers, engines, the HTTP service and operators.
 #pragma once
 
 #include <array>
@@ -20,7 +20,7 @@
   std::array<std::uint64_t, kFaultKinds> faults{};
   std::uint64_t changes_accepted = 0;
   std::uint64_t changes_checked = 0;
-  /// Promises that did not hold, among them those of the load.
+  /// Violated invariants, including those found by the workload.
   std::vector<std::string> violations;
 };
 
@@ -31,20 +31,20 @@
 
   explicit SoakRound(std::vector<PlannedFault> plan) : plan_(std::move(plan)) {}
 
-  /// Starts the fleet, carries the plan out, heals everything and checks.
+  /// Starts the fleet, injects and clears the planned faults, and checks the invariants.
   SoakResult run();
 
  private:
   std::string throughProxy(const std::string& target);
   void injectFault(const PlannedFault& fault);
   void clearFault(const PlannedFault& fault);
-  /// Asks for a change of the configuration; an accepted one has to last.
+  /// Submits a configuration change; checkAcceptedChanges() requires that an accepted one persists.
   void submitChange(std::size_t number);
   void checkAcceptedChanges();
   TcpProxy& proxyOf(const PlannedFault& fault);
 
   std::vector<PlannedFault> plan_;
-  /// Of the store, then of each engine.
+  /// Proxy of the store, then one for each engine.
   std::vector<std::unique_ptr<TcpProxy>> proxies_;
   std::unique_ptr<TestFleet> fleet_;
   std::vector<std::string> accepted_;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,4 +1,4 @@
-/// Replays of the soak's seeds that once failed, and what a plan promises.
+/// Replays soak rounds that failed before, and tests the fault plan.
 #include <fstream>
 #include <sstream>
 
@@ -33,7 +33,7 @@
     }
   }
 
-  /// Lines of regressions.txt: a seed, the number of faults, and the cause of its failure.
+  /// Each line of regressions.txt has a seed, the number of faults, and the cause of the failure.
   void regressionSeedsPass() {
     std::ifstream file(CYPRESSWALL_SOAK_REGRESSIONS);
     CPPUNIT_ASSERT(file.good());
--- a/tests/soak/tcp_proxy.cpp
+++ b/tests/soak/tcp_proxy.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-/// One connection through the proxy.
+/// One proxied connection.
 class TcpProxy::Link : public std::enable_shared_from_this<Link> {
  public:
   Link(TcpProxy& proxy, tcp::socket caller)
@@ -100,7 +100,7 @@
                         }
                       });
   }
-  /// One end closed: so does the other, after all that was read has been written.
+  /// One peer closed its connection: closes the other too, after all bytes read were written.
   void close() {
     asio::error_code ignored;
     to_target_.from.close(ignored);
--- a/tests/soak/tcp_proxy.h
+++ b/tests/soak/tcp_proxy.h
@@ -1,5 +1,5 @@
-/// A proxy between two processes on loopback that harms what passes through it: it delays bytes,
-/// drops what goes one way or both, and resets connections.
+/// A fault-injecting proxy between two processes on loopback: it delays bytes, drops bytes in one
+/// direction or both, and resets connections.
 #pragma once
 
 #include <asio.hpp>
@@ -12,11 +12,11 @@
 
 namespace cypresswall::testing {
 
-/// What a proxy does to bytes that pass. A dropped byte ends its connection when the harm is over:
-/// as in TCP, nothing arrives with a gap.
+/// Faults that a proxy injects. A connection that lost bytes is reset when the fault is cleared,
+/// since TCP never delivers a stream with a gap.
 struct ProxyFaults {
   std::chrono::milliseconds delay{0};
-  /// From whoever connected to the target.
+  /// Drops bytes from the connecting side to the target.
   bool drop_requests = false;
   bool drop_answers = false;
 };
@@ -30,7 +30,7 @@
   TcpProxy& operator=(const TcpProxy&) = delete;
 
   const std::string& address() const { return address_; }
-  /// Sets what is done to bytes from now on; without any harm, connections that lost bytes are
+  /// Sets the faults from now on. If no bytes are dropped any more, connections that lost bytes are
   /// reset.
   void setFaults(const ProxyFaults& faults);
   /// Resets every open connection.
--- a/tests/standins/examples_test.cpp
+++ b/tests/standins/examples_test.cpp
@@ -1,4 +1,4 @@
-// The example fleets can be applied and hold the deployments' real numbers.
+// The example fleets can be applied and match the sizes of the real deployments.
 #include <fstream>
 #include <sstream>
 #include <string>
--- a/tests/standins/recording_responder.h
+++ b/tests/standins/recording_responder.h
@@ -1,4 +1,4 @@
-/// A Responder that keeps what a front answers, so that fronts are tested without sockets.
+/// A Responder that records the answer of an HTTP front end, for tests without sockets.
 #pragma once
 
 #include <functional>
@@ -39,11 +39,11 @@
   std::string body;
   bool complete = false;
   bool aborted = false;
-  /// Plays the caller that goes away.
+  /// Simulates that the caller closes the connection.
   std::function<void()> close;
 };
 
-/// Sends one request to a front and gives its responder.
+/// Sends one request to a front end. \return its responder
 template <typename Front>
 std::shared_ptr<RecordingResponder> ask(Front& front, const std::string& method,
                                         const std::string& path, const std::string& body = "",
--- a/tests/support/engine_world.h
+++ b/tests/support/engine_world.h
@@ -17,21 +17,21 @@
 
 namespace cypresswall::testing {
 
-/// One engine whose reports a test sets.
+/// One engine whose load reports and cache events the test sets.
 struct ScriptedEngine {
   engines::EngineLoad load;
   std::vector<engines::CacheEvent> events;
-  /// The engine begins with all that it holds, leaves out changes of no use and tells gaps itself.
+  /// The engine lists its whole cache first, omits irrelevant changes and reports gaps itself.
   bool lists_cache = false;
   bool reachable = true;
-  /// Questions for its load that get no answer, though it runs.
+  /// Number of load reads that get no answer although the engine is running.
   std::uint32_t load_reads_to_drop = 0;
   std::uint64_t load_reads = 0;
 };
 
 using ScriptedEngines = std::map<common::Address, ScriptedEngine>;
 
-/// Answers reads of load and cache events a millisecond later; streams and orders go nowhere.
+/// Answers reads of load and cache events after a millisecond; ignores streams and orders.
 class ScriptedEngineClient final : public engines::EngineClient {
  public:
   ScriptedEngineClient(simulation::SimulatedProcess& process, ScriptedEngines& engines)
@@ -94,7 +94,7 @@
   ScriptedEngines& engines_;
 };
 
-/// Holds whatever configuration the test sets.
+/// A configuration set by the test.
 class SettableConfiguration final : public configuration::ConfigurationView {
  public:
   std::shared_ptr<const configuration::FleetConfiguration> current() const override {
@@ -117,7 +117,7 @@
   std::vector<std::function<void(const configuration::FleetConfiguration&)>> listeners_;
 };
 
-/// Holds whatever members the test sets.
+/// Members set by the test.
 class SettableMembership final : public membership::MembershipView {
  public:
   SettableMembership(common::NodeId self, common::ZoneName zone)
@@ -144,7 +144,7 @@
         topic == membership::DigestTopic::kLinkMegabits && links != link_megabits_.end();
     return known ? std::optional(links->second) : std::nullopt;
   }
-  /// The node's build doesn't tell which messages it handles.
+  /// Simulates a node with an earlier build, which doesn't announce the messages that it handles.
   void setCapabilitiesUnknown(const common::NodeId& node) {
     nodes_without_capabilities_.insert(node);
   }
@@ -191,7 +191,7 @@
   std::set<common::NodeId> nodes_without_capabilities_;
 };
 
-/// \return an idle engine's report with plain speeds.
+/// \return the load report of an idle engine with typical speeds.
 inline engines::EngineLoad idleLoad(const common::ModelName& model, engines::EngineRole role) {
   engines::EngineLoad load;
   load.incarnation = 1;
@@ -206,7 +206,7 @@
   return load;
 }
 
-/// Declares an engine of zone "z" on a machine of its own ("machine-" before its name).
+/// Declares an engine in zone "z" on its own machine, named "machine-" plus the engine's name.
 inline void declareEngine(configuration::FleetConfiguration& fleet, const common::EngineName& name,
                           const common::ModelName& model) {
   configuration::EngineDeclaration engine;
--- a/tests/support/event_loop.h
+++ b/tests/support/event_loop.h
@@ -1,5 +1,5 @@
-/// Runs an Asio loop in a test until a condition holds. Tests wait on events: the time limit only
-/// bounds a run that would fail anyway.
+/// Runs an Asio event loop in a test until a condition holds. The time limit only bounds runs that
+/// fail.
 #pragma once
 
 #include <asio/io_context.hpp>
--- a/tests/support/main.cpp
+++ b/tests/support/main.cpp
@@ -1,5 +1,5 @@
-/// Runs every CppUnit suite registered in the program. The only argument, if given, is the path
-/// of one suite or test ("LeaseTest" or "LeaseTest::grantsOnce").
+/// Runs all CppUnit suites registered in the program. The optional argument is the path of one
+/// suite or test ("LeaseTest" or "LeaseTest::grantsOnce").
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/CompilerOutputter.h>
 #include <cppunit/TestResult.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// \return the full name of the first test at or below `test` that is named `wanted`, with or
-///   without its namespaces; empty if there is none.
+/// \return the full name of the first test at or below `test` whose name, with or without
+///   namespaces, is `wanted`; empty if there is none.
 std::string findFullName(const CppUnit::Test& test, const std::string& wanted) {
   std::string name = test.getName();
   const std::string ending = "::" + wanted;
--- a/tests/support/property.h
+++ b/tests/support/property.h
@@ -1,4 +1,4 @@
-/// Glue between RapidCheck and CppUnit: a falsified property fails the surrounding CppUnit test.
+/// Integration of RapidCheck with CppUnit: a falsified property fails the enclosing CppUnit test.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,10 +12,10 @@
 
 namespace cypresswall::testing {
 
-/// The fixed seed of every property, so that each run gives the same verdict.
+/// Fixed seed of all properties, so that every run gives the same result.
 inline constexpr std::uint64_t kPropertySeed = 20261202;
 
-/// If set, a counterexample is reported as found, without the time that shrinking takes.
+/// If set, counterexamples are reported without shrinking, which takes long.
 inline constexpr const char* kNoShrinkVariable = "CYPRESSWALL_NO_SHRINK";
 
 /// Checks `property` for `runs` generated cases from the fixed seed and fails the CppUnit test,
--- a/tests/support/routing_node.h
+++ b/tests/support/routing_node.h
@@ -1,7 +1,7 @@
-/// One node of a zone with its router, among other nodes and before engines whose caches are as
-/// full as after a minute of load. What it sends is encoded and counted, and goes nowhere; what
-/// peers and engines say is said by the test or benchmark. Its clock stands still unless run() is
-/// called.
+/// One node of a zone with its router, with other nodes as peers and engines whose caches are as
+/// full as after a minute of load. Messages that it sends are encoded, counted and discarded; the
+/// test or benchmark supplies the messages of peers and the reports of engines. Its clock advances
+/// only in run().
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 namespace cypresswall::testing {
 
-/// Encodes each message as a transport to other machines does.
+/// Encodes each message, as a network transport does, and discards it.
 class CountingTransport final : public api::PeerTransport {
  public:
   void send(api::Envelope envelope) override {
@@ -38,7 +38,7 @@
   void fetch(const common::ZoneName&, object_store::MachineListCallback) override {}
 };
 
-/// Passes all questions on, and counts those whose answer grows with the zone.
+/// Forwards all calls, and counts those whose result grows with the zone.
 class CountingMembership final : public membership::MembershipView {
  public:
   explicit CountingMembership(membership::Membership& membership) : membership_(membership) {}
@@ -111,8 +111,9 @@
     startPeerPrompts();
   }
 
-  /// A request with 17,020 prompt tokens in four named parts: two that all or many share, a text
-  /// of 429 that a third of the prompts of one kind share, and the caller's own.
+  /// A request with 17,020 prompt tokens in four named parts: one shared by all requests, one of 30
+  /// that many share, one of 429 texts that a third of the prompts of a kind share, and a unique
+  /// one.
   routing::RouteRequest longRequest() {
     constexpr std::array<std::uint32_t, 4> kEnds = {1000, 4000, 13300, 17020};
     constexpr std::array<std::uint64_t, 4> kVariants = {1, 30, 429, std::uint64_t{1} << 40U};
@@ -131,7 +132,7 @@
     return request;
   }
 
-  /// Routes the request, and gives it a whole answer at once.
+  /// Routes the request and completes its answer immediately.
   /// \return false if it was refused
   bool route(const routing::RouteRequest& request) {
     const routing::RouteChoice choice = router_->choose(request);
@@ -145,21 +146,21 @@
     return true;
   }
 
-  /// Takes in the report that this node read of an engine, with one stream more or less.
+  /// Applies this node's own read of an engine's load, with a changed number of streams.
   void takeReport(int number) {
     engines::EngineLoad& load = engines_[engineName(number) + ":1"].load;
     load.running_streams = (load.running_streams + 1) % load.maximum_streams;
     directory_->table().observe(slotOf(number), {load, now(), true}, now());
   }
 
-  /// The loads that all engines report from now on are others than before.
+  /// Changes the loads that all engines report from now on.
   void changeEngineLoads() {
     for (auto& [address, engine] : engines_) {
       engine.load.running_streams = (engine.load.running_streams + 8) % engine.load.maximum_streams;
     }
   }
 
-  /// \return what a peer publishes of one engine whose load changed
+  /// \return a peer's publication of one engine whose load changed
   api::Envelope publicationOf(int number) {
     engines::EngineLoad load = engines_[engineName(number) + ":1"].load;
     load.running_streams = static_cast<std::uint32_t>(random_.below(load.maximum_streams));
@@ -191,10 +192,10 @@
     notice.ended.push_back({engineName(number), prompt_number, true});
     return fromPeer(1, notice);
   }
-  /// The node receives a message.
+  /// Delivers a message to the node.
   void receive(const api::Envelope& envelope) { context_->dispatcher.dispatch(envelope); }
 
-  /// Heartbeats of all peers come in.
+  /// Delivers a heartbeat of every peer.
   void receiveAllHeartbeats() {
     for (int peer = 1; peer < size_; ++peer) {
       receivePeerHeartbeat(peer);
@@ -204,7 +205,8 @@
     receive(fromPeer(peer, membership::Heartbeat{1, membersHash(), 0, 0}));
   }
 
-  /// Time passes, in which all peers are heard of as often as they send heartbeats, and at once.
+  /// Advances the clock. Heartbeats of all peers arrive at once, at the start of each heartbeat
+  /// interval.
   void run(common::Duration time) {
     const common::Duration step = membership::MembershipSettings{}.heartbeat_interval;
     for (common::Duration passed{0}; passed < time; passed += step) {
@@ -213,7 +215,7 @@
     }
   }
 
-  /// This node watches at least the first engine.
+  /// The first engine is always one that this node polls.
   const common::EngineName& engineName(int number) const {
     return names_[static_cast<std::size_t>(number)];
   }
@@ -251,7 +253,7 @@
     }
   }
 
-  /// \return the hash that peers tell which see the same members
+  /// \return the hash announced by peers that have the same view of the membership
   std::uint32_t membersHash() {
     if (members_hash_ == 0) {
       std::uint64_t hash = membership::PeerTable::memberHash(context_->self, 1);
@@ -308,7 +310,7 @@
     }
   }
 
-  /// Two of five engines compute a peer's prompt.
+  /// Two in five engines are computing a peer's prompt.
   void startPeerPrompts() {
     constexpr int kInFive = 5;
     constexpr int kBusyInFive = 2;
@@ -328,15 +330,15 @@
     return request;
   }
 
-  /// \param ends tokens up to the end of each part
-  /// \param things how many different texts there are for each part
+  /// \param ends cumulative number of tokens at the end of each part
+  /// \param variants number of different texts for each part
   common::PromptShape shapeOf(const std::vector<std::uint32_t>& ends,
-                              const std::vector<std::uint64_t>& things) {
+                              const std::vector<std::uint64_t>& variants) {
     common::PromptShape shape;
     shape.tokens = ends.back();
     shape.piece_ends = ends;
     common::PieceHash before = ends.front();
-    for (const std::uint64_t count : things) {
+    for (const std::uint64_t count : variants) {
       before = common::hash64(std::to_string(random_.below(count)), before);
       shape.pieces.push_back(before);
     }
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -1,5 +1,5 @@
-/// A TCP server for client tests that reads one HTTP request per connection turn and answers with
-/// the raw bytes that the test scripted, so that broken and malformed answers can be given too.
+/// A TCP server for client tests that reads one HTTP request at a time per connection and answers
+/// with raw bytes scripted by the test, so that it can also give truncated and malformed answers.
 #pragma once
 
 #include <array>
@@ -16,15 +16,15 @@
 
 namespace cypresswall::testing {
 
-/// What the server does with one request.
+/// Reaction of the server to one request.
 struct ScriptedAnswer {
   /// Raw bytes, status line included.
   std::string bytes;
-  /// Ends the connection after the bytes.
+  /// Closes the connection after the bytes.
   bool close = false;
 };
 
-/// \return a whole HTTP answer with Content-Length.
+/// \return a complete HTTP answer with Content-Length.
 inline std::string httpAnswer(int status, const std::string& body,
                               const std::string& extra_headers = "") {
   return "HTTP/1.1 " + std::to_string(status) +
@@ -42,14 +42,14 @@
   std::string address() const {
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
-  /// The next request gets this answer; without an answer left the server stays silent.
+  /// Queues the answer to the next request; without a queued answer the server does not reply.
   void answer(std::string bytes, bool close = false) {
     answers_.push_back({std::move(bytes), close});
   }
   /// Requests received, each with its head and body.
   const std::vector<std::string>& requests() const { return requests_; }
   int connections() const { return connections_; }
-  /// Connections that the client ended.
+  /// Number of connections closed by the client.
   int closedByClient() const { return closed_by_client_; }
   /// Sends more bytes on the newest connection.
   void sendMore(const std::string& bytes) { asio::write(newest_->socket, asio::buffer(bytes)); }
--- a/tests/support/settings_template.h
+++ b/tests/support/settings_template.h
@@ -1,5 +1,5 @@
-/// Fills in a template of settings as the users' platform does, so that tests run nodes with the
-/// settings that are deployed.
+/// Renders a settings template as the users' platform does, so that tests run nodes with the
+/// deployed settings.
 #pragma once
 
 #include <fstream>
@@ -10,11 +10,11 @@
 
 namespace cypresswall::testing {
 
-/// Values by name; one that is missing leaves its place empty.
+/// Values by name; a missing value is rendered as an empty string.
 using TemplateValues = std::map<std::string, std::string>;
 
-/// Fills in `{{name}}`, and keeps `{{#name}} .. {{/name}}` where the name has a value. Sections
-/// hold no sections.
+/// Substitutes `{{name}}`, and keeps the section `{{#name}} .. {{/name}}` if the name has a value.
+/// Sections can't be nested.
 class SettingsTemplate {
  public:
   /// \throws std::runtime_error if the file can't be read
--- a/tests/support/virtual_world.cpp
+++ b/tests/support/virtual_world.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::testing {
 namespace {
 
-/// A late write takes effect at least this long after it was sent.
+/// Minimum delay between sending a late write and its effect.
 constexpr common::Duration kMinimumWriteDelay = std::chrono::seconds(1);
 
 constexpr common::Duration kStoreTimeLimit = std::chrono::milliseconds(500);
--- a/tests/support/virtual_world.h
+++ b/tests/support/virtual_world.h
@@ -1,6 +1,6 @@
-/// A small network of processes in virtual time for tests of single subsystems: message delay and
-/// loss, cuts, paused and ended processes, drifting clocks, a store and a machine list with faults.
-/// One seed gives one run.
+/// A small network of processes in virtual time for tests of single subsystems, with message delay
+/// and loss, partitions, paused and ended processes, clock drift, and faults of the store and the
+/// machine list. A run is determined by its seed.
 #pragma once
 
 #include <cstdint>
@@ -21,13 +21,13 @@
 
 class VirtualWorld;
 
-/// The platform's store with faults; shared by all processes of a world.
+/// The platform's store with faults, shared by all processes of a world.
 class VirtualStore {
  public:
   bool down = false;
-  /// Share of writes that take effect but whose answer is lost.
+  /// Fraction of writes that take effect but whose answer is lost.
   double lost_answers = 0;
-  /// Share of writes that get no answer and take effect seconds later, if their condition still
+  /// Fraction of writes that get no answer and take effect seconds later, if their condition still
   /// holds then.
   double late_writes = 0;
   std::map<std::string, object_store::StoredObject> objects;
@@ -35,7 +35,7 @@
   std::uint64_t answers_lost = 0;
   std::uint64_t late_effects = 0;
 
-  /// \return the object as written, or nothing if another version is there.
+  /// \return the object as written, or std::nullopt if the stored version is another.
   std::optional<object_store::StoredObject> write(const object_store::ObjectWrite& write);
 };
 
@@ -89,27 +89,27 @@
  public:
   explicit VirtualWorld(std::uint64_t seed) : random(seed) {}
 
-  /// Starts a process; one that runs at the same address ends first.
+  /// Starts a process; a running process at the same address is ended first.
   VirtualProcess& spawn(const common::NodeId& node, const common::ZoneName& zone,
                         double clock_rate = 1.0);
-  /// Ends a process; its memory and pending callbacks are gone.
+  /// Ends a process; its memory and pending callbacks are discarded.
   void kill(const common::Address& address);
-  /// Stops a process for `length`; what reaches it meanwhile is handled afterwards.
+  /// Pauses a process for `length`; messages that arrive meanwhile are handled afterwards.
   void pause(const common::Address& address, common::Duration length);
   bool running(const common::Address& address) const { return processes_.contains(address); }
   bool paused(const common::Address& address) const;
   VirtualProcess& process(const common::Address& address) const { return *processes_.at(address); }
 
-  /// Puts an address into a group; processes of different groups don't reach each other.
+  /// Assigns an address to a partition; processes in different groups can't reach each other.
   void setGroup(const common::Address& address, int group) { groups_[address] = group; }
   void healNetwork() { groups_.clear(); }
-  /// Whether a process reaches the platform: store and machine list.
+  /// Sets whether a process can reach the platform: store and machine list.
   void setStoreReachable(const common::Address& address, bool reachable);
 
   common::Duration now() const { return now_; }
   void runFor(common::Duration length) { runUntil(now_ + length); }
   void runUntil(common::Duration end);
-  /// Runs `callback` at a true time that no process's clock affects.
+  /// Runs `callback` at a true time, independent of the processes' clocks.
   void at(common::Duration time, std::function<void()> callback);
   /// Called with every message that a process sends.
   std::function<void(const api::Envelope&)> on_send;
@@ -130,7 +130,7 @@
  private:
   friend class VirtualProcess;
   struct Event {
-    /// Serial number of the process that it belongs to, zero for none.
+    /// Serial number of the owning process; zero for none.
     std::uint64_t owner = 0;
     common::Address address;
     std::function<void()> run;
