--- a/bench/load/load_request.h
+++ b/bench/load/load_request.h
@@ -14,14 +14,14 @@
 
 namespace cypresswall::bench {
 
-/// Where requests go and how they are put.
+/// The server under load and the format of requests to it.
 struct LoadTarget {
   /// "direct" or "gateway", for reports.
   std::string name;
   Dialect dialect = Dialect::kGateway;
-  /// Taken in turn.
+  /// Used round-robin.
   std::vector<common::Address> addresses;
-  /// What the engines serve; decides the expected answers.
+  /// Model, version and adapter that the engines serve; they determine the expected answers.
   common::ModelName model;
   std::string version;
   std::string adapter;
@@ -37,7 +37,7 @@
               LoadResult& result, std::function<void()> on_end);
 
   void start(runtime::CurlMulti& curl);
-  /// Ends the request at the end of a phase.
+  /// Cancels the request because its phase has ended.
   void abandon();
   std::uint64_t tokens() const { return tokens_; }
 
@@ -51,10 +51,10 @@
 
   runtime::CurlRequest makeRequest() const;
   std::string makeBody() const;
-  RequestEnd judge(const runtime::CurlResponse& response);
-  RequestEnd judgeFailure(const runtime::CurlResponse& response);
-  RequestEnd judgeStream(const runtime::CurlResponse& response);
-  void noteError(const std::string& message);
+  RequestEnd classify(const runtime::CurlResponse& response);
+  RequestEnd classifyFailure(const runtime::CurlResponse& response);
+  RequestEnd classifyStream(const runtime::CurlResponse& response);
+  void recordError(const std::string& message);
   void record(RequestEnd end);
 
   const LoadTarget& target_;
--- a/bench/simulate/offline_planner.cpp
+++ b/bench/simulate/offline_planner.cpp
@@ -6,8 +6,8 @@
 namespace cypresswall::bench {
 namespace {
 
-/// Drain and change of one engine.
-constexpr common::Duration kTimeAway = std::chrono::seconds(6);
+/// Time to drain one engine and change its role.
+constexpr common::Duration kRoleChangeTime = std::chrono::seconds(6);
 
 std::uint32_t changesBetween(const RoleCounts& from, const RoleCounts& to, std::uint32_t engines) {
   const auto gained = [](std::uint32_t before, std::uint32_t after) {
@@ -23,25 +23,25 @@
   return period.total();
 }
 
-/// Answers lost by the changes from one assignment to another at the start of a period.
-double switchCost(const Scenario& scenario, const TracedRoles& from, const TracedRoles& to,
-                  std::size_t period) {
+/// Cost, in answers, of changing from one assignment to another at the start of a period.
+double transitionCost(const Scenario& scenario, const EvaluatedAssignment& from,
+                      const EvaluatedAssignment& to, std::size_t period) {
   const ScenarioFleetSize& fleet = scenario.fleet;
   const double changes = fleet.zones * static_cast<double>(changesBetween(from.roles, to.roles,
                                                                           fleet.engines_per_zone));
-  // Of a zone's answers, those of an engine's share are lost while it is away.
+  // While an engine changes its role, its share of the answers is lost.
   const double engines = static_cast<double>(fleet.zones) * fleet.engines_per_zone;
   const double asked = static_cast<double>(sumOf(to.run.timeline[period]).asked);
-  const double lost = asked / engines * (kTimeAway / common::Duration{1}) /
+  const double lost = asked / engines * (kRoleChangeTime / common::Duration{1}) /
                       static_cast<double>(kTimelinePeriod / common::Duration{1});
   return changes * (scenario.planning.role_change_weight + lost);
 }
 
 }  // namespace
 
-std::vector<TracedRoles> traceRoles(const Scenario& scenario, std::uint64_t seed) {
+std::vector<EvaluatedAssignment> evaluateAssignments(const Scenario& scenario, std::uint64_t seed) {
   const std::uint32_t engines = scenario.fleet.engines_per_zone;
-  std::vector<TracedRoles> traced;
+  std::vector<EvaluatedAssignment> traced;
   for (std::uint32_t prefill = 0; prefill <= engines * 2 / 3; ++prefill) {
     for (const std::uint32_t decode : {0U, engines - prefill}) {
       if (prefill == 0 && decode > 0) {
@@ -55,9 +55,10 @@
 }
 
 std::vector<ScheduleEntry> bestSchedule(const Scenario& scenario,
-                                        const std::vector<TracedRoles>& traced) {
+                                        const std::vector<EvaluatedAssignment>& traced) {
   const std::size_t periods = traced.front().run.timeline.size();
-  // The best value of all that ends in an assignment, and the assignment before, by period.
+  // Dynamic programming: the best value that ends in each assignment, and by period the assignment
+  // before it.
   std::vector<double> value(traced.size(), 0);
   std::vector<std::vector<std::size_t>> before(periods);
   for (std::size_t period = 0; period < periods; ++period) {
@@ -68,7 +69,8 @@
         if (period == 0 && from != 0) {
           continue;
         }
-        const double reached = value[from] - switchCost(scenario, traced[from], traced[to], period);
+        const double reached =
+            value[from] - transitionCost(scenario, traced[from], traced[to], period);
         if (from == 0 || reached > next[to]) {
           next[to] = reached;
           before[period][to] = from;
@@ -85,9 +87,9 @@
     const std::size_t from = before[period][at];
     if (from != at) {
       const auto start = static_cast<std::int64_t>(period) * kTimelinePeriod;
-      // The changes are to be done when the period begins.
-      const auto lead = kTimeAway * changesBetween(traced[from].roles, traced[at].roles,
-                                                   scenario.fleet.engines_per_zone);
+      // Changes start early enough to be complete when the period begins.
+      const auto lead = kRoleChangeTime * changesBetween(traced[from].roles, traced[at].roles,
+                                                         scenario.fleet.engines_per_zone);
       schedule.push_back({std::max(common::Duration{0}, start - lead), traced[at].roles});
     }
     at = from;
--- a/standins/engine/main.cpp
+++ b/standins/engine/main.cpp
@@ -47,7 +47,7 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-/// Differs in each life of the process.
+/// \return a value that differs each time the process starts.
 std::uint64_t firstIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(since_epoch).count()) *
@@ -86,8 +86,8 @@
   return faults;
 }
 
-/// One engine with its front.
-struct HostedEngine {
+/// One engine with its HTTP front end.
+struct EngineInstance {
   std::unique_ptr<EmulatedEngine> engine;
   std::unique_ptr<cypresswall::standins::EngineFront> front;
 };
@@ -108,10 +108,10 @@
   common::SeededRandom random(FLAGS_seed);
   standins::HttpKvPeer kv_peer(curl, process.scheduler());
   standins::HttpWeightSource weights(FLAGS_platform, curl);
-  std::vector<HostedEngine> hosted;
+  std::vector<EngineInstance> hosted;
   for (const std::string& address : standins::splitList(FLAGS_addresses)) {
     settings.name = address;
-    HostedEngine host;
+    EngineInstance host;
     host.engine =
         std::make_unique<EmulatedEngine>(settings, process.clock(), process.scheduler(), random,
                                          FLAGS_platform.empty() ? nullptr : &weights, &kv_peer);
--- a/standins/fronts/engine_front.cpp
+++ b/standins/fronts/engine_front.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-/// One stream on its way to a caller as server-sent events.
+/// One stream sent to a caller as server-sent events.
 class EngineFront::StreamConnection final : public emulation::StreamObserver {
  public:
   StreamConnection(EngineFront& front, StreamKey key, ResponderPointer responder)
@@ -29,7 +29,7 @@
   void abort() { responder_->abort(); }
 
   void onToken(std::uint32_t index, const std::string& text) override {
-    // The emulated tokens hold no character that JSON escapes.
+    // Emulated tokens contain no characters that JSON escapes.
     std::string event;
     event.reserve(event_start_.size() + text.size() + 40);
     event += event_start_;
@@ -57,7 +57,7 @@
   }
 
  private:
-  /// Destroys this object; nothing may follow.
+  /// Destroys this object; must be the last call.
   void end() { front_.forget(StreamKey(key_)); }
 
   EngineFront& front_;
@@ -73,7 +73,7 @@
 }
 
 void EngineFront::handle(const http::Request& request, const ResponderPointer& responder) {
-  answering(responder, [&] { route(request, responder); });
+  respondingToErrors(responder, [&] { route(request, responder); });
 }
 
 void EngineFront::route(const http::Request& request, const ResponderPointer& responder) {
@@ -91,7 +91,7 @@
   } else if (request.method == "DELETE" && request.path.starts_with(kStreamPrefix)) {
     cancelStream(request, responder);
   } else if (call == "POST /v1/orders") {
-    takeOrder(request, responder);
+    handleOrder(request, responder);
   } else if (call == "GET /v1/load") {
     respondJson(*responder, 200, encodeLoad(*engine_.load()));
   } else if (call == "GET /v1/cache/events") {
@@ -147,7 +147,7 @@
   responder->respond(204, {}, "");
 }
 
-void EngineFront::takeOrder(const http::Request& request, const ResponderPointer& responder) {
+void EngineFront::handleOrder(const http::Request& request, const ResponderPointer& responder) {
   const engines::EngineOrder order = decodeOrder(parseObject(request.body));
   respondJson(*responder, 200, encodeReply(*engine_.handleOrder(order)));
 }
--- a/standins/fronts/engine_front.h
+++ b/standins/fronts/engine_front.h
@@ -1,4 +1,4 @@
-/// HTTP front of one emulated engine: the engine protocol of docs/protocols.md.
+/// HTTP front end of one emulated engine: the engine protocol of docs/protocols.md.
 #pragma once
 
 #include <map>
@@ -30,7 +30,7 @@
   void routeAdmin(const http::Request& request, const ResponderPointer& responder);
   void startStream(const http::Request& request, const ResponderPointer& responder);
   void cancelStream(const http::Request& request, const ResponderPointer& responder);
-  void takeOrder(const http::Request& request, const ResponderPointer& responder);
+  void handleOrder(const http::Request& request, const ResponderPointer& responder);
   void exportKv(const http::Request& request, const ResponderPointer& responder);
   void setFaults(const http::Request& request, const ResponderPointer& responder);
   void forget(const StreamKey& key) { connections_.erase(key); }
--- a/tests/bench/scenario_test.cpp
+++ b/tests/bench/scenario_test.cpp
@@ -25,9 +25,9 @@
 class ScenarioTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ScenarioTest);
   CPPUNIT_TEST(readsEveryShippedScenario);
-  CPPUNIT_TEST(ratesChangeEvenly);
+  CPPUNIT_TEST(ratesAreInterpolatedLinearly);
   CPPUNIT_TEST(errorsNameFileLineAndKey);
-  CPPUNIT_TEST(oneSeedGivesOneResult);
+  CPPUNIT_TEST(sameSeedGivesSameResult);
   CPPUNIT_TEST(timelineAddsUp);
   CPPUNIT_TEST(baselineRoutersServe);
   CPPUNIT_TEST(scheduleFollowsTheTrace);
@@ -44,7 +44,7 @@
     }
   }
 
-  void ratesChangeEvenly() {
+  void ratesAreInterpolatedLinearly() {
     const Scenario scenario = parseScenario(kSmall, "small.yaml");
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, scenario.rateAt("short", std::chrono::seconds(0)), 1e-9);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(10, scenario.rateAt("short", std::chrono::seconds(5)), 1e-9);
@@ -65,7 +65,7 @@
                  "small.yaml:9: load[1].at: must be later than the point before");
   }
 
-  void oneSeedGivesOneResult() {
+  void sameSeedGivesSameResult() {
     const Scenario scenario = parseScenario(kSmall, "small.yaml");
     const RolePolicy policy{"mixed", PlannerKind::kFixed, 0, 0};
     const RunOutcome first = runScenario(scenario, policy, 7);
@@ -100,7 +100,7 @@
     Scenario scenario = parseScenario(kSmall, "small.yaml");
     scenario.planning.role_change_weight = 1;
     const auto traced = [](RoleCounts roles, std::uint64_t first, std::uint64_t second) {
-      TracedRoles result{roles, {}};
+      EvaluatedAssignment result{roles, {}};
       for (const std::uint64_t in_time : {first, second}) {
         KindOutcome kind;
         kind.asked = 100;
@@ -109,7 +109,8 @@
       }
       return result;
     };
-    // The second period is worth a change of one engine, of about six answers; the first is not.
+    // Changing one engine costs about six answers: it pays in the second period but not in the
+    // first.
     const auto schedule = bestSchedule(scenario, {traced({0, 0}, 99, 50), traced({1, 0}, 98, 90)});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, schedule.size());
     CPPUNIT_ASSERT(schedule[0].at == std::chrono::seconds(54));
@@ -122,7 +123,7 @@
   }
 
  private:
-  /// Expects the error that the small scenario gives with `from` replaced by `to`.
+  /// Requires the expected error after `from` is replaced by `to` in the small scenario.
   static void requireError(const std::string& from, const std::string& to,
                            const std::string& message) {
     std::string text = kSmall;
--- a/tests/properties/answers/refusals_test.cpp
+++ b/tests/properties/answers/refusals_test.cpp
@@ -1,5 +1,5 @@
-/// INV-10: a request given up on gets its final answer at once, with a time to come back: under
-/// more load than the engines can take, while nodes fail that the request does not depend on.
+/// INV-10: a refused request gets its final answer immediately, with a Retry-After. Tested under
+/// overload of the engines, while nodes fail that the request does not depend on.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -24,12 +24,12 @@
 using std::chrono::seconds;
 
 constexpr int kRuns = 30;
-constexpr common::Duration kAskingTime = seconds(10);
-/// First-token limit that the fleet declares: no request is held for longer without a token.
+constexpr common::Duration kLoadDuration = seconds(10);
+/// Declared first-token limit: no request is kept waiting longer for its first token.
 constexpr common::Duration kFirstTokenLimit = seconds(3);
-/// From the request to its refusal, if no attempt was made; messages to other nodes take a few
-/// milliseconds each.
-constexpr common::Duration kAtOnce = milliseconds(100);
+/// Maximum time from a request to its refusal if no attempt was made; a message to another node
+/// takes a few milliseconds.
+constexpr common::Duration kRefusalTimeLimit = milliseconds(100);
 
 RunBounds refusalBounds() {
   RunBounds bounds;
@@ -37,12 +37,12 @@
   bounds.maximum_zones = 2;
   bounds.maximum_engines = 2;
   bounds.maximum_faults = 6;
-  bounds.faults_within = kAskingTime;
+  bounds.faults_within = kLoadDuration;
   return bounds;
 }
 
-/// A request that waits until its limit has passed counts as given up as well.
-bool givenUp(const CallerRecord& record) {
+/// A request that waited until its limit had passed counts too.
+bool rejectedOrExpired(const CallerRecord& record) {
   return record.result == CallerResult::kError &&
          (record.error.kind == ErrorKind::kOverloaded ||
           record.error.kind == ErrorKind::kDeadlineExceeded ||
@@ -50,7 +50,7 @@
           record.error.kind == ErrorKind::kDraining);
 }
 
-/// \return the attempts made for a request; nothing if its process has ended or forgotten it.
+/// \return the attempts of a request; std::nullopt if its process has ended or dropped the record.
 std::optional<std::vector<execution::AttemptRecord>> attemptsOf(
     const simulation::SimulatedFleet& fleet, const CallerRecord& record) {
   for (std::size_t index = 0; index < fleet.nodeCount(); ++index) {
@@ -84,25 +84,25 @@
       settings.topology = run.topology;
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.requests = 600, .within = kAskingTime});
+      planRequests(fleet, {.requests = 600, .within = kLoadDuration});
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kAskingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(seconds(60));
       RC_ASSERT(fleet.openRequests() == 0U);
       for (const CallerRecord& record : fleet.records()) {
-        if (!givenUp(record)) {
+        if (!rejectedOrExpired(record)) {
           continue;
         }
         const auto took = record.ended_at - record.asked_at;
         const auto attempts = attemptsOf(fleet, record);
         const bool never_sent = attempts && attempts->empty();
-        RC_LOG() << record.request_id << " given up after " << common::toSeconds(took)
+        RC_LOG() << record.request_id << " refused or expired after " << common::toSeconds(took)
                  << " s: " << record.error.message << '\n';
         RC_ASSERT(record.error.retry_after > common::Duration{0});
-        RC_ASSERT(record.tokens > 0U || took <= kFirstTokenLimit + kAtOnce);
-        RC_ASSERT(!never_sent || took <= kAtOnce);
+        RC_ASSERT(record.tokens > 0U || took <= kFirstTokenLimit + kRefusalTimeLimit);
+        RC_ASSERT(!never_sent || took <= kRefusalTimeLimit);
         longest = std::max(longest, never_sent ? took : common::Duration{0});
         ++(never_sent ? refused : after_attempts);
       }
@@ -110,8 +110,8 @@
       tally.add(fleet);
     });
     std::cout << "\nINV-10: " << tally.summary() << "; " << refused
-              << " given up without an attempt, longest " << common::toSeconds(longest) << " s, "
-              << after_attempts << " after one or not known; faults: " << faults.summary()
+              << " refused or expired without an attempt, longest " << common::toSeconds(longest)
+              << " s, " << after_attempts << " after one or not known; faults: " << faults.summary()
               << std::endl;
     CPPUNIT_ASSERT(tally.done > 0);
     CPPUNIT_ASSERT(refused > 10 * kRuns);
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -1,6 +1,7 @@
-/// INV-9: an accepted configuration is in force on every reachable zone within 7 s and never
-/// reverts; of racing operators one wins and the other is told; a lost answer is settled as what
-/// truly happened. With liveness: after the faults a change is accepted and in force everywhere.
+/// INV-9: an accepted configuration is in force in every reachable zone within 7 s and is never
+/// reverted; of two concurrent changes one succeeds and the other operator is informed; after a
+/// lost answer the actual outcome is reported. Liveness: after the faults a change is accepted and
+/// in force everywhere.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -23,9 +24,9 @@
 constexpr int kRuns = 60;
 constexpr std::uint32_t kChanges = 8;
 constexpr std::uint32_t kRaces = 3;
-constexpr common::Duration kWorkingTime = seconds(20);
+constexpr common::Duration kLoadDuration = seconds(20);
 constexpr common::Duration kInForceWithin = seconds(7);
-/// From the end of all faults until everything must work again.
+/// Time after the end of all faults in which the fleet must recover.
 constexpr common::Duration kRecoveryTime = seconds(30);
 
 RunBounds configurationBounds() {
@@ -40,7 +41,7 @@
   return bounds;
 }
 
-/// What one property's runs came to.
+/// Totals over the runs of one property.
 struct Tally {
   std::uint64_t accepted = 0;
   std::uint64_t refused = 0;
@@ -62,9 +63,9 @@
   }
 }
 
-/// What operators were told must match what is in force in the end.
-void requireToldTheTruth(const simulation::SimulatedFleet& fleet, const Operators& operators,
-                         Tally& tally) {
+/// The results reported to operators must match the configuration that is in force at the end.
+void requireReportedResultsMatch(const simulation::SimulatedFleet& fleet,
+                                 const Operators& operators, Tally& tally) {
   const auto configuration = fleet.slot(0).node->configuration().current();
   for (const OperatorChange& change : operators.changes()) {
     const bool in_force = configuration->tenants.contains(change.tenant);
@@ -130,10 +131,10 @@
       fleet.bringUp();
       ConfigurationHistory history(fleet);
       Operators operators(fleet);
-      operators.work(kChanges, kRaces, kWorkingTime);
+      operators.planChanges(kChanges, kRaces, kLoadDuration);
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kWorkingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(kRecoveryTime);
       for (const std::string& violation : history.violations()) {
@@ -141,7 +142,7 @@
       }
       requireRecovery(fleet, operators);
       requireRacesHaveOneWinner(operators);
-      requireToldTheTruth(fleet, operators, tally);
+      requireReportedResultsMatch(fleet, operators, tally);
       requireInForceInTime(operators, history, tally);
       faults.merge(fleet.faults());
     });
--- a/tests/properties/leaving/leaving_services_test.cpp
+++ b/tests/properties/leaving/leaving_services_test.cpp
@@ -1,5 +1,5 @@
-/// INV-7 beyond engines: 3 s after the machine list shows a machine as leaving, service back ends
-/// on it get no call, and our own nodes on it take no request.
+/// INV-7 for service back ends and nodes: from 3 s after the machine list shows a machine as
+/// leaving, back ends on it get no calls, and nodes on it accept no requests.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -20,8 +20,8 @@
 using std::chrono::seconds;
 
 constexpr int kRuns = 40;
-constexpr common::Duration kAskingTime = seconds(25);
-constexpr common::Duration kNoWorkAfter = seconds(3);
+constexpr common::Duration kLoadDuration = seconds(25);
+constexpr common::Duration kLeavingGracePeriod = seconds(3);
 
 RunBounds leavingServiceBounds() {
   RunBounds bounds;
@@ -50,8 +50,8 @@
     for (std::uint32_t zone = 0; zone < topology.zones; ++zone) {
       for (std::uint32_t number = 1; number < topology.backends_per_zone; ++number) {
         const auto address = simulation::backendAddress(zone, number);
-        leaveSometime(simulation::backendMachine(zone, number),
-                      [this, address] { calls_[address] = callsOf(fleet_, address); });
+        scheduleLeaving(simulation::backendMachine(zone, number),
+                        [this, address] { calls_[address] = callsOf(fleet_, address); });
       }
     }
   }
@@ -60,13 +60,13 @@
     for (std::uint32_t zone = 0; zone < topology.zones; ++zone) {
       for (std::uint32_t number = 2; number < topology.nodes_per_zone; ++number) {
         const auto address = simulation::nodeAddress(zone, number);
-        leaveSometime(simulation::nodeMachine(zone, number),
-                      [this, address] { no_work_from_[address] = fleet_.time().now(); });
+        scheduleLeaving(simulation::nodeMachine(zone, number),
+                        [this, address] { no_work_from_[address] = fleet_.time().now(); });
       }
     }
   }
 
-  /// \return calls that reached leaving back ends too late.
+  /// \return the number of calls that reached leaving back ends after the limit.
   std::uint64_t lateCalls() const {
     std::uint64_t late = 0;
     for (const auto& [address, calls] : calls_) {
@@ -74,7 +74,7 @@
     }
     return late;
   }
-  /// \return requests that leaving nodes took too late.
+  /// \return the number of requests that leaving nodes accepted after the limit.
   std::uint64_t lateRequests() const {
     std::uint64_t late = 0;
     for (const CallerRecord& record : fleet_.records()) {
@@ -96,22 +96,22 @@
 
  private:
   template <typename Callback>
-  void leaveSometime(const common::MachineName& machine, Callback&& work_over) {
+  void scheduleLeaving(const common::MachineName& machine, Callback&& work_over) {
     const auto lag = simulation::PlatformSettings{}.machine_list_lag;
-    const auto at = common::Duration(fleet_.simulation().random().below(kAskingTime.count()));
+    const auto at = common::Duration(fleet_.simulation().random().below(kLoadDuration.count()));
     fleet_.time().schedule(at, [this, machine] {
       fleet_.platform().setMachineState(machine, object_store::MachineState::kLeaving);
     });
-    fleet_.time().schedule(at + lag + kNoWorkAfter, std::forward<Callback>(work_over));
+    fleet_.time().schedule(at + lag + kLeavingGracePeriod, std::forward<Callback>(work_over));
   }
 
   simulation::SimulatedFleet& fleet_;
-  /// Calls that each leaving back end had got when it should get no more.
+  /// Calls received by each leaving back end at the time after which it must get no more.
   std::map<common::Address, std::uint64_t> calls_;
   std::map<common::Address, common::MonotonicTime> no_work_from_;
 };
 
-/// Plays one generated run; `plan` says which machines leave.
+/// Runs one generated case; `plan` selects the machines that leave.
 template <typename Plan>
 void playRun(Plan&& plan, simulation::FaultCounters& faults, RequestTally& tally) {
   const GeneratedRun run = *runs(leavingServiceBounds());
@@ -121,9 +121,9 @@
   simulation::SimulatedFleet fleet(run.seed, settings);
   fleet.bringUp();
   BookingWorkload workload;
-  workload.plain = 100;
-  workload.polls = 100;
-  workload.within = kAskingTime + seconds(10);
+  workload.bookings_without_key = 100;
+  workload.repeatable_calls = 100;
+  workload.within = kLoadDuration + seconds(10);
   planBookings(fleet, workload);
   LeavingMachines leaving(fleet);
   plan(leaving);
--- a/tests/properties/orders/fenced_orders_test.cpp
+++ b/tests/properties/orders/fenced_orders_test.cpp
@@ -1,7 +1,7 @@
 /// INV-1: an engine never receives conflicting orders. INV-2: a planned role change cuts no stream.
 /// INV-3: an order of a holder that lost its authority has no effect. Checked against the engines'
-/// own ledgers, with operators who race one another over the roles. With liveness: after the faults
-/// every engine is ready, takes work and has the role that was pinned last.
+/// own ledgers, with operators who change roles concurrently. Liveness: after the faults every
+/// engine is ready, accepts work and has the role that was pinned last.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <array>
@@ -23,7 +23,7 @@
 
 constexpr int kRuns = 40;
 constexpr std::uint32_t kRolePins = 10;
-constexpr common::Duration kWorkingTime = seconds(30);
+constexpr common::Duration kLoadDuration = seconds(30);
 constexpr common::Duration kRecoveryTime = seconds(60);
 
 RunBounds orderBounds() {
@@ -43,24 +43,24 @@
   bounds.minimum_engines = 2;
   bounds.maximum_engines = 3;
   bounds.maximum_faults = 10;
-  bounds.faults_within = kWorkingTime;
+  bounds.faults_within = kLoadDuration;
   return bounds;
 }
 
-/// Operators who pin engines to roles, at random nodes, sometimes two at a time.
+/// Operators who pin engines to roles at random nodes, sometimes two concurrently.
 class RolePins {
  public:
   explicit RolePins(simulation::SimulatedFleet& fleet) : fleet_(fleet) {}
 
   void plan() {
     for (std::uint32_t number = 0; number < kRolePins; ++number) {
-      const auto at = common::Duration(fleet_.simulation().random().below(kWorkingTime.count()));
+      const auto at = common::Duration(fleet_.simulation().random().below(kLoadDuration.count()));
       fleet_.time().schedule(at, [this] { pinAtTwoNodes(); });
     }
   }
 
-  /// \return engines that do not have the role that is pinned for them at node `index`.
-  std::vector<std::string> notAsPinned(std::size_t index) const {
+  /// \return engines whose role differs from the one pinned for them at node `index`.
+  std::vector<std::string> enginesWithWrongRole(std::size_t index) const {
     std::vector<std::string> wrong;
     const auto configuration = fleet_.slot(index).node->configuration().current();
     for (const auto& [name, pin] : configuration->engine_overrides) {
@@ -105,7 +105,7 @@
   std::uint64_t received = 0;
   std::uint64_t accepted = 0;
   std::uint64_t refused_stale = 0;
-  std::uint64_t refused_for_earlier_life = 0;
+  std::uint64_t refused_for_earlier_incarnation = 0;
   std::uint64_t role_changes = 0;
 };
 
@@ -116,7 +116,7 @@
          std::to_string(common::toSeconds(entry.at.time_since_epoch())) + " s";
 }
 
-/// INV-1: within one life of an engine, one position of one epoch has one content.
+/// INV-1: within one incarnation of an engine, each sequence number of an epoch has one content.
 void requireNoConflict(const emulation::EngineLedger& ledger) {
   using Position = std::tuple<std::uint64_t, common::Epoch, std::uint64_t>;
   std::map<Position, engines::OrderContent> contents;
@@ -129,8 +129,8 @@
   }
 }
 
-/// INV-3: what takes effect comes from ever higher epochs, also over an engine's restarts.
-void requireGrowingEpochs(const emulation::EngineLedger& ledger) {
+/// INV-3: the epochs of accepted orders never decrease, even over restarts of the engine.
+void requireMonotonicEpochs(const emulation::EngineLedger& ledger) {
   common::Epoch highest;
   for (const auto& entry : ledger.orders) {
     if (entry.verdict != engines::OrderVerdict::kAccepted) {
@@ -147,7 +147,7 @@
     ++tally.received;
     tally.accepted += entry.verdict == engines::OrderVerdict::kAccepted ? 1 : 0;
     tally.refused_stale += entry.verdict == engines::OrderVerdict::kStaleEpoch ? 1 : 0;
-    tally.refused_for_earlier_life +=
+    tally.refused_for_earlier_incarnation +=
         entry.verdict == engines::OrderVerdict::kWrongIncarnation ? 1 : 0;
   }
   tally.role_changes += ledger.role_changes;
@@ -178,23 +178,23 @@
       settings.topology = run.topology;
       simulation::SimulatedFleet fleet(run.seed, settings);
       fleet.bringUp();
-      planRequests(fleet, {.requests = 100, .within = kWorkingTime});
+      planRequests(fleet, {.requests = 100, .within = kLoadDuration});
       RolePins pins(fleet);
       pins.plan();
       simulation::FaultInjector player(fleet);
       player.play(run.faults);
-      fleet.time().runFor(kWorkingTime + seconds(10));
+      fleet.time().runFor(kLoadDuration + seconds(10));
       player.endAll();
       fleet.time().runFor(kRecoveryTime);
       for (const auto& [address, engine] : fleet.engines().all()) {
         requireNoConflict(engine->ledger());
-        requireGrowingEpochs(engine->ledger());
+        requireMonotonicEpochs(engine->ledger());
         RC_ASSERT(engine->ledger().streams_cut_by_order == 0U);
         addUp(orders, engine->ledger());
       }
       RC_ASSERT(fleet.openRequests() == 0U);
-      const auto wrong = pins.notAsPinned(0);
-      RC_LOG() << "not as pinned: " << (wrong.empty() ? "none" : wrong.front()) << '\n';
+      const auto wrong = pins.enginesWithWrongRole(0);
+      RC_LOG() << "role differs from the pin: " << (wrong.empty() ? "none" : wrong.front()) << '\n';
       RC_ASSERT(wrong.empty());
       requireNothingLeftDraining(fleet);
       faults.merge(fleet.faults());
@@ -202,9 +202,9 @@
     });
     std::cout << "\nINV-1, INV-2, INV-3: " << orders.received << " orders received, "
               << orders.accepted << " accepted, " << orders.refused_stale << " of a lower epoch, "
-              << orders.refused_for_earlier_life << " for an earlier life, " << orders.role_changes
-              << " role changes; " << requests.summary() << "; faults: " << faults.summary()
-              << std::endl;
+              << orders.refused_for_earlier_incarnation << " for an earlier incarnation, "
+              << orders.role_changes << " role changes; " << requests.summary()
+              << "; faults: " << faults.summary() << std::endl;
     CPPUNIT_ASSERT(orders.role_changes > 0);
     CPPUNIT_ASSERT(requests.done > requests.errors + requests.broken);
     CPPUNIT_ASSERT(faults.count(FaultKind::kKill) > 0);
--- a/tests/support/engine_world.h
+++ b/tests/support/engine_world.h
@@ -17,21 +17,21 @@
 
 namespace cypresswall::testing {
 
-/// One engine whose reports a test sets.
+/// One engine whose load reports and cache events the test sets.
 struct ScriptedEngine {
   engines::EngineLoad load;
   std::vector<engines::CacheEvent> events;
-  /// The engine begins with all that it holds, leaves out changes of no use and tells gaps itself.
+  /// The engine lists its whole cache first, omits irrelevant changes and reports gaps itself.
   bool lists_cache = false;
   bool reachable = true;
-  /// Questions for its load that get no answer, though it runs.
-  std::uint32_t questions_to_lose = 0;
+  /// Number of load reads that get no answer although the engine is running.
+  std::uint32_t load_reads_to_drop = 0;
   std::uint64_t load_reads = 0;
 };
 
 using ScriptedEngines = std::map<common::Address, ScriptedEngine>;
 
-/// Answers reads of load and cache events a millisecond later; streams and orders go nowhere.
+/// Answers reads of load and cache events after a millisecond; ignores streams and orders.
 class ScriptedEngineClient final : public engines::EngineClient {
  public:
   ScriptedEngineClient(simulation::SimulatedProcess& process, ScriptedEngines& engines)
@@ -48,8 +48,8 @@
                  engines::EngineCallback<engines::EngineLoad> callback) override {
     ScriptedEngine& engine = engines_[endpoint.address];
     ++engine.load_reads;
-    if (engine.questions_to_lose > 0) {
-      --engine.questions_to_lose;
+    if (engine.load_reads_to_drop > 0) {
+      --engine.load_reads_to_drop;
       ScriptedEngine lost;
       lost.reachable = false;
       answer(lost, engine.load, std::move(callback));
@@ -94,7 +94,7 @@
   ScriptedEngines& engines_;
 };
 
-/// Holds whatever configuration the test sets.
+/// A configuration set by the test.
 class SettableConfiguration final : public configuration::ConfigurationView {
  public:
   std::shared_ptr<const configuration::FleetConfiguration> current() const override {
@@ -117,7 +117,7 @@
   std::vector<std::function<void(const configuration::FleetConfiguration&)>> listeners_;
 };
 
-/// Holds whatever members the test sets.
+/// Members set by the test.
 class SettableMembership final : public membership::MembershipView {
  public:
   SettableMembership(common::NodeId self, common::ZoneName zone)
@@ -135,7 +135,7 @@
   std::optional<std::uint64_t> digest(const common::NodeId& node,
                                       membership::DigestTopic topic) const override {
     if (topic == membership::DigestTopic::kMessageSet) {
-      return earlier_builds_.contains(node)
+      return nodes_without_capabilities_.contains(node)
                  ? std::nullopt
                  : std::optional(static_cast<std::uint64_t>(api::kHandledMessages));
     }
@@ -144,8 +144,10 @@
         topic == membership::DigestTopic::kLinkMegabits && links != link_megabits_.end();
     return known ? std::optional(links->second) : std::nullopt;
   }
-  /// The node's build doesn't tell which messages it handles.
-  void setEarlierBuild(const common::NodeId& node) { earlier_builds_.insert(node); }
+  /// Simulates a node with an earlier build, which doesn't announce the messages that it handles.
+  void setCapabilitiesUnknown(const common::NodeId& node) {
+    nodes_without_capabilities_.insert(node);
+  }
   void setLinkMegabits(const common::NodeId& node, std::uint64_t megabits) {
     link_megabits_[node] = megabits;
   }
@@ -186,10 +188,10 @@
   std::set<common::MachineName> leaving_;
   std::vector<std::function<void()>> listeners_;
   std::map<common::NodeId, std::uint64_t> link_megabits_;
-  std::set<common::NodeId> earlier_builds_;
+  std::set<common::NodeId> nodes_without_capabilities_;
 };
 
-/// \return an idle engine's report with plain speeds.
+/// \return the load report of an idle engine with typical speeds.
 inline engines::EngineLoad idleLoad(const common::ModelName& model, engines::EngineRole role) {
   engines::EngineLoad load;
   load.incarnation = 1;
@@ -204,7 +206,7 @@
   return load;
 }
 
-/// Declares an engine of zone "z" on a machine of its own ("machine-" before its name).
+/// Declares an engine in zone "z" on its own machine, named "machine-" plus the engine's name.
 inline void declareEngine(configuration::FleetConfiguration& fleet, const common::EngineName& name,
                           const common::ModelName& model) {
   configuration::EngineDeclaration engine;
