--- a/apps/cypresswalld/daemon.cpp
+++ b/apps/cypresswalld/daemon.cpp
@@ -34,20 +34,20 @@
 }  // namespace
 
 Daemon::Daemon(settings::DaemonSettings settings, Reload reload,
-               const surroundings::PlatformAdapterFactory& make_surroundings)
+               const surroundings::PlatformAdapterFactory& make_platform_adapter)
     : settings_(std::move(settings)),
       reload_(std::move(reload)),
       random_(randomSeed()),
       log_(settings_.log_level),
       transport_(context_, settings_.transport, random_, log_, counters_),
       self_{transport_.listen(), newIncarnation()},
-      surroundings_(make_surroundings({settings_, processContext(), curl_})),
-      node_(settings_.node, processContext(), surroundings_->clients()),
-      front_(surroundings_->makeFrontend(node_)),
+      platform_adapter_(make_platform_adapter({settings_, processContext(), curl_})),
+      node_(settings_.node, processContext(), platform_adapter_->clients()),
+      frontend_(platform_adapter_->makeFrontend(node_)),
       signals_(context_, SIGTERM, SIGINT, SIGHUP) {
   log_.setProcess(self_.address, settings_.zone);
   applyReloadable(settings_);
-  front_->mount(routes_);
+  frontend_->mount(routes_);
   mountManagementPaths();
   startServers();
 }
@@ -61,9 +61,9 @@
 
 http::ServerSettings Daemon::serverSettings() {
   http::ServerSettings settings = settings_.server;
-  settings.rejection_headers = front_->rejectionHeaders();
+  settings.rejection_headers = frontend_->rejectionHeaders();
   settings.on_rejected = [this](const http::Rejection& rejection) {
-    front_->reportRejection(rejection);
+    frontend_->reportRejection(rejection);
   };
   return settings;
 }
@@ -112,7 +112,7 @@
       .field("machine", settings_.node.membership.machine)
       .field("region", settings_.node.membership.region);
   transport_.start(self_, dispatcher_);
-  surroundings_->start();
+  platform_adapter_->start();
   node_.start();
   waitForSignal();
   context_.run();
@@ -135,7 +135,7 @@
   } else if (!stopping_) {
     beginStop();
   } else {
-    LogEvent(log_, LogLevel::kWarning, "stop_forced").field("in_flight", front_->openRequests());
+    LogEvent(log_, LogLevel::kWarning, "stop_forced").field("in_flight", frontend_->openRequests());
     exit_code_ = kExitForced;
     context_.stop();
   }
@@ -158,7 +158,7 @@
 
 void Daemon::beginStop() {
   stopping_ = true;
-  LogEvent(log_, LogLevel::kInfo, "stop_began").field("in_flight", front_->openRequests());
+  LogEvent(log_, LogLevel::kInfo, "stop_began").field("in_flight", frontend_->openRequests());
   if (settings_.stop_lame_duck.count() > 0) {
     scheduler_.schedule(settings_.stop_lame_duck, [this] { stopNode(); });
   } else {
--- a/apps/cypresswalld/daemon.h
+++ b/apps/cypresswalld/daemon.h
@@ -28,7 +28,7 @@
 
   /// Listens on all addresses. \throws runtime::TransportError, http::ListenError
   Daemon(settings::DaemonSettings settings, Reload reload,
-         const surroundings::PlatformAdapterFactory& make_surroundings);
+         const surroundings::PlatformAdapterFactory& make_platform_adapter);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
@@ -69,9 +69,9 @@
   runtime::TcpPeerTransport transport_;
   common::NodeId self_;
   runtime::CurlMulti curl_{context_};
-  std::unique_ptr<surroundings::PlatformAdapter> surroundings_;
+  std::unique_ptr<surroundings::PlatformAdapter> platform_adapter_;
   node::Node node_;
-  std::unique_ptr<surroundings::Frontend> front_;
+  std::unique_ptr<surroundings::Frontend> frontend_;
   gateway::HttpRoutes routes_;
   gateway::HttpRoutes management_routes_;
   std::unique_ptr<http::Server> server_;
--- a/apps/cypresswalld/main.cpp
+++ b/apps/cypresswalld/main.cpp
@@ -14,7 +14,7 @@
 #include "cypresswall/settings/settings_flags.h"
 #include "cypresswall/settings/settings_loader.h"
 #include "cypresswall/surroundings/http_platform_adapter.h"
-#include "platform/objects_surroundings.h"
+#include "platform/objects_platform_adapter.h"
 
 DEFINE_string(settings, "", "settings file (YAML); flags go over it");
 DEFINE_bool(check_settings, false, "check the settings, print the verdict and exit");
@@ -49,15 +49,15 @@
   }
 }
 
-surroundings::PlatformAdapterFactory surroundingsOf(const settings::DaemonSettings& loaded) {
+surroundings::PlatformAdapterFactory selectPlatformAdapter(const settings::DaemonSettings& loaded) {
   return loaded.platform_protocol == settings::PlatformProtocol::kObjects
-             ? objects_platform::makeObjectsSurroundings
+             ? objects_platform::makeObjectsPlatformAdapter
              : surroundings::makeHttpPlatformAdapter;
 }
 
 int runDaemon(const settings::DaemonSettings& loaded) {
   try {
-    daemon::Daemon daemon(loaded, loadSettings, surroundingsOf(loaded));
+    daemon::Daemon daemon(loaded, loadSettings, selectPlatformAdapter(loaded));
     return daemon.run();
   } catch (const runtime::TransportError& error) {
     std::cerr << "cypresswalld: " << error.what() << "\n";
--- a/bench/decision_cost/planner_benchmark.cpp
+++ b/bench/decision_cost/planner_benchmark.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kModels = 12;
 
-planning::PlanningInput zoneUnderStrain(int engine_count) {
+planning::PlanningInput overloadedZone(int engine_count) {
   common::SeededRandom random(3);
   planning::PlanningInput input;
   for (int i = 0; i < engine_count; ++i) {
@@ -39,7 +39,7 @@
 }
 
 void plannerRound(benchmark::State& state) {
-  const planning::PlanningInput input = zoneUnderStrain(static_cast<int>(state.range(0)));
+  const planning::PlanningInput input = overloadedZone(static_cast<int>(state.range(0)));
   planning::RolePlanner planner({});
   for (auto _ : state) {
     benchmark::DoNotOptimize(planner.plan(input));
--- a/src/cypresswall/execution/execution_settings.h
+++ b/src/cypresswall/execution/execution_settings.h
@@ -53,7 +53,7 @@
   /// used. Must be far below the retention time of claims.
   common::Duration claim_use_limit = std::chrono::seconds(10);
   /// Finished requests kept for operator queries, separately for models and for services.
-  std::size_t kept_request_records = 1000;
+  std::size_t retained_request_records = 1000;
   /// Maximum size of the recorded answer of an operation with an idempotency key.
   std::size_t maximum_recorded_bytes = 16U << 10;
 };
--- a/src/cypresswall/execution/model_execution_core.h
+++ b/src/cypresswall/execution/model_execution_core.h
@@ -46,7 +46,7 @@
                      const configuration::ConfigurationView& configuration_view,
                      admission::AdmissionController& admission_controller,
                      routing::Router& request_router, engines::EngineClient& engine_client,
-                     fleet_limits::RetryBudgets& retry_accounts,
+                     fleet_limits::RetryBudgets& retry_budgets,
                      fleet_limits::RateLimiter& request_rate_limiter,
                      quarantine::RequestQuarantine& request_quarantine,
                      duties::UsageRecorder& usage_recorder,
--- a/src/cypresswall/execution/model_request.cpp
+++ b/src/cypresswall/execution/model_request.cpp
@@ -28,7 +28,7 @@
     target_.service.urgency = call_.urgency.value_or(target_.service.urgency);
   }
   if (target && checkPermitted()) {
-    account().recordRequest();
+    retryBudget().recordRequest();
     record_->model = target_.service.model;
     record_->prompt_tokens = target_.shape.tokens;
     record_->maximum_tokens = target_.maximum_tokens;
@@ -299,7 +299,7 @@
   return phase_ == engines::StreamPhase::kPrefillOnly ? *route_->prefill_engine : route_->engine;
 }
 
-fleet_limits::RetryBudget& ModelRequest::account() const {
+fleet_limits::RetryBudget& ModelRequest::retryBudget() const {
   return core_.retries.of(target_.service.backend_pool.empty() ? target_.service.model
                                                                : target_.service.backend_pool);
 }
--- a/src/cypresswall/execution/model_request.h
+++ b/src/cypresswall/execution/model_request.h
@@ -79,7 +79,7 @@
   void recordNotDelivered();
   /// \return true if an attempt with this failure counts as delivered to its engine
   bool countsAsDelivered(engines::StreamFailure failure) const;
-  fleet_limits::RetryBudget& account() const;
+  fleet_limits::RetryBudget& retryBudget() const;
   void scheduleAttempt(common::Duration delay);
   void scheduleStep(common::Duration delay, std::function<void()> step);
 
--- a/src/cypresswall/execution/model_request_recovery.cpp
+++ b/src/cypresswall/execution/model_request_recovery.cpp
@@ -61,7 +61,7 @@
 
 bool ModelRequest::retryAffordable() const {
   const bool repeatable = target_.service.repeatable || !attemptCountsAsRun();
-  return repeatable && runs_ + 1 < maximumRuns() && account().available() &&
+  return repeatable && runs_ + 1 < maximumRuns() && retryBudget().available() &&
          timeToFirstToken() > common::Duration{0};
 }
 
@@ -157,7 +157,7 @@
   if (repeats <= charged_repeats_) {
     return true;
   }
-  if (!account().withdraw(repeats - charged_repeats_)) {
+  if (!retryBudget().withdraw(repeats - charged_repeats_)) {
     core_.counters.retry_budget_exhausted.add();
     releaseRoute();
     giveUp(kind, message + "; the retry budget is spent", core_.settings.default_retry_after);
--- a/src/cypresswall/execution/request_journal.cpp
+++ b/src/cypresswall/execution/request_journal.cpp
@@ -16,7 +16,7 @@
   record->state = std::move(state);
   record->ended = now;
   ended_.push_back(record);
-  if (ended_.size() <= kept_ended_) {
+  if (ended_.size() <= maximum_ended_) {
     return;
   }
   const auto oldest = std::move(ended_.front());
--- a/src/cypresswall/execution/request_journal.h
+++ b/src/cypresswall/execution/request_journal.h
@@ -51,8 +51,8 @@
 /// Keeps all running requests and the most recently ended ones.
 class RequestJournal {
  public:
-  /// \param kept_ended number of ended requests to keep
-  explicit RequestJournal(std::size_t kept_ended) : kept_ended_(kept_ended) {}
+  /// \param maximum_ended number of ended requests to keep
+  explicit RequestJournal(std::size_t maximum_ended) : maximum_ended_(maximum_ended) {}
 
   /// \return the record, which the caller updates until end()
   std::shared_ptr<RequestRecord> begin(RequestRecord record);
@@ -64,7 +64,7 @@
   std::vector<std::shared_ptr<const RequestRecord>> running() const;
 
  private:
-  const std::size_t kept_ended_;
+  const std::size_t maximum_ended_;
   std::map<std::string, std::shared_ptr<RequestRecord>> records_;
   std::deque<std::shared_ptr<RequestRecord>> ended_;
 };
--- a/src/cypresswall/execution/service_execution_core.cpp
+++ b/src/cypresswall/execution/service_execution_core.cpp
@@ -48,7 +48,7 @@
       interfaces(service_interfaces),
       settings(execution_settings),
       counters(process_context.counters),
-      journal(execution_settings.kept_request_records),
+      journal(execution_settings.retained_request_records),
       ended_calls(process_context.scheduler) {}
 
 void ServiceExecutionCore::add(std::shared_ptr<ServiceRun> run) {
--- a/src/cypresswall/execution/service_run.cpp
+++ b/src/cypresswall/execution/service_run.cpp
@@ -47,7 +47,7 @@
   } else {
     service_ = declared->second;
     if (checkPermitted()) {
-      account().recordRequest();
+      retryBudget().recordRequest();
       beginIfAdmitted();
     }
   }
@@ -86,7 +86,7 @@
   }
 }
 
-fleet_limits::RetryBudget& ServiceRun::account() const {
+fleet_limits::RetryBudget& ServiceRun::retryBudget() const {
   return core_.interfaces.retries.of(service_.backend_pool.empty() ? service_.name
                                                                    : service_.backend_pool);
 }
@@ -229,7 +229,7 @@
 
 common::Duration ServiceRun::attemptTimeLimit(common::Duration remaining) const {
   const bool retry_possible = operation_.repeatable && service_.backends.size() > 1 &&
-                              runs_ + 1 < maximumRuns() && account().available();
+                              runs_ + 1 < maximumRuns() && retryBudget().available();
   return retry_possible ? remaining / kAttemptsPerRemainingTime : remaining;
 }
 
@@ -328,7 +328,7 @@
   if (runs_ >= maximumRuns() || deadline_ <= core_.process.clock.now()) {
     return false;
   }
-  if (!account().withdraw()) {
+  if (!retryBudget().withdraw()) {
     core_.counters.retry_budget_exhausted.add();
     return false;
   }
--- a/src/cypresswall/membership/membership.cpp
+++ b/src/cypresswall/membership/membership.cpp
@@ -175,7 +175,7 @@
 
 void Membership::receiveHeartbeat(const common::NodeId& sender, const Heartbeat& heartbeat) {
   const auto now = context_.clock.now();
-  const auto contact = peers_.heard(sender, now);
+  const auto contact = peers_.recordContact(sender, now);
   if (contact == PeerTable::Contact::kOutdated) {
     outdated_count_.add();
     return;
@@ -295,7 +295,7 @@
     return;
   }
   const auto now = context_.clock.now();
-  if (peers_.heard(sender, now) == PeerTable::Contact::kOutdated) {
+  if (peers_.recordContact(sender, now) == PeerTable::Contact::kOutdated) {
     outdated_count_.add();
     return;
   }
@@ -370,7 +370,7 @@
     if (departure.node == context_.self) {
       refute(departure.details_version);
       context_.sendTo(sender, Introduction{own_details_, false});
-    } else if (heardRecently(departure.node)) {
+    } else if (hadRecentContact(departure.node)) {
       // A departure is undone only by newer details, which the node itself has to send.
       context_.sendTo(departure.node, MembershipUpdate{{}, {departure}, false});
     } else {
@@ -382,10 +382,10 @@
   }
 }
 
-bool Membership::heardRecently(const common::NodeId& node) const {
+bool Membership::hadRecentContact(const common::NodeId& node) const {
   const Peer* const peer = peers_.find(node);
   return peer != nullptr && peer->watched &&
-         context_.clock.now() - peer->last_heard < settings_.heartbeat_interval * 2;
+         context_.clock.now() - peer->last_contact < settings_.heartbeat_interval * 2;
 }
 
 void Membership::enqueueUpdate(const common::NodeId& node) {
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -77,7 +77,7 @@
   void refute(std::uint32_t details_version);
 
   /// \return true if this node monitors the other and heard from it within two heartbeat intervals
-  bool heardRecently(const common::NodeId& node) const;
+  bool hadRecentContact(const common::NodeId& node) const;
 
   /// Queues a change to be forwarded after a short delay, in which further changes are batched.
   void enqueueUpdate(const common::NodeId& node);
--- a/src/cypresswall/membership/peer_table.cpp
+++ b/src/cypresswall/membership/peer_table.cpp
@@ -7,7 +7,7 @@
 
 namespace cypresswall::membership {
 
-PeerTable::Contact PeerTable::heard(const common::NodeId& node, common::MonotonicTime now) {
+PeerTable::Contact PeerTable::recordContact(const common::NodeId& node, common::MonotonicTime now) {
   auto& newest = newest_incarnation_[node.address];
   if (node.incarnation < newest) {
     return Contact::kOutdated;
@@ -17,7 +17,7 @@
   if (peer == nullptr) {
     return Contact::kUnknown;
   }
-  peer->last_heard = std::max(peer->last_heard, now);
+  peer->last_contact = std::max(peer->last_contact, now);
   return Contact::kKnown;
 }
 
@@ -83,7 +83,7 @@
   for (auto& [address, peer] : peers_) {
     const bool watched = wanted.contains(peer.node);
     if (watched && !peer.watched) {
-      peer.last_heard = now;
+      peer.last_contact = now;
     }
     if (!watched) {
       peer.state = MemberState::kAlive;
@@ -96,15 +96,15 @@
   std::vector<Departure> dead;
   for (auto it = peers_.begin(); it != peers_.end();) {
     Peer& peer = it->second;
-    const auto silence = peer.watched ? now - peer.last_heard : common::Duration{0};
-    if (silence >= settings_.dead_after || replaced(peer.node)) {
+    const auto since_contact = peer.watched ? now - peer.last_contact : common::Duration{0};
+    if (since_contact >= settings_.dead_after || replaced(peer.node)) {
       dead.push_back({peer.node, peer.details.version});
       it = erase(it, now);
       changed = true;
       continue;
     }
     const auto state =
-        silence >= settings_.suspect_after ? MemberState::kSuspect : MemberState::kAlive;
+        since_contact >= settings_.suspect_after ? MemberState::kSuspect : MemberState::kAlive;
     changed = changed || state != peer.state;
     peer.state = state;
     ++it;
@@ -121,7 +121,7 @@
 
 void PeerTable::extend(common::Duration pause) {
   for (auto& [address, peer] : peers_) {
-    peer.last_heard += pause;
+    peer.last_contact += pause;
   }
 }
 
--- a/src/cypresswall/membership/peer_table.h
+++ b/src/cypresswall/membership/peer_table.h
@@ -23,7 +23,7 @@
   MemberState state = MemberState::kAlive;
   /// This node monitors the peer's heartbeats and declares it dead if they stop.
   bool watched = false;
-  common::MonotonicTime last_heard;
+  common::MonotonicTime last_contact;
 };
 
 /// Holds at most one peer per address: the one with the highest incarnation.
@@ -34,7 +34,7 @@
   /// What the table knows of the sender of a message.
   enum class Contact { kKnown, kUnknown, kOutdated };
   /// Records a message from `node`. kUnknown: its details are needed before it becomes a peer.
-  Contact heard(const common::NodeId& node, common::MonotonicTime now);
+  Contact recordContact(const common::NodeId& node, common::MonotonicTime now);
 
   /// Result of applying a node's details.
   enum class DetailsResult {
--- a/src/cypresswall/membership/zone_gossip.cpp
+++ b/src/cypresswall/membership/zone_gossip.cpp
@@ -153,7 +153,8 @@
       entry.topic > settings_.maximum_gossip_topics) {
     return false;
   }
-  return last_heard_.contains(entry.zone) || last_heard_.size() < settings_.maximum_gossip_zones;
+  return last_contact_.contains(entry.zone) ||
+         last_contact_.size() < settings_.maximum_gossip_zones;
 }
 
 void ZoneGossip::store(const GossipEntry& entry, const common::ZoneName& source, bool to_peers) {
@@ -166,7 +167,7 @@
   if (entry.version <= value.version) {
     return;
   }
-  last_heard_[entry.zone] = context_.clock.now();
+  last_contact_[entry.zone] = context_.clock.now();
   const bool refresh = value.version != 0 && value.payload == entry.payload;
   value = Value{entry.version, entry.payload, source};
   Outbox& outbox = refresh ? refreshes_ : changes_;
@@ -389,8 +390,8 @@
   }
   const auto now = context_.clock.now();
   for (auto& [zone, candidate] : zones) {
-    const auto heard = last_heard_.find(zone);
-    const auto since = heard == last_heard_.end() ? start_time_ : heard->second;
+    const auto heard = last_contact_.find(zone);
+    const auto since = heard == last_contact_.end() ? start_time_ : heard->second;
     candidate.heard = now - since < settings_.zone_silent_after;
   }
   zones[context_.zone] = LinkCandidate{settings_.region, true};
--- a/src/cypresswall/membership/zone_gossip.h
+++ b/src/cypresswall/membership/zone_gossip.h
@@ -108,7 +108,7 @@
   std::map<Key, Value> table_;
   std::map<std::uint16_t, std::string> published_;
   std::map<std::uint16_t, std::vector<UpdateListener>> listeners_;
-  std::map<common::ZoneName, common::MonotonicTime> last_heard_;
+  std::map<common::ZoneName, common::MonotonicTime> last_contact_;
   Outbox changes_;
   /// Values with a new version but an unchanged payload.
   Outbox refreshes_;
--- a/src/cypresswall/node/node_state.cpp
+++ b/src/cypresswall/node/node_state.cpp
@@ -172,12 +172,12 @@
 
 std::vector<operators::RetryRow> NodeState::retries() const {
   std::vector<operators::RetryRow> rows;
-  for (const auto& [service, account] : sources_.retries.all()) {
+  for (const auto& [service, budget] : sources_.retries.all()) {
     operators::RetryRow row;
     row.service = service;
-    row.used = account->used();
-    row.left = account->left();
-    row.refused = account->totalRefused();
+    row.used = budget->used();
+    row.left = budget->left();
+    row.refused = budget->totalRefused();
     row.share = sources_.local_share.fraction();
     rows.push_back(std::move(row));
   }
--- a/src/cypresswall/orders/drain_table.cpp
+++ b/src/cypresswall/orders/drain_table.cpp
@@ -74,9 +74,10 @@
 std::vector<membership::Member> DrainTable::dispatchingMembers() const {
   std::vector<membership::Member> dispatching = membership_.members();
   if (!groups_.everyNodeRoutes()) {
-    const auto& deciders = groups_.allRoutingNodes();
-    std::erase_if(dispatching, [&deciders](const membership::Member& member) {
-      return std::find(deciders.begin(), deciders.end(), member.node) == deciders.end();
+    const auto& routing_nodes = groups_.allRoutingNodes();
+    std::erase_if(dispatching, [&routing_nodes](const membership::Member& member) {
+      return std::find(routing_nodes.begin(), routing_nodes.end(), member.node) ==
+             routing_nodes.end();
     });
   }
   return dispatching;
--- a/src/cypresswall/orders/zone_controller.cpp
+++ b/src/cypresswall/orders/zone_controller.cpp
@@ -14,7 +14,7 @@
 /// Completed changes kept for operators.
 constexpr std::size_t kRememberedChanges = 256;
 /// Weight of the newest change in the moving average of the time that an engine is unavailable.
-constexpr double kTimeAwayWeight = 0.3;
+constexpr double kUnavailableTimeWeight = 0.3;
 
 }  // namespace
 
@@ -250,7 +250,7 @@
   const auto fleet = configuration_.current();
   const PlanningSources sources{*fleet, records, controls, *demand_, planned_at_, without_lease};
   planning::PlanningInput input = makePlanningInput(sources, capacity_);
-  input.expected_change_time = time_away_;
+  input.expected_change_time = unavailable_time_;
   planning::Plan plan = planner_->plan(input);
   explanations_ = std::move(plan.explanations);
   if (!fleet->planning.automatic_roles) {
@@ -303,11 +303,12 @@
   if (role && record.outcome == ChangeOutcome::kDone) {
     context_.counters.counter("cypresswall_role_changes_total", "Roles of engines changed").add();
     const auto took = record.ended_at - record.started_at;
-    const double average = time_away_.count() == 0
-                               ? common::toSeconds(took)
-                               : kTimeAwayWeight * common::toSeconds(took) +
-                                     (1 - kTimeAwayWeight) * common::toSeconds(time_away_);
-    time_away_ = common::fromSeconds(average);
+    const double average =
+        unavailable_time_.count() == 0
+            ? common::toSeconds(took)
+            : kUnavailableTimeWeight * common::toSeconds(took) +
+                  (1 - kUnavailableTimeWeight) * common::toSeconds(unavailable_time_);
+    unavailable_time_ = common::fromSeconds(average);
   }
 }
 
--- a/src/cypresswall/orders/zone_controller.h
+++ b/src/cypresswall/orders/zone_controller.h
@@ -106,7 +106,7 @@
   std::vector<planning::ModelExplanation> explanations_;
   std::deque<ChangeRecord> ended_;
   /// Moving average of the duration of drain and change together.
-  common::Duration time_away_{0};
+  common::Duration unavailable_time_{0};
   common::Counter& epochs_;
   common::Counter& demand_dropped_;
 };
--- a/src/cypresswall/quarantine/crash_detector.cpp
+++ b/src/cypresswall/quarantine/crash_detector.cpp
@@ -24,7 +24,7 @@
       alive_(probeCounter(context, "alive")) {}
 
 void CrashDetector::probeEngine(const engines::EngineEndpoint& engine, Callback callback) {
-  forgetOld();
+  evictExpired();
   const auto [found, is_new] = probes_.try_emplace(engine.name);
   Probe& probe = found->second;
   if (probe.answered) {
@@ -58,7 +58,7 @@
   }
 }
 
-void CrashDetector::forgetOld() {
+void CrashDetector::evictExpired() {
   const auto now = context_.clock.now();
   std::erase_if(probes_, [&](const auto& entry) {
     const Probe& probe = entry.second;
--- a/src/cypresswall/quarantine/crash_detector.h
+++ b/src/cypresswall/quarantine/crash_detector.h
@@ -39,7 +39,7 @@
 
   void sendProbe(const engines::EngineEndpoint& engine, std::uint32_t attempt);
   void onAnswer(const common::EngineName& engine, bool ended);
-  void forgetOld();
+  void evictExpired();
 
   const QuarantineSettings settings_;
   const api::ProcessContext& context_;
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -314,7 +314,7 @@
     const double cost = model_.decode(estimates_.inputs(whole.engine), work, now).cost;
     const double penalty = offOutputHost(whole.engine, work) ? kNonHostPenalty : 0.0;
     decode_engines_.push_back({cost + penalty, whole.engine});
-    whole.cost += (whole.crowds_out ? kLatePenalty : 0.0) + penalty;
+    whole.cost += (whole.delays_decoding ? kLatePenalty : 0.0) + penalty;
   }
 }
 
@@ -379,9 +379,9 @@
     const CostInputs& engine = estimates_.inputs(whole.engine);
     const PromptWork prompt = promptWork(whole.engine, work);
     whole.offer = model_.whole(engine, work, prompt, now);
-    whole.offer.delays_decode =
+    whole.offer.delays_decoding =
         !prefill_engines_.empty() && delaysDecoding(whole.engine, work, prompt, now);
-    whole.offer.cost += whole.offer.delays_decode ? kLatePenalty : 0.0;
+    whole.offer.cost += whole.offer.delays_decoding ? kLatePenalty : 0.0;
     whole.offer.cost += contention_ * whole.offer.occupancy;
   }
   Selection split;
--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -46,7 +46,7 @@
   struct PricedEngine {
     double cost = 0;
     EngineSlot engine = kNoEngineSlot;
-    bool crowds_out = false;
+    bool delays_decoding = false;
     /// As in Offer.
     double occupancy = 0;
   };
--- a/src/cypresswall/routing/engine_table.cpp
+++ b/src/cypresswall/routing/engine_table.cpp
@@ -182,7 +182,7 @@
   if (!record.reachable) {
     return EngineAvailability::kUnreachable;
   }
-  if (now - record.last_contact_at > settings_.silence_limit) {
+  if (now - record.last_contact_at > settings_.maximum_report_age) {
     return EngineAvailability::kSilent;
   }
   if (now < entry.ejected_until) {
--- a/src/cypresswall/routing/offers.h
+++ b/src/cypresswall/routing/offers.h
@@ -61,9 +61,9 @@
   /// Queueing makes the first token late; never set for an engine without a queue.
   bool late = false;
   /// The prompt would delay the output of a decode engine although prefill engines exist.
-  bool delays_decode = false;
+  bool delays_decoding = false;
 
-  bool meetsLimits() const { return !late && !delays_decode && between_tokens <= step_limit; }
+  bool meetsLimits() const { return !late && !delays_decoding && between_tokens <= step_limit; }
 };
 
 /// Computes offers with one router's settings.
--- a/src/cypresswall/routing/placement_router.cpp
+++ b/src/cypresswall/routing/placement_router.cpp
@@ -56,12 +56,12 @@
 }
 
 std::deque<PlacementRouter::Candidate> PlacementRouter::candidatesFor(const RouteRequest& request) {
-  const auto homes = directory_.groups().candidateGroupsFor(
+  const auto candidate_groups = directory_.groups().candidateGroupsFor(
       request.model, sharedPartOf(request.shape), context_.random);
   std::deque<Candidate> candidates;
-  for (const EngineGroup* home : homes) {
-    for (const common::NodeId& owner : home->owners) {
-      candidates.push_back({owner, home->name});
+  for (const EngineGroup* group : candidate_groups) {
+    for (const common::NodeId& owner : group->owners) {
+      candidates.push_back({owner, group->name});
     }
   }
   std::stable_partition(candidates.begin(), candidates.end(), [this](const Candidate& candidate) {
--- a/src/cypresswall/routing/settings.h
+++ b/src/cypresswall/routing/settings.h
@@ -105,7 +105,7 @@
   /// Minimum time between two publications to the zone's peers.
   common::Duration publish_period = std::chrono::milliseconds(250);
   /// An engine whose newest report is older than this receives no work.
-  common::Duration silence_limit = std::chrono::seconds(3);
+  common::Duration maximum_report_age = std::chrono::seconds(3);
   /// How long a node keeps watching an engine after another node took it over.
   common::Duration hand_over_overlap = std::chrono::seconds(1);
   /// Budget for publications to all peers together, including envelopes, excluding TCP/IP headers.
--- a/src/cypresswall/runtime/bounded_line_writer.cpp
+++ b/src/cypresswall/runtime/bounded_line_writer.cpp
@@ -11,18 +11,18 @@
 namespace cypresswall::runtime {
 
 void BoundedLineWriter::write(std::string line) {
-  const bool fits = kept_bytes_ + line.size() <= maximum_buffered_bytes_ || flush();
-  if (!fits && kept_bytes_ + line.size() > maximum_buffered_bytes_) {
+  const bool fits = buffered_bytes_ + line.size() <= maximum_buffered_bytes_ || flush();
+  if (!fits && buffered_bytes_ + line.size() > maximum_buffered_bytes_) {
     ++dropped_;
     return;
   }
-  kept_bytes_ += line.size();
-  kept_.push_back(std::move(line));
+  buffered_bytes_ += line.size();
+  lines_.push_back(std::move(line));
   flush();
 }
 
 bool BoundedLineWriter::flush() {
-  while (!kept_.empty()) {
+  while (!lines_.empty()) {
     if (!writable(0) || !writeSome()) {
       return false;
     }
@@ -31,12 +31,12 @@
 }
 
 void BoundedLineWriter::flushWithin(int milliseconds) {
-  while (!kept_.empty() && writable(milliseconds) && writeSome()) {
+  while (!lines_.empty() && writable(milliseconds) && writeSome()) {
   }
 }
 
 std::uint64_t BoundedLineWriter::takeDropped() {
-  return kept_.empty() ? std::exchange(dropped_, 0) : 0;
+  return lines_.empty() ? std::exchange(dropped_, 0) : 0;
 }
 
 bool BoundedLineWriter::writable(int milliseconds) const {
@@ -45,7 +45,7 @@
 }
 
 bool BoundedLineWriter::writeSome() {
-  const std::string& line = kept_.front();
+  const std::string& line = lines_.front();
   // A pipe that poll() reports as writable accepts this much without blocking.
   const std::size_t size = std::min<std::size_t>(line.size() - first_written_, PIPE_BUF);
   const ssize_t written = ::write(descriptor_, line.data() + first_written_, size);
@@ -54,9 +54,9 @@
   }
   const auto bytes = static_cast<std::size_t>(written);
   first_written_ += bytes;
-  kept_bytes_ -= bytes;
+  buffered_bytes_ -= bytes;
   if (first_written_ == line.size()) {
-    kept_.pop_front();
+    lines_.pop_front();
     first_written_ = 0;
   }
   return true;
--- a/src/cypresswall/runtime/bounded_line_writer.h
+++ b/src/cypresswall/runtime/bounded_line_writer.h
@@ -27,7 +27,7 @@
   /// \return lines dropped since the last call; zero while lines are buffered, so that a report of
   ///   the loss follows the buffered lines
   std::uint64_t takeDropped();
-  std::size_t bufferedBytes() const { return kept_bytes_; }
+  std::size_t bufferedBytes() const { return buffered_bytes_; }
 
  private:
   bool writable(int milliseconds) const;
@@ -36,10 +36,10 @@
 
   int descriptor_;
   std::size_t maximum_buffered_bytes_;
-  std::deque<std::string> kept_;
+  std::deque<std::string> lines_;
   /// Number of bytes of the first line already written.
   std::size_t first_written_ = 0;
-  std::size_t kept_bytes_ = 0;
+  std::size_t buffered_bytes_ = 0;
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/cypresswall/runtime/curl_job.cpp
+++ b/src/cypresswall/runtime/curl_job.cpp
@@ -190,7 +190,7 @@
 }
 
 void CurlJob::giveHead() {
-  if (!std::exchange(head_given_, true)) {
+  if (!std::exchange(head_forwarded_, true)) {
     handler_->onHead(response_);
   }
 }
--- a/src/cypresswall/runtime/curl_job.h
+++ b/src/cypresswall/runtime/curl_job.h
@@ -74,7 +74,7 @@
   bool body_too_long_ = false;
   /// Whether the body is passed to the handler as it arrives; depends on the status.
   bool streaming_ = false;
-  bool head_given_ = false;
+  bool head_forwarded_ = false;
   char error_text_[CURL_ERROR_SIZE] = {};
 };
 
--- a/src/cypresswall/runtime/log_sink.cpp
+++ b/src/cypresswall/runtime/log_sink.cpp
@@ -32,7 +32,7 @@
 }
 
 /// Maximum size of the output buffered while the reader is stalled.
-constexpr std::size_t kMaximumKeptBytes = std::size_t{256} << 10U;
+constexpr std::size_t kMaximumBufferedBytes = std::size_t{256} << 10U;
 /// How long process exit waits for the reader to accept buffered lines.
 constexpr int kFinalFlushTimeoutMilliseconds = 50;
 
@@ -58,7 +58,7 @@
   }
 
  private:
-  BoundedLineWriter writer_{STDOUT_FILENO, kMaximumKeptBytes};
+  BoundedLineWriter writer_{STDOUT_FILENO, kMaximumBufferedBytes};
 };
 
 namespace {
--- a/tests/fleet_limits/fleet_retry_total_test.cpp
+++ b/tests/fleet_limits/fleet_retry_total_test.cpp
@@ -28,7 +28,7 @@
 /// No nodes are added beyond this number; one addition may exceed it by two thirds.
 constexpr std::size_t kMaximumNodes = 1000;
 /// Number of failing requests out of ten while engines fail.
-constexpr std::uint32_t kFailingOfTen = 6;
+constexpr std::uint32_t kFailuresPerTenStreams = 6;
 
 enum class Fault : std::uint8_t {
   kRestartAll,
@@ -179,7 +179,7 @@
     requests_.back() += count;
     for (; count > 0; --count) {
       node.budget().recordRequest();
-      if (fails && random_.below(10) < kFailingOfTen && node.budget().withdraw()) {
+      if (fails && random_.below(10) < kFailuresPerTenStreams && node.budget().withdraw()) {
         ++retries_.back();
       }
     }
--- a/tests/routing/burst_placement_test.cpp
+++ b/tests/routing/burst_placement_test.cpp
@@ -194,8 +194,8 @@
     request.first_token_limit = common::fromSeconds(kAdmissionLimitSeconds);
     request.between_tokens_limit = milliseconds(250);
     std::optional<RouteRefusal> refusal;
-    for (const EngineGroup* home : groups_->candidateGroupsFor(kModel, prefix, random_)) {
-      CostRouter& router = *owners_.at(home->owners.front()).router;
+    for (const EngineGroup* group : groups_->candidateGroupsFor(kModel, prefix, random_)) {
+      CostRouter& router = *owners_.at(group->owners.front()).router;
       RouteChoice choice = router.choose(request);
       if (const Route* const route = std::get_if<Route>(&choice)) {
         start(router, request, *route, outcome);
--- a/tests/routing/node_work_test.cpp
+++ b/tests/routing/node_work_test.cpp
@@ -45,7 +45,7 @@
 
 class NodeWorkTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeWorkTest);
-  CPPUNIT_TEST(longRequestNotifiesEachDeciderAtMostTwice);
+  CPPUNIT_TEST(longRequestNotifiesEachRoutingNodeAtMostTwice);
   CPPUNIT_TEST(shortRequestSendsNoNotices);
   CPPUNIT_TEST(reportUpdatesOnlyItsEngine);
   CPPUNIT_TEST(peerReportUpdatesOnlyItsEngine);
@@ -54,13 +54,13 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void longRequestNotifiesEachDeciderAtMostTwice() {
+  void longRequestNotifiesEachRoutingNodeAtMostTwice() {
     for (const int size : kSizes) {
       RoutingNode node(size);
       for (int i = 0; i < 20; ++i) {
         const WorkCount work(node);
         CPPUNIT_ASSERT(node.route(node.longRequest()));
-        CPPUNIT_ASSERT_LESSEQUAL(2 * otherDecidersOf(node), work.messages());
+        CPPUNIT_ASSERT_LESSEQUAL(2 * otherRoutingNodesOf(node), work.messages());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, work.memberLists());
         CPPUNIT_ASSERT_LESSEQUAL(kEstimatesPerRequest, work.estimates());
       }
@@ -135,7 +135,7 @@
     return static_cast<std::uint64_t>(node.size()) - 1;
   }
   static bool isShared(const RoutingNode& node) { return node.size() <= kLargestSharedZone; }
-  static std::uint64_t otherDecidersOf(const RoutingNode& node) {
+  static std::uint64_t otherRoutingNodesOf(const RoutingNode& node) {
     return isShared(node) ? peersOf(node) : kOwners;
   }
   static void assertOnlyOneEngineUpdated(const WorkCount& work, std::uint64_t estimates) {
--- a/tests/runtime/socket_poll_test.cpp
+++ b/tests/runtime/socket_poll_test.cpp
@@ -45,18 +45,18 @@
     watch(first);
     watch(second);
     first.send();
-    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return told_.size() == 2; }));
-    CPPUNIT_ASSERT(told_ == std::vector<int>({first.ends[0], first.ends[0]}));
+    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return reported_.size() == 2; }));
+    CPPUNIT_ASSERT(reported_ == std::vector<int>({first.ends[0], first.ends[0]}));
     first.receive();
     second.send();
-    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return told_.back() == second.ends[0]; }));
+    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return reported_.back() == second.ends[0]; }));
   }
 
   void hangUpCountsAsReadiness() {
     SocketPair pair;
     watch(pair);
     ::shutdown(pair.ends[1], SHUT_RDWR);
-    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return !told_.empty(); }));
+    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return !reported_.empty(); }));
   }
 
   void unwatchedSocketsAreNotReported() {
@@ -66,11 +66,11 @@
     watch(second);
     first.send();
     second.send();
-    on_told_ = [&](int socket) {
+    on_reported_ = [&](int socket) {
       poll_->forget(socket == first.ends[0] ? second.ends[0] : first.ends[0]);
     };
-    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return told_.size() == 3; }));
-    CPPUNIT_ASSERT(told_[0] == told_[1] && told_[1] == told_[2]);
+    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return reported_.size() == 3; }));
+    CPPUNIT_ASSERT(reported_[0] == reported_[1] && reported_[1] == reported_[2]);
   }
 
   void loopEndsWhenNothingIsWatched() {
@@ -82,7 +82,7 @@
     context_.run();
     watch(pair);
     pair.send();
-    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return !told_.empty(); }));
+    CPPUNIT_ASSERT(testing::runUntil(context_, [&] { return !reported_.empty(); }));
   }
 
   void listenerMayStopThePoll() {
@@ -92,27 +92,27 @@
     watch(second);
     first.send();
     second.send();
-    on_told_ = [&](int) {
+    on_reported_ = [&](int) {
       poll_->stop();
       poll_.reset();
     };
     context_.restart();
     context_.run();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, told_.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, reported_.size());
   }
 
  private:
   void watch(const SocketPair& pair) { CPPUNIT_ASSERT(poll_->watch(pair.ends[0], {true, false})); }
 
   asio::io_context context_;
-  std::vector<int> told_;
-  std::function<void(int)> on_told_;
+  std::vector<int> reported_;
+  std::function<void(int)> on_reported_;
   std::shared_ptr<SocketPoll> poll_ =
       std::make_shared<SocketPoll>(context_, [this](int socket, SocketReadiness readiness) {
         CPPUNIT_ASSERT(readiness.readable);
-        told_.push_back(socket);
-        if (on_told_) {
-          on_told_(socket);
+        reported_.push_back(socket);
+        if (on_reported_) {
+          on_reported_(socket);
         }
       });
 };
--- a/tests/store_relay/change_history_test.cpp
+++ b/tests/store_relay/change_history_test.cpp
@@ -5,7 +5,7 @@
 namespace cypresswall::store_relay {
 namespace {
 
-constexpr std::size_t kKeptBytes = 100;
+constexpr std::size_t kRetainedBytes = 100;
 constexpr std::size_t kReplyBytes = 60;
 
 StoreChange changeOf(std::uint64_t revision, std::size_t bytes) {
@@ -41,14 +41,14 @@
     ChangeHistory history = startedHistory();
     history.add({changeOf(11, 50)}, 11);
     history.add({changeOf(12, 40)}, 12);
-    CPPUNIT_ASSERT(history.since(10, kKeptBytes));
+    CPPUNIT_ASSERT(history.since(10, kRetainedBytes));
     history.add({changeOf(13, 20)}, 13);
-    CPPUNIT_ASSERT(!history.since(10, kKeptBytes));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, history.since(11, kKeptBytes)->size());
+    CPPUNIT_ASSERT(!history.since(10, kRetainedBytes));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, history.since(11, kRetainedBytes)->size());
     // One batch above the limit empties the history.
-    history.add({changeOf(14, kKeptBytes + 1)}, 14);
-    CPPUNIT_ASSERT(!history.since(13, kKeptBytes));
-    CPPUNIT_ASSERT(history.since(14, kKeptBytes)->empty());
+    history.add({changeOf(14, kRetainedBytes + 1)}, 14);
+    CPPUNIT_ASSERT(!history.since(13, kRetainedBytes));
+    CPPUNIT_ASSERT(history.since(14, kRetainedBytes)->empty());
   }
 
   void refusesAnswersAboveLimit() {
@@ -77,7 +77,7 @@
 
  private:
   static ChangeHistory startedHistory() {
-    ChangeHistory history(kKeptBytes);
+    ChangeHistory history(kRetainedBytes);
     history.restart(10);
     return history;
   }
