--- a/src/cypresswall/configuration/committer.cpp
+++ b/src/cypresswall/configuration/committer.cpp
@@ -137,8 +137,8 @@
   return true;
 }
 
-/// A restored store may lack changes that are in force; committing on top of it would start a
-/// second history.
+/// A restored store may lack changes that are in force; committing on top of it would fork
+/// the history.
 void Committer::checkBase(const AttemptPointer& attempt) {
   const std::uint64_t base = attempt->entry.change.version - 1;
   if (base == 0) {
--- a/src/cypresswall/configuration/committer.h
+++ b/src/cypresswall/configuration/committer.h
@@ -1,5 +1,5 @@
 /// Commits changes to the platform's store. The change that creates the key of the next version is
-/// accepted; a concurrent change for the same version fails and is told the author of the winner.
+/// accepted; a concurrent change for the same version fails and reports the author of the winner.
 #pragma once
 
 #include <cstdint>
--- a/src/cypresswall/configuration/peer_exchange.cpp
+++ b/src/cypresswall/configuration/peer_exchange.cpp
@@ -93,10 +93,11 @@
   if (!peers.empty()) {
     pull(peers[context_.random.below(peers.size())]);
   }
-  // Nodes of other zones may lag behind the own zone; they are asked only if it stays silent.
+  // Nodes of other zones may lag behind the local zone, so they are queried only if no local node
+  // has supplied the configuration within this delay.
   const auto contacts = gossip_.zoneContacts();
-  const bool zone_silent = context_.clock.now() - started_ >= settings_.peer_bootstrap_delay;
-  if (zone_silent && !contacts.empty()) {
+  const bool local_nodes_late = context_.clock.now() - started_ >= settings_.peer_bootstrap_delay;
+  if (local_nodes_late && !contacts.empty()) {
     const auto zone = std::next(
         contacts.begin(), static_cast<std::ptrdiff_t>(context_.random.below(contacts.size())));
     pull_pending_ = false;
@@ -225,7 +226,8 @@
   }
 }
 
-/// A peer that lags must not make a new node ready while the zone is known to be further.
+/// A new node does not become ready with the data of a lagging peer while a newer version is known
+/// to exist in the zone.
 void PeerExchange::becomeReady() {
   const bool waited = context_.clock.now() - started_ >= settings_.store_bootstrap_delay;
   if (!waited && ownZoneVersions().newest > state_.log().version()) {
--- a/src/cypresswall/execution/model_request.h
+++ b/src/cypresswall/execution/model_request.h
@@ -91,8 +91,8 @@
   bool attemptCountsAsRun() const;
   std::uint32_t maximumRuns() const;
   bool resuming() const { return tokens_given_ > 0; }
-  /// \return true if another engine can be told the position to resume from. Without a position the
-  ///   answer would start over after the tokens that the caller already has.
+  /// \return true if another engine can be given the position to resume from. Without a position
+  ///   the answer would start over after the tokens that the caller already has.
   bool canResume() const { return !resuming() || !call_.pass_through || !last_token_.empty(); }
 
   void giveUp(ErrorKind kind, const std::string& message, common::Duration retry_after);
--- a/src/cypresswall/execution/service_run.h
+++ b/src/cypresswall/execution/service_run.h
@@ -60,7 +60,7 @@
   /// it.
   void recordUsageOnce();
   void onBroken(const services::ServiceResponse& response);
-  /// \return the retry account that repeats are charged to
+  /// \return the retry budget that repeats are charged to
   fleet_limits::RetryBudget& retryBudget() const;
   bool chargeRetry();
   /// Counts a run and charges the next one to the retry budget.
--- a/src/cypresswall/fleet_limits/account_keepers.cpp
+++ b/src/cypresswall/fleet_limits/account_keepers.cpp
@@ -8,9 +8,9 @@
 namespace cypresswall::fleet_limits {
 namespace {
 
-/// What each of two keepers gives out.
+/// Fraction of the limit that a keeper grants while a second node may act as keeper, too.
 constexpr double kUnsettledShare = 0.5;
-/// Servers whose keeper is kept worked out.
+/// Maximum number of servers in the rendezvous cache.
 constexpr std::size_t kMaximumCachedServers = 4096;
 
 }  // namespace
--- a/src/cypresswall/fleet_limits/engine_rate_limits.h
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.h
@@ -125,7 +125,7 @@
   std::uint64_t next_request_id_ = 1;
   /// By server: time before which the keeper will not grant a permit.
   std::map<std::string, common::MonotonicTime> refused_until_;
-  /// By resource: time at which the caller refused last was told to retry.
+  /// By resource: retry time given to the most recently refused caller.
   std::map<std::string, common::MonotonicTime> last_retry_at_;
   /// Position in the table at which the next update starts.
   std::size_t next_server_ = 0;
--- a/src/cypresswall/fleet_limits/local_share.cpp
+++ b/src/cypresswall/fleet_limits/local_share.cpp
@@ -33,7 +33,7 @@
 
 void LocalShare::check() {
   if (wasPaused()) {
-    withhold("the process stood still");
+    withhold("the process was paused");
   }
   checked_at_ = context_.clock.now();
   countMembers();
@@ -69,8 +69,8 @@
 }
 
 double LocalShare::fraction() const {
-  // Timers of a machine that was suspended go on where they were: a request may come before the
-  // one that notices it.
+  // After a machine was suspended, its timers continue with their remaining time, so a request may
+  // be processed before the check that detects the pause.
   if (wasPaused() || cut_off_ || context_.clock.now() < allowed_at_ || members_max_.value() == 0) {
     return 0;
   }
--- a/src/cypresswall/fleet_limits/permit_accounts.h
+++ b/src/cypresswall/fleet_limits/permit_accounts.h
@@ -12,14 +12,15 @@
 namespace cypresswall::fleet_limits {
 
 struct PermitAccountSettings {
-  /// Bucket depth: requests of this time may be sent at once after a pause, but at least one.
+  /// Bucket depth as a time: a burst after an idle period may contain the requests of this time,
+  /// and at least one.
   common::Duration burst = std::chrono::seconds(1);
-  /// A server that takes fewer requests a second gets these nonetheless: only an answer shows that
-  /// its limit is over.
+  /// Lower bound in requests per second, applied to servers with a lower limit: only a response can
+  /// show that the limit no longer applies.
   double minimum_rate = 0.1;
 };
 
-/// One answer to who asks for a permit.
+/// Response to a permit request.
 struct Permit {
   bool granted = false;
   /// Time until the next permit is available.
--- a/src/cypresswall/fleet_limits/rate_limit_table.cpp
+++ b/src/cypresswall/fleet_limits/rate_limit_table.cpp
@@ -66,7 +66,8 @@
     return false;
   }
   RateLimit& limit = known->second;
-  // Answers overtake each other: only one to a request that was sent later was surely made later.
+  // Responses may overtake each other: only a response to a request sent after the limit was named
+  // is certain to be newer.
   if (sent_at <= limit.named_at || now - limit.named_at < settings_.raise_delay) {
     return false;
   }
--- a/src/cypresswall/fleet_limits/rate_limit_table.h
+++ b/src/cypresswall/fleet_limits/rate_limit_table.h
@@ -42,7 +42,7 @@
   explicit RateLimitTable(const RateLimitTableSettings& settings) : settings_(settings) {}
 
   /// Processes the notice in the response to a request that was sent at `sent_at`.
-  /// \return true if the limit is new, changed or over, so that other nodes must be told
+  /// \return true if the limit is new, changed or over, and has to be sent to other nodes
   bool answered(const std::string& server, const common::RateLimitNotice& notice,
                 common::MonotonicTime sent_at, common::MonotonicTime now);
   /// Merges the state known to another node. Of two concurrent changes with the same version the
--- a/src/cypresswall/fleet_limits/retry_budgets.cpp
+++ b/src/cypresswall/fleet_limits/retry_budgets.cpp
@@ -6,10 +6,10 @@
 namespace cypresswall::fleet_limits {
 namespace {
 
-/// A repeat of one window may rest on requests of the window before it, so that two windows of
-/// requests stand behind the repeats of one: with half of the share the sum stays within it.
+/// Retries in one window may be backed by requests of the previous window, so up to two windows of
+/// requests count towards one window of retries. Half of the share keeps the total within limits.
 constexpr double kUsedShare = 0.5;
-/// An account counts as recovered when it has refused nothing for so long: one line tells of many
+/// A budget counts as recovered after this long without a refusal, so that one log line covers many
 /// requests.
 constexpr common::Duration kRecoveryTime = std::chrono::seconds(2);
 
--- a/src/cypresswall/idempotency/key_ownership.cpp
+++ b/src/cypresswall/idempotency/key_ownership.cpp
@@ -42,7 +42,8 @@
   });
 }
 
-/// Without a declared zone no back end is declared either: nothing ran, so nothing contradicts.
+/// While no zone is declared, no back end is declared either. No request can have run, so no other
+/// zone can hold a claim on the key.
 bool KeyOwnership::owns(const std::string& key, const std::vector<common::ZoneName>& zones) const {
   return zones.empty() || owningZone(key, zones) == own_zone_;
 }
--- a/src/cypresswall/lease/lease_settings.h
+++ b/src/cypresswall/lease/lease_settings.h
@@ -35,8 +35,8 @@
   /// Maximum size of the records in one message.
   std::size_t maximum_batch_bytes = 256U << 10;
 
-  /// A node that knows no voter set waits this long to hear of one from its peers before it creates
-  /// the first.
+  /// A node that knows no voter set waits this long for one from its peers before it creates the
+  /// first.
   common::Duration settle_time = std::chrono::milliseconds(1500);
   /// Interval between reads of the authority record while the zone has no lease holder.
   common::Duration store_interval = std::chrono::milliseconds(500);
--- a/src/cypresswall/lease/store_lease.cpp
+++ b/src/cypresswall/lease/store_lease.cpp
@@ -88,8 +88,8 @@
 }
 
 bool StoreLease::mayTakeOver() const {
-  // The last holder's lease ends `duration` after it sent the write that created this version,
-  // so at the latest that long after the version was first seen.
+  // The last holder's lease ends `duration` after it sent the write that created this version. The
+  // version was first seen after that write was sent, so waiting `duration` from then is enough.
   const common::Duration wait = settings_.duration + settings_.handover_gap;
   return seen_->version == 0 || seen_->record.holder == context_.self ||
          context_.clock.now() - seen_->since >= wait;
--- a/src/cypresswall/lease/store_lease.h
+++ b/src/cypresswall/lease/store_lease.h
@@ -103,7 +103,7 @@
   common::MonotonicTime lease_until_{};
   /// Terms up to this one must not be used any more.
   std::uint32_t spent_term_ = 0;
-  /// Epoch that the listeners were last told is held.
+  /// Held epoch as last reported to the listeners.
   std::optional<common::Epoch> held_;
   std::vector<std::function<void(std::optional<common::Epoch>)>> listeners_;
   common::Counter& acquired_;
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -76,7 +76,8 @@
   /// undoes the departure.
   void refute(std::uint32_t details_version);
 
-  /// \return true if this node monitors the other and heard from it within two heartbeat intervals
+  /// \return true if this node monitors the other and received a message from it within two
+  ///   heartbeat intervals
   bool hadRecentContact(const common::NodeId& node) const;
 
   /// Queues a change to be forwarded after a short delay, in which further changes are batched.
--- a/src/cypresswall/membership/membership_settings.h
+++ b/src/cypresswall/membership/membership_settings.h
@@ -76,7 +76,7 @@
   common::Duration gossip_refresh_flush_interval = std::chrono::seconds(1);
   /// Anti-entropy interval: how often gossip tables are compared by hash.
   common::Duration gossip_refresh_interval = std::chrono::seconds(5);
-  /// A zone that was not heard of for this long is not chosen as a relay.
+  /// A zone without an update for this long is not chosen as a relay.
   common::Duration zone_silent_after = std::chrono::seconds(20);
   std::size_t maximum_gossip_payload = 1024;
   std::size_t maximum_gossip_zones = 128;
--- a/src/cypresswall/membership/zone_gossip.cpp
+++ b/src/cypresswall/membership/zone_gossip.cpp
@@ -390,9 +390,9 @@
   }
   const auto now = context_.clock.now();
   for (auto& [zone, candidate] : zones) {
-    const auto heard = last_contact_.find(zone);
-    const auto since = heard == last_contact_.end() ? start_time_ : heard->second;
-    candidate.heard = now - since < settings_.zone_silent_after;
+    const auto contact = last_contact_.find(zone);
+    const auto since = contact == last_contact_.end() ? start_time_ : contact->second;
+    candidate.recently_updated = now - since < settings_.zone_silent_after;
   }
   zones[context_.zone] = LinkCandidate{settings_.region, true};
   return linkedZones(context_.zone, zones, settings_.links_per_region_pair);
--- a/src/cypresswall/membership/zone_links.cpp
+++ b/src/cypresswall/membership/zone_links.cpp
@@ -13,18 +13,18 @@
 /// \return the zones of `region` in the order in which they are assigned links to `other_region`
 std::vector<common::ZoneName> rankedZones(const Zones& zones, const RegionName& region,
                                           const RegionName& other_region) {
-  std::vector<common::ZoneName> heard;
+  std::vector<common::ZoneName> updated;
   std::vector<common::ZoneName> all;
   for (const auto& [zone, candidate] : zones) {
     if (candidate.region != region) {
       continue;
     }
     all.push_back(zone);
-    if (candidate.heard) {
-      heard.push_back(zone);
+    if (candidate.recently_updated) {
+      updated.push_back(zone);
     }
   }
-  auto& ranked = heard.empty() ? all : heard;
+  auto& ranked = updated.empty() ? all : updated;
   std::sort(ranked.begin(), ranked.end(), [&](const auto& a, const auto& b) {
     const auto rank = [&](const auto& zone) {
       return common::hash64(other_region, common::hash64(zone));
--- a/src/cypresswall/membership/zone_links.h
+++ b/src/cypresswall/membership/zone_links.h
@@ -14,9 +14,9 @@
 /// A zone as a possible endpoint of a link.
 struct LinkCandidate {
   RegionName region;
-  /// False if the zone was not heard of recently; it then gets no link between regions unless no
-  /// zone of its region was heard of.
-  bool heard = true;
+  /// False if no recent update of the zone is known; it then gets no link between regions unless
+  /// this holds for all zones of its region.
+  bool recently_updated = true;
 };
 
 /// \param zones every known zone, including the own one
--- a/src/cypresswall/node/node_settings.h
+++ b/src/cypresswall/node/node_settings.h
@@ -26,9 +26,8 @@
 namespace cypresswall::node {
 
 struct NodeSettings {
-  /// Up to this many nodes in a zone, every node exchanges messages with all others and makes
-  /// decisions for all engines. Copied to `membership.neighbours`, `directory.groups` and the relay
-  /// of the store.
+  /// Up to this many nodes in a zone, every node exchanges messages with all others and routes to
+  /// all engines. Copied to `membership.neighbours`, `directory.groups` and the relay of the store.
   std::size_t shared_zone_nodes = 24;
   membership::MembershipSettings membership;
   lease::LeaseSettings lease;
--- a/src/cypresswall/routing/delta_exchange.cpp
+++ b/src/cypresswall/routing/delta_exchange.cpp
@@ -17,7 +17,7 @@
 /// Unspent budget accumulates for up to this long.
 constexpr double kBudgetWindowSeconds = 2.0;
 /// Lower bound of the budget per peer: one small publication a second. With less, the peers in a
-/// zone of many nodes would consider all engines silent.
+/// zone of many nodes would consider all engine reports outdated.
 constexpr double kMinimumBytesPerPeerSecond = 120;
 constexpr std::size_t kMaximumQueuedHints = 512;
 /// Above this many, sequence numbers of former peers are dropped.
--- a/src/cypresswall/routing/placement_router.h
+++ b/src/cypresswall/routing/placement_router.h
@@ -1,6 +1,6 @@
-/// The requesting side of placement. A node that decides about the engines chooses locally. Other
-/// nodes ask the owners of the prompt's home groups one after the other and report the progress of
-/// the attempt to the owner that placed it. The wait for each owner is bounded; owners that don't
+/// The requesting side of placement. A routing node of the engines chooses locally. Other nodes ask
+/// the owners of the prompt's candidate groups one after the other and report the progress of the
+/// attempt to the owner that placed it. The wait for each owner is bounded; owners that don't
 /// answer are skipped.
 #pragma once
 
@@ -20,7 +20,7 @@
 class PlacementRouter final : public Router {
  public:
   /// Registers the handler of PlacementAnswer.
-  /// \param local chooses among the engines that this node decides about itself
+  /// \param local chooses among the engines that this node routes to itself
   /// \pre all references outlive this object
   PlacementRouter(const PlacementSettings& settings, const RouterSettings& router_settings,
                   const api::ProcessContext& context, EngineDirectory& directory, Router& local);
--- a/src/cypresswall/routing/placement_service.h
+++ b/src/cypresswall/routing/placement_service.h
@@ -16,7 +16,7 @@
 class PlacementService {
  public:
   /// Registers the handlers of PlacementRequest and AttemptProgress.
-  /// \param router chooses among the engines that this node decides about
+  /// \param router chooses among the engines that this node routes to
   /// \pre all references outlive this object
   PlacementService(const PlacementSettings& settings, const api::ProcessContext& context,
                    EngineDirectory& directory, Router& router);
--- a/src/cypresswall/routing/work_exchange.h
+++ b/src/cypresswall/routing/work_exchange.h
@@ -1,4 +1,4 @@
-/// Notifies the other nodes that decide about an engine immediately of the start and end of each
+/// Notifies the other routing nodes of an engine immediately of the start and end of each
 /// long prompt that this node sends to it. Load reports are too slow for that: such a prompt
 /// occupies an engine for a tenth of a second or more, and reports are a few tenths of a second
 /// old.
--- a/tests/fleet_limits/rate_limit_table_test.cpp
+++ b/tests/fleet_limits/rate_limit_table_test.cpp
@@ -100,7 +100,7 @@
     RateLimitTable table(settings);
     for (const char* server : {"a", "b", "c"}) {
       table.answered(server, namedRateLimit(1), at(seconds(0)), at(seconds(1)));
-      table.merge(std::string(server) + "-told", {1, 1.0, at(seconds(1))}, at(seconds(1)));
+      table.merge(std::string(server) + "-merged", {1, 1.0, at(seconds(1))}, at(seconds(1)));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, table.all().size());
   }
--- a/tests/membership/zone_gossip_test.cpp
+++ b/tests/membership/zone_gossip_test.cpp
@@ -108,13 +108,13 @@
   void changeReachesEveryNodeFast() {
     Fleet fleet(2);
     fleet.world.runFor(20s);
-    std::string heard;
+    std::string received;
     fleet.gossip(6, 2).onUpdate(GossipTopic::kRoutingSummary,
-                                [&](const auto&, const auto& payload) { heard = payload; });
+                                [&](const auto&, const auto& payload) { received = payload; });
     fleet.gossip(0, 2).publish(GossipTopic::kRoutingSummary, "first");
     fleet.world.runFor(1500ms);
     CPPUNIT_ASSERT(fleet.everyNodeHolds(zoneName(0), "first"));
-    CPPUNIT_ASSERT_EQUAL(std::string("first"), heard);
+    CPPUNIT_ASSERT_EQUAL(std::string("first"), received);
   }
 
   void changeSurvivesLossAndPartition() {
@@ -143,17 +143,17 @@
     for (int node = 0; node < kNodesPerZone; ++node) {
       fleet.start(2, node);
     }
-    fleet.gossip(2, 1).publish(GossipTopic::kRoutingSummary, "new life");
+    fleet.gossip(2, 1).publish(GossipTopic::kRoutingSummary, "restarted");
     fleet.world.runFor(20s);
-    CPPUNIT_ASSERT(fleet.everyNodeHolds(zoneName(2), "new life"));
+    CPPUNIT_ASSERT(fleet.everyNodeHolds(zoneName(2), "restarted"));
   }
 
-  /// While nothing changes, refreshes carry versions without payloads, and every node still hears
-  /// of each zone within `zone_silent_after`.
+  /// While nothing changes, refreshes carry versions without payloads, and every node still
+  /// receives one of each zone within `zone_silent_after`.
   void refreshesCarryNoPayload() {
     Fleet fleet(6);
     fleet.world.runFor(40s);
-    std::map<std::pair<common::Address, common::ZoneName>, common::Duration> heard;
+    std::map<std::pair<common::Address, common::ZoneName>, common::Duration> received;
     common::Duration longest{0};
     std::uint64_t payloads = 0;
     fleet.world.on_send = [&](const api::Envelope& envelope) {
@@ -162,18 +162,18 @@
         return;
       }
       for (const auto& entry : api::decodeBody<GossipRefreshes>(envelope.body).entries) {
-        auto& last = heard[{envelope.receiver.address, entry.zone}];
+        auto& last = received[{envelope.receiver.address, entry.zone}];
         longest = std::max(longest, fleet.world.now() - std::max(last, common::Duration(40s)));
         last = fleet.world.now();
       }
     };
     fleet.world.runFor(60s);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, payloads);
-    CPPUNIT_ASSERT_EQUAL(
-        std::size_t{kZones * kNodesPerZone * (kZones - 1)},
-        static_cast<std::size_t>(std::count_if(heard.begin(), heard.end(), [](const auto& entry) {
-          return entry.first.second != zoneNameOf(entry.first.first);
-        })));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{kZones * kNodesPerZone * (kZones - 1)},
+                         static_cast<std::size_t>(
+                             std::count_if(received.begin(), received.end(), [](const auto& entry) {
+                               return entry.first.second != zoneNameOf(entry.first.first);
+                             })));
     CPPUNIT_ASSERT(longest < MembershipSettings{}.zone_silent_after);
   }
 
--- a/tests/orders/zone_fixture.h
+++ b/tests/orders/zone_fixture.h
@@ -130,7 +130,7 @@
   PlannerScript& script_;
 };
 
-/// Starts streams through one node's router for as long as the node lives.
+/// Starts streams through one node's router for as long as the node runs.
 class StreamDriver {
  public:
   StreamDriver(const api::ProcessContext& context, routing::Router& router,
--- a/tests/quarantine/fleet_quarantine_test.cpp
+++ b/tests/quarantine/fleet_quarantine_test.cpp
@@ -83,8 +83,8 @@
   /// Engines keep their name across restarts; each crash of a new incarnation counts.
   void repeatedCrashOfOneEngineCountsAgain() {
     QuarantineZone zone(9);
-    for (std::size_t incarnation = 0; incarnation < 3; ++incarnation) {
-      zone.crash(incarnation, kCrashingRequest, 1);
+    for (std::size_t node = 0; node < 3; ++node) {
+      zone.crash(node, kCrashingRequest, 1);
       zone.run(seconds(2));
     }
     CPPUNIT_ASSERT_EQUAL(zone.size(), zone.nodesThatQuarantine(kCrashingRequest));
--- a/tests/routing/node_work_test.cpp
+++ b/tests/routing/node_work_test.cpp
@@ -1,6 +1,6 @@
 /// Bounds on the work of one node, counted rather than timed, in zones with as many nodes as
 /// engines. Guards against work per request, report or notice that grows with the size of the zone.
-/// Only in small zones, where every node decides about every engine, may it grow with the number of
+/// Only in small zones, where every node routes to every engine, may it grow with the number of
 /// peers.
 #include "tests/support/property.h"
 #include "tests/support/routing_node.h"
@@ -11,7 +11,7 @@
 using testing::RoutingNode;
 
 constexpr std::array<int, 5> kSizes = {10, 24, 65, 300, 1000};
-/// In larger zones few nodes decide about an engine: its owners and the node that plans roles.
+/// In larger zones few nodes are notified: an engine's owners and the node that plans roles.
 constexpr int kLargestSharedZone = 24;
 constexpr std::uint64_t kOwners = 2;
 /// Estimate updates per request with a prefill and a decode engine: both at start, first token and
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -27,8 +27,7 @@
   return id.append(std::to_string(number));
 }
 
-/// A node's local router: chooses the first engine that the node decides about, and records its
-/// calls.
+/// A node's local router: chooses the first engine that the node routes to, and records its calls.
 class RecordingRouter final : public Router {
  public:
   explicit RecordingRouter(EngineDirectory& directory) : directory_(directory) {}
@@ -178,7 +177,7 @@
   const RouteRefusal& refusal(const std::string& id) const {
     return std::get<RouteRefusal>(answers.at(id));
   }
-  /// \return the owners of a shared part's home groups, in the order in which they are asked
+  /// \return the owners of a shared part's candidate groups, in the order in which they are asked
   std::vector<Node*> ownersOf(common::PieceHash part = 77) {
     std::vector<Node*> owners;
     common::SeededRandom random(1);
@@ -190,7 +189,7 @@
     }
     return owners;
   }
-  /// \return a running node that decides about no engines
+  /// \return a running node that routes to no engines
   std::size_t asker() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (nodes[i].process->alive() && nodes[i].directory->groups().routedEngineCount() == 0) {
