--- a/bench/load/load_generator.cpp
+++ b/bench/load/load_generator.cpp
@@ -28,7 +28,7 @@
   next_arrival_ = steady_clock::now() + plan_.ramp;
   last_arrival_ = next_arrival_ + plan_.duration;
   if (plan_.held_streams > 0) {
-    startHeld(0);
+    startHeldStreams(0);
   }
   if (plan_.requests_per_second > 0) {
     scheduleNext();
@@ -39,7 +39,7 @@
   return std::move(result_);
 }
 
-void LoadGenerator::startHeld(std::uint32_t started) {
+void LoadGenerator::startHeldStreams(std::uint32_t started) {
   const auto steps = std::max<std::int64_t>(plan_.ramp / kRampStep, 1);
   const auto batch = static_cast<std::uint32_t>((plan_.held_streams + steps - 1) / steps);
   const std::uint32_t until = std::min(started + batch, plan_.held_streams);
@@ -48,7 +48,7 @@
   }
   if (started < plan_.held_streams) {
     ramp_timer_.expires_after(kRampStep);
-    ramp_timer_.async_wait([this, started](const asio::error_code&) { startHeld(started); });
+    ramp_timer_.async_wait([this, started](const asio::error_code&) { startHeldStreams(started); });
   }
 }
 
--- a/bench/load/load_generator.h
+++ b/bench/load/load_generator.h
@@ -44,7 +44,7 @@
   LoadResult run();
 
  private:
-  void startHeld(std::uint32_t started);
+  void startHeldStreams(std::uint32_t started);
   void scheduleNext();
   void startRequest(std::size_t kind);
   void drain();
--- a/bench/simulate/scenario_run.cpp
+++ b/bench/simulate/scenario_run.cpp
@@ -64,13 +64,13 @@
   outcome.late_first_token += late_first_token ? 1 : 0;
 }
 
-bool answeredWhole(const SimulatedRequest& record) {
+bool answeredCompletely(const SimulatedRequest& record) {
   return record.end == RequestStatus::kDone && record.tokens == record.expected_tokens;
 }
 
 void countKind(const SimulatedRequest& record, const ScenarioKind& kind, KindOutcome& outcome) {
   ++outcome.asked;
-  if (answeredWhole(record)) {
+  if (answeredCompletely(record)) {
     countDone(record, kind, outcome);
   } else {
     ++(record.end == RequestStatus::kRefused ? outcome.refused : outcome.failed);
@@ -84,7 +84,7 @@
   const auto period = static_cast<std::size_t>(at / kTimelinePeriod);
   run.timeline.resize(std::max(run.timeline.size(), period + 1));
   countKind(record, kind, run.timeline[period][kind.name]);
-  if (answeredWhole(record)) {
+  if (answeredCompletely(record)) {
     return;
   }
   if (record.end == RequestStatus::kRefused) {
--- a/src/cypresswall/emulation/engine_changes.cpp
+++ b/src/cypresswall/emulation/engine_changes.cpp
@@ -14,7 +14,7 @@
   }
   const FenceContext situation{incarnation_, change_.has_value(), idle()};
   engines::OrderReply reply;
-  reply.verdict = fence_.judge(order, situation);
+  reply.verdict = fence_.evaluate(order, situation);
   ++ledger_.orders_received;
   if (ledger_.orders.size() < settings_.ledger_limit) {
     ledger_.orders.push_back({order, reply.verdict, incarnation_, clock_.now()});
--- a/src/cypresswall/emulation/order_fence.cpp
+++ b/src/cypresswall/emulation/order_fence.cpp
@@ -4,7 +4,8 @@
 
 using engines::OrderVerdict;
 
-OrderVerdict OrderFence::judge(const engines::EngineOrder& order, const FenceContext& situation) {
+OrderVerdict OrderFence::evaluate(const engines::EngineOrder& order,
+                                  const FenceContext& situation) {
   const auto refused = refusal(order, situation);
   if (refused) {
     return *refused;
--- a/src/cypresswall/emulation/order_fence.h
+++ b/src/cypresswall/emulation/order_fence.h
@@ -21,7 +21,7 @@
 class OrderFence {
  public:
   /// Returns the verdict on `order`; an accepted order becomes the last order.
-  engines::OrderVerdict judge(const engines::EngineOrder& order, const FenceContext& situation);
+  engines::OrderVerdict evaluate(const engines::EngineOrder& order, const FenceContext& situation);
 
   const common::Epoch& highestEpoch() const { return highest_epoch_; }
   std::uint64_t lastSequence() const { return last_sequence_; }
--- a/src/cypresswall/fleet_limits/account_keepers.h
+++ b/src/cypresswall/fleet_limits/account_keepers.h
@@ -14,8 +14,8 @@
 
 namespace cypresswall::fleet_limits {
 
-/// \return the node that already makes the decisions about a server, such as an engine's owner;
-///   empty if the server has no owner
+/// \return the node that places all requests on a server, such as an engine's primary owner; empty
+///   if the server has none
 using OwnerLookup = std::function<common::NodeId(const std::string& server)>;
 
 struct AccountKeeperSettings {
--- a/src/cypresswall/idempotency/claim_table.cpp
+++ b/src/cypresswall/idempotency/claim_table.cpp
@@ -154,7 +154,7 @@
   if (entry->second.committing && same_claim) {
     return;  // Answered when the claim is committed.
   }
-  reply = judge(request, entry->second);
+  reply = evaluate(request, entry->second);
   uncertain_count_.add(reply.verdict == HolderVerdict::kUncertain ? 1 : 0);
   answered(reply);
 }
@@ -211,7 +211,7 @@
       });
 }
 
-ClaimReply ClaimTable::judge(const ClaimRequest& request, const Entry& entry) const {
+ClaimReply ClaimTable::evaluate(const ClaimRequest& request, const Entry& entry) const {
   ClaimReply reply;
   reply.claim = request.claim;
   reply.retry_after_us = static_cast<std::uint64_t>(settings_.retry_after.count());
--- a/src/cypresswall/idempotency/claim_table.h
+++ b/src/cypresswall/idempotency/claim_table.h
@@ -67,7 +67,7 @@
   common::MonotonicTime ownershipSettlesAt() const;
   bool mayDecide(const ClaimRequest& request) const;
   void grantNew(const ClaimRequest& request, const ClaimAnswered& answered);
-  ClaimReply judge(const ClaimRequest& request, const Entry& entry) const;
+  ClaimReply evaluate(const ClaimRequest& request, const Entry& entry) const;
   void put(const std::string& key, ClaimRecord record, std::function<void()> committed);
   void forget(const std::string& key);
   bool claimerMayReport(const ClaimRecord& record) const;
--- a/src/cypresswall/lease/generation_manager.cpp
+++ b/src/cypresswall/lease/generation_manager.cpp
@@ -69,7 +69,7 @@
 
 void GenerationManager::requestVoterSets() {
   for (const auto& member : membership_.members()) {
-    authority_.ask_set(member.node, VoterSetRequest{authority_.newest_set().version});
+    authority_.request_set(member.node, VoterSetRequest{authority_.newest_set().version});
   }
 }
 
@@ -145,7 +145,7 @@
     const bool out = isRetired(voter, next);
     all_out = all_out && out;
     if (!out) {
-      authority_.ask_seal(voter, SealRequest{next, newest.version});
+      authority_.request_seal(voter, SealRequest{next, newest.version});
     }
   }
   if (all_out) {
--- a/src/cypresswall/lease/generation_manager.h
+++ b/src/cypresswall/lease/generation_manager.h
@@ -28,8 +28,8 @@
     std::function<void(const VoterSet&)> learn;
     /// Adopts the first set of a new generation and sends it to the zone.
     std::function<void(const VoterSet&)> broadcast;
-    std::function<void(const common::NodeId&, const VoterSetRequest&)> ask_set;
-    std::function<void(const common::NodeId&, const SealRequest&)> ask_seal;
+    std::function<void(const common::NodeId&, const VoterSetRequest&)> request_set;
+    std::function<void(const common::NodeId&, const SealRequest&)> request_seal;
   };
 
   GenerationManager(const LeaseSettings& settings, const api::ProcessContext& context,
--- a/src/cypresswall/lease/messages.h
+++ b/src/cypresswall/lease/messages.h
@@ -129,8 +129,8 @@
   std::uint32_t generation = 0;
   /// The newest set that the sender knows and whose quorum it considers lost; a voter that knows a
   /// newer set refuses.
-  VoterSetVersion judged;
-  MSGPACK_DEFINE(generation, judged)
+  VoterSetVersion lost_set;
+  MSGPACK_DEFINE(generation, lost_set)
 };
 
 struct SealReply {
--- a/src/cypresswall/lease/store_lease.cpp
+++ b/src/cypresswall/lease/store_lease.cpp
@@ -56,7 +56,7 @@
   if (held_ == epoch) {
     lose("superseded");
     seen_outdated_ = true;
-    callAgainAfter(settings_.duration);
+    scheduleNextCall(settings_.duration);
   }
 }
 
@@ -110,7 +110,7 @@
     seen_.emplace().since = context_.clock.now();
     seen_outdated_ = false;
   } else {
-    callAgainAfter(settings_.retry_delay);
+    scheduleNextCall(settings_.retry_delay);
   }
 }
 
@@ -139,7 +139,7 @@
   }
   seen_outdated_ = true;
   if (result.failure().kind != StoreFailure::kConflict) {
-    callAgainAfter(settings_.retry_delay);
+    scheduleNextCall(settings_.retry_delay);
   }
 }
 
@@ -157,7 +157,7 @@
   } catch (const LeaseRecordError& error) {
     // Must not be overwritten: the new term could be lower than one that was already used.
     seen_outdated_ = true;
-    callAgainAfter(settings_.duration + settings_.handover_gap);
+    scheduleNextCall(settings_.duration + settings_.handover_gap);
     unreadable_.add();
     if (!std::exchange(unreadable_logged_, true)) {
       common::LogEvent(context_.log, common::LogLevel::kWarning, "stored_lease_unreadable")
@@ -213,7 +213,7 @@
   }
 }
 
-void StoreLease::callAgainAfter(common::Duration delay) {
+void StoreLease::scheduleNextCall(common::Duration delay) {
   next_call_at_ = context_.clock.now() + delay;
 }
 
--- a/src/cypresswall/lease/store_lease.h
+++ b/src/cypresswall/lease/store_lease.h
@@ -80,7 +80,7 @@
   bool running() const;
   void hold();
   void lose(const char* reason);
-  void callAgainAfter(common::Duration delay);
+  void scheduleNextCall(common::Duration delay);
 
   StoreLeaseSettings settings_;
   const api::ProcessContext& context_;
--- a/src/cypresswall/lease/voter.cpp
+++ b/src/cypresswall/lease/voter.cpp
@@ -7,7 +7,7 @@
 LeaseReply Voter::handle(const common::NodeId& sender, const LeaseRequest& request) {
   LeaseReply reply;
   reply.request = request.request;
-  reply.verdict = judge(sender, request);
+  reply.verdict = evaluate(sender, request);
   if (reply.verdict == GrantVerdict::kGranted && !request.probe) {
     const auto expires = clock_.now() + common::Duration(request.duration_us);
     const bool same_epoch = grant_ && grant_->epoch == request.epoch;
@@ -25,8 +25,8 @@
   return reply;
 }
 
-GrantVerdict Voter::judge(const common::NodeId& sender, const LeaseRequest& request) {
-  const GrantVerdict set_verdict = judgeSet(request);
+GrantVerdict Voter::evaluate(const common::NodeId& sender, const LeaseRequest& request) {
+  const GrantVerdict set_verdict = evaluateSet(request);
   if (set_verdict != GrantVerdict::kGranted) {
     return set_verdict;
   }
@@ -47,7 +47,7 @@
   return GrantVerdict::kGranted;
 }
 
-GrantVerdict Voter::judgeSet(const LeaseRequest& request) {
+GrantVerdict Voter::evaluateSet(const LeaseRequest& request) {
   if (request.epoch.generation != request.set_version.generation) {
     return GrantVerdict::kNotMember;
   }
@@ -114,7 +114,7 @@
 }
 
 SealReply Voter::handle(const SealRequest& request) {
-  const bool agreed = request.judged >= newest_set_.version;
+  const bool agreed = request.lost_set >= newest_set_.version;
   if (agreed) {
     lowest_generation_ = std::max(lowest_generation_, request.generation);
   }
--- a/src/cypresswall/lease/voter.h
+++ b/src/cypresswall/lease/voter.h
@@ -49,8 +49,8 @@
     common::MonotonicTime expires;
   };
 
-  GrantVerdict judge(const common::NodeId& sender, const LeaseRequest& request);
-  GrantVerdict judgeSet(const LeaseRequest& request);
+  GrantVerdict evaluate(const common::NodeId& sender, const LeaseRequest& request);
+  GrantVerdict evaluateSet(const LeaseRequest& request);
   /// Promises `epoch` to its holder.
   /// \return false if requests of that epoch must be refused
   bool acceptEpoch(const common::NodeId& sender, const common::Epoch& epoch);
--- a/src/cypresswall/membership/machine_registry.cpp
+++ b/src/cypresswall/membership/machine_registry.cpp
@@ -193,7 +193,7 @@
   return leaving_addresses_.contains(hostOf(address));
 }
 
-bool MachineRegistry::addressGone(const common::Address& address) const {
+bool MachineRegistry::isAddressGone(const common::Address& address) const {
   return gone_addresses_.contains(hostOf(address));
 }
 
--- a/src/cypresswall/membership/machine_registry.h
+++ b/src/cypresswall/membership/machine_registry.h
@@ -34,7 +34,7 @@
   /// \param address an IP address, or "IP:port"
   bool addressLeaving(const common::Address& address) const;
   /// \return true if the list shows every machine with this IP address as gone
-  bool addressGone(const common::Address& address) const;
+  bool isAddressGone(const common::Address& address) const;
   /// \return the IP addresses of live machines, sorted
   const std::set<std::string>& liveAddresses() const { return live_addresses_; }
   /// \return the version to compare with peers; zero if each node reads the list for itself
--- a/src/cypresswall/membership/membership.cpp
+++ b/src/cypresswall/membership/membership.cpp
@@ -507,7 +507,7 @@
   }
   const bool own_earlier_incarnation =
       node.address == context_.self.address && node.incarnation != context_.self.incarnation;
-  return own_earlier_incarnation || peers_.replaced(node) || machines_.addressGone(node.address);
+  return own_earlier_incarnation || peers_.replaced(node) || machines_.isAddressGone(node.address);
 }
 
 void Membership::onChange(std::function<void()> listener) {
--- a/src/cypresswall/orders/zone_controller.cpp
+++ b/src/cypresswall/orders/zone_controller.cpp
@@ -190,8 +190,8 @@
          control->second->pausedUntil() <= context_.clock.now();
 }
 
-bool ZoneController::withinAwayLimit(const common::ModelName& model,
-                                     const std::vector<routing::EngineRecord>& records) const {
+bool ZoneController::withinUnavailableLimit(
+    const common::ModelName& model, const std::vector<routing::EngineRecord>& records) const {
   std::size_t engines = 0;
   std::size_t away = 0;
   for (const routing::EngineRecord& record : records) {
@@ -238,7 +238,7 @@
     if (!change) {
       continue;
     }
-    if (!change->drain || withinAwayLimit(record.declaration.model, records)) {
+    if (!change->drain || withinUnavailableLimit(record.declaration.model, records)) {
       controls_.at(record.declaration.name)->start(*change);
     }
   }
--- a/src/cypresswall/orders/zone_controller.h
+++ b/src/cypresswall/orders/zone_controller.h
@@ -78,8 +78,8 @@
   void logPlan() const;
   void planRoles(const std::vector<routing::EngineRecord>& records);
   bool isChangeable(const routing::EngineRecord& record) const;
-  bool withinAwayLimit(const common::ModelName& model,
-                       const std::vector<routing::EngineRecord>& records) const;
+  bool withinUnavailableLimit(const common::ModelName& model,
+                              const std::vector<routing::EngineRecord>& records) const;
   void cancelObsoleteDrain(const routing::EngineRecord& record);
   void onChangeEnded(const ChangeRecord& record);
   void reportDemand();
--- a/src/cypresswall/request_trace/log_record_parser.cpp
+++ b/src/cypresswall/request_trace/log_record_parser.cpp
@@ -21,13 +21,13 @@
     complete_ = complete_ && fields_.has(key);
     return fields_.text(key);
   }
-  std::string textIfThere(std::string_view key) const { return fields_.text(key); }
+  std::string optionalText(std::string_view key) const { return fields_.text(key); }
   std::int64_t number(std::string_view key) {
     const auto number = fields_.number(key);
     complete_ = complete_ && number.has_value();
     return number.value_or(0);
   }
-  std::optional<std::int64_t> numberIfThere(std::string_view key) const {
+  std::optional<std::int64_t> optionalNumber(std::string_view key) const {
     return fields_.number(key);
   }
   Milliseconds milliseconds(std::string_view key) { return Milliseconds(number(key)); }
@@ -45,7 +45,7 @@
   event.service = fields.text("service");
   event.engine = fields.text("engine");
   event.prefill_engine = fields.text("prefill_engine");
-  event.tokens_given = fields.numberIfThere("tokens_given");
+  event.tokens_given = fields.optionalNumber("tokens_given");
   event.prompt_tokens = fields.number("prompt_tokens");
   event.cached_tokens = fields.number("cached_tokens");
   event.copied_tokens = fields.number("copied_tokens");
@@ -102,11 +102,11 @@
 
 Event readEnded(FieldReader& fields) {
   return RequestEnded{fields.text("request"), fields.text("service"), fields.text("result"),
-                      fields.text("reason"), fields.numberIfThere("output_tokens")};
+                      fields.text("reason"), fields.optionalNumber("output_tokens")};
 }
 
 Event readConfiguration(FieldReader& fields) {
-  return ConfigurationApplied{fields.number("version"), fields.numberIfThere("runners")};
+  return ConfigurationApplied{fields.number("version"), fields.optionalNumber("runners")};
 }
 
 Event readEjected(FieldReader& fields) {
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -580,11 +580,11 @@
   const EngineSlot slot = awaited.mapped().engine;
   const EngineEstimate& engine = estimates_.estimate(slot);
   // Prompts computed between the output's steps would be counted as step time.
-  const bool tells =
+  const bool measurable =
       !engine.has_backlog && awaited.mapped().tokens >= settings_.output_speed.minimum_tokens;
   const double step = stepSeconds(engine, streamsOn(engine)) / engine.step_scale;
   output_speeds_.begin(stream_id, table_.record(slot).load.model,
-                       tells ? awaited.mapped().tokens * step : 0,
+                       measurable ? awaited.mapped().tokens * step : 0,
                        toModelTime(context_.clock.now()));
 }
 
--- a/src/cypresswall/routing/engine_table.cpp
+++ b/src/cypresswall/routing/engine_table.cpp
@@ -165,7 +165,8 @@
 
 void EngineTable::sweep(common::MonotonicTime now) { refreshAll(now); }
 
-EngineAvailability EngineTable::judge(const Entry& entry, common::MonotonicTime now) const {
+EngineAvailability EngineTable::evaluateAvailability(const Entry& entry,
+                                                     common::MonotonicTime now) const {
   const EngineRecord& record = entry.record;
   if (entry.machine_leaving) {
     return EngineAvailability::kMachineLeaving;
@@ -199,7 +200,7 @@
 
 void EngineTable::refresh(EngineSlot slot, common::MonotonicTime now) {
   Entry& entry = entries_[slot];
-  const EngineAvailability availability = judge(entry, now);
+  const EngineAvailability availability = evaluateAvailability(entry, now);
   if (availability != entry.record.availability) {
     entry.record.availability = availability;
     candidate_lists_.clear();
--- a/src/cypresswall/routing/engine_table.h
+++ b/src/cypresswall/routing/engine_table.h
@@ -82,7 +82,7 @@
 
   EngineSlot takeSlot();
   void applyOperatorDrains(const configuration::FleetConfiguration& fleet);
-  EngineAvailability judge(const Entry& entry, common::MonotonicTime now) const;
+  EngineAvailability evaluateAvailability(const Entry& entry, common::MonotonicTime now) const;
   /// Recomputes availability; invalidates cached candidate lists if it changed.
   void refresh(EngineSlot slot, common::MonotonicTime now);
   void refreshAll(common::MonotonicTime now);
--- a/src/cypresswall/runtime/curl_job.cpp
+++ b/src/cypresswall/runtime/curl_job.cpp
@@ -172,7 +172,7 @@
     return CURL_WRITEFUNC_ERROR;
   }
   if (streaming_) {
-    giveHead();
+    forwardHead();
     if (abandoned()) {
       return CURL_WRITEFUNC_ERROR;
     }
@@ -189,7 +189,7 @@
   return bytes.size();
 }
 
-void CurlJob::giveHead() {
+void CurlJob::forwardHead() {
   if (!std::exchange(head_forwarded_, true)) {
     handler_->onHead(response_);
   }
--- a/src/cypresswall/runtime/curl_job.h
+++ b/src/cypresswall/runtime/curl_job.h
@@ -60,7 +60,7 @@
   void configureTimeLimits();
   std::size_t takeBody(std::string_view bytes);
   void takeHeader(std::string_view line);
-  void giveHead();
+  void forwardHead();
   CurlOutcome outcomeOf(CURLcode code) const;
   long numberOf(CURLINFO info) const;
   void deliver(CurlResponse response);
--- a/src/cypresswall/runtime/tcp_peer_transport.cpp
+++ b/src/cypresswall/runtime/tcp_peer_transport.cpp
@@ -139,7 +139,7 @@
       return;
     }
     if (error) {
-      acceptAgainLater();
+      scheduleAccept();
       return;
     }
     addIncoming(std::move(socket));
@@ -147,7 +147,7 @@
   });
 }
 
-void TcpPeerTransport::acceptAgainLater() {
+void TcpPeerTransport::scheduleAccept() {
   accept_timer_.expires_after(kAcceptRetryDelay);
   accept_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](const std::error_code&) {
     if (!alive.expired()) {
--- a/src/cypresswall/runtime/tcp_peer_transport.h
+++ b/src/cypresswall/runtime/tcp_peer_transport.h
@@ -55,7 +55,7 @@
   OutgoingPeer* outgoingTo(const common::Address& address);
   void deliverToSelf(api::Envelope envelope);
   void accept();
-  void acceptAgainLater();
+  void scheduleAccept();
   void addIncoming(asio::ip::tcp::socket socket);
   void removeIncoming(const std::shared_ptr<IncomingPeer>& peer) { incoming_.erase(peer); }
   /// Handles one received frame. \throws api::MessageError if the sender doesn't speak this
--- a/src/cypresswall/store_relay/change_packer.cpp
+++ b/src/cypresswall/store_relay/change_packer.cpp
@@ -49,7 +49,8 @@
   }
 }
 
-void ChangePacker::note(const std::string& name, std::uint64_t revision, const Json& content) {
+void ChangePacker::storePlain(const std::string& name, std::uint64_t revision,
+                              const Json& content) {
   keep(name, revision, content, textOf(content));
 }
 
@@ -142,7 +143,7 @@
   if (change.encoding == ContentEncoding::kPackedDifference) {
     Json content = patched(change);
     if (content.is_object() && !holds(change.name, change.revision)) {
-      note(change.name, change.revision, content);
+      storePlain(change.name, change.revision, content);
     }
     return content;
   }
--- a/src/cypresswall/store_relay/change_packer.h
+++ b/src/cypresswall/store_relay/change_packer.h
@@ -32,7 +32,7 @@
   explicit ChangePacker(const ChangePackerSettings& settings = {}) : settings_(settings) {}
 
   /// Stores the content of an object that was put, without packing it.
-  void note(const std::string& name, std::uint64_t revision, const Json& content);
+  void storePlain(const std::string& name, std::uint64_t revision, const Json& content);
   /// Packs an object that was put, and stores its content.
   StoreChange packPut(const std::string& name, std::uint64_t revision, const Json& content);
   StoreChange packRemoval(const std::string& name, std::uint64_t revision);
--- a/tests/emulation/engine_changes_test.cpp
+++ b/tests/emulation/engine_changes_test.cpp
@@ -28,16 +28,16 @@
     const auto first = EngineFixture::order(2, 1, EngineRole::kPrefill);
     CPPUNIT_ASSERT(engine.handleOrder(first)->verdict == OrderVerdict::kAccepted);
     CPPUNIT_ASSERT(engine.handleOrder(first)->verdict == OrderVerdict::kDuplicate);
-    CPPUNIT_ASSERT(judge(engine, 2, 1, EngineRole::kDecode) == OrderVerdict::kConflict);
-    CPPUNIT_ASSERT(judge(engine, 2, 2, EngineRole::kDecode) == OrderVerdict::kBusy);
-    CPPUNIT_ASSERT(judge(engine, 1, 9, EngineRole::kDecode) == OrderVerdict::kStaleEpoch);
+    CPPUNIT_ASSERT(evaluate(engine, 2, 1, EngineRole::kDecode) == OrderVerdict::kConflict);
+    CPPUNIT_ASSERT(evaluate(engine, 2, 2, EngineRole::kDecode) == OrderVerdict::kBusy);
+    CPPUNIT_ASSERT(evaluate(engine, 1, 9, EngineRole::kDecode) == OrderVerdict::kStaleEpoch);
     auto fence = EngineFixture::order(3, 1, EngineRole::kMixed);
     fence.content.kind = engines::OrderKind::kRaiseFence;
     CPPUNIT_ASSERT(engine.handleOrder(fence)->verdict == OrderVerdict::kAccepted);
     CPPUNIT_ASSERT(engine.handleOrder(fence)->in_progress);
-    CPPUNIT_ASSERT(judge(engine, 2, 2, EngineRole::kDecode) == OrderVerdict::kStaleEpoch);
+    CPPUNIT_ASSERT(evaluate(engine, 2, 2, EngineRole::kDecode) == OrderVerdict::kStaleEpoch);
     fixture_.time.runFor(seconds(10));
-    CPPUNIT_ASSERT(judge(engine, 3, 2, EngineRole::kDecode) == OrderVerdict::kAccepted);
+    CPPUNIT_ASSERT(evaluate(engine, 3, 2, EngineRole::kDecode) == OrderVerdict::kAccepted);
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, engine.ledger().orders.size());
   }
 
@@ -45,10 +45,10 @@
     EmulatedEngine& engine = fixture_.addEngine({});
     RecordingObserver observer(fixture_.time);
     engine.startStream(EngineFixture::request("a", 10, 50), observer);
-    CPPUNIT_ASSERT(judge(engine, 1, 1, EngineRole::kPrefill) == OrderVerdict::kBusy);
+    CPPUNIT_ASSERT(evaluate(engine, 1, 1, EngineRole::kPrefill) == OrderVerdict::kBusy);
     fixture_.time.runFor(seconds(10));
     CPPUNIT_ASSERT(observer.finished);
-    CPPUNIT_ASSERT(judge(engine, 1, 1, EngineRole::kPrefill) == OrderVerdict::kAccepted);
+    CPPUNIT_ASSERT(evaluate(engine, 1, 1, EngineRole::kPrefill) == OrderVerdict::kAccepted);
   }
 
   void changeWithoutOnlyIfIdleCutsStreams() {
@@ -123,7 +123,7 @@
     engine.crash();
     fixture_.time.runFor(seconds(10));
     CPPUNIT_ASSERT(engine.load()->highest_epoch == common::Epoch{});
-    CPPUNIT_ASSERT(judge(engine, 4, 1, EngineRole::kDecode) == OrderVerdict::kWrongIncarnation);
+    CPPUNIT_ASSERT(evaluate(engine, 4, 1, EngineRole::kDecode) == OrderVerdict::kWrongIncarnation);
   }
 
   void staleEpochsNeverTakeEffect() {
@@ -155,8 +155,8 @@
   }
 
  private:
-  static OrderVerdict judge(EmulatedEngine& engine, std::uint32_t term, std::uint64_t sequence,
-                            EngineRole role) {
+  static OrderVerdict evaluate(EmulatedEngine& engine, std::uint32_t term, std::uint64_t sequence,
+                               EngineRole role) {
     return engine.handleOrder(EngineFixture::order(term, sequence, role))->verdict;
   }
 
--- a/tests/node/large_zone_fleet_test.cpp
+++ b/tests/node/large_zone_fleet_test.cpp
@@ -1,4 +1,4 @@
-/// Complete nodes of one large zone, in which only a few nodes make decisions for an engine. Guards
+/// Complete nodes of one large zone, in which only a few nodes route to an engine. Guards
 /// against wrong, truncated or lost responses when those nodes crash, pause, stop or restart.
 #include <algorithm>
 #include <memory>
--- a/tests/orders/order_invariants_test.cpp
+++ b/tests/orders/order_invariants_test.cpp
@@ -68,7 +68,7 @@
     for (std::size_t node = 0; node < kNodes; ++node) {
       zone.restart(node);
     }
-    zone.giveLease(0);
+    zone.assignLease(0);
     zone.run(std::chrono::seconds(3));
   }
 
@@ -79,7 +79,7 @@
         zone.script.wanted = {{ZoneFixture::nameOf(any_engine), roleOf(action.choice)}};
         break;
       case Step::kMoveLease:
-        zone.giveLease(liveNode(action.choice));
+        zone.assignLease(liveNode(action.choice));
         break;
       case Step::kKillHolder:
         killHolder();
@@ -136,7 +136,7 @@
       }
     }
     if (zone.holder() < 0) {
-      zone.giveLease(0);
+      zone.assignLease(0);
     }
     std::string wrong = zone.unsettled();
     zone.simulation.time().runUntilTrue([&] { return (wrong = zone.unsettled()).empty(); },
@@ -175,7 +175,7 @@
     zone.kill(node);
     zone.run(std::chrono::milliseconds(700));
     if (held) {
-      zone.giveLease(liveNode(node + 1));
+      zone.assignLease(liveNode(node + 1));
     }
   }
   void pauseHolder(std::uint64_t choice) {
@@ -187,7 +187,7 @@
     zone.simulation.pauseFor(*zone.nodes[index].process,
                              std::chrono::milliseconds(500 + choice % 4000));
     zone.run(std::chrono::milliseconds(400));
-    zone.giveLease(liveNode(index + 1));
+    zone.assignLease(liveNode(index + 1));
   }
   void lapse() {
     const common::NodeId holder = zone.lease_state.holder;
--- a/tests/orders/zone_controller_test.cpp
+++ b/tests/orders/zone_controller_test.cpp
@@ -170,7 +170,7 @@
     startDrain(zone);
     zone.kill(0);
     zone.run(kSecond);
-    zone.giveLease(1);
+    zone.assignLease(1);
     zone.run(kSecond / 2);
     CPPUNIT_ASSERT(zone.nodes[1].controller->drains().engines().empty());
     CPPUNIT_ASSERT(zone.nodes[2].controller->drains().engines().empty());
@@ -193,7 +193,7 @@
     ZoneFixture zone(11, 2, 3);
     zone.settings.drain.timeout = 2 * kSecond;
     zone.restart(0);
-    zone.giveLease(0);
+    zone.assignLease(0);
     zone.run(3 * kSecond);
     engines::StreamRequest endless;
     endless.stream_id = "endless";
@@ -231,7 +231,7 @@
     zone.run(2 * kSecond);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, zone.lease_state.needed_by.size());
     CPPUNIT_ASSERT(zone.lease_state.needed_by.contains(zone.lease_state.planner));
-    zone.giveLease(1);
+    zone.assignLease(1);
     zone.run(15 * kSecond);
     CPPUNIT_ASSERT(zone.engine(2).currentLoad().role == EngineRole::kPrefill);
     CPPUNIT_ASSERT(zone.lease_state.needed_by.empty());
@@ -242,7 +242,7 @@
     ZoneFixture zone(12, 2, 3);
     zone.settings.demand.short_window = kSecond;
     zone.restart(0);
-    zone.giveLease(0);
+    zone.assignLease(0);
     zone.engines.faults.orders.answer_lost = 0.4;
     const auto holder = zone.lease_state.holder;
     for (int i = 0; i < 30; ++i) {
--- a/tests/orders/zone_fixture.cpp
+++ b/tests/orders/zone_fixture.cpp
@@ -149,7 +149,7 @@
   for (std::size_t node = 0; node < nodes.size(); ++node) {
     restart(node);
   }
-  giveLease(0);
+  assignLease(0);
 }
 
 std::string ZoneFixture::nameOf(int i) { return "e" + std::to_string(100 + i); }
@@ -186,7 +186,7 @@
   shareMembers();
 }
 
-void ZoneFixture::giveLease(std::size_t node) {
+void ZoneFixture::assignLease(std::size_t node) {
   ++lease_state.epoch.term;
   lease_state.holder = nodes[node].process->id();
 }
--- a/tests/orders/zone_fixture.h
+++ b/tests/orders/zone_fixture.h
@@ -172,7 +172,7 @@
   void restart(std::size_t node);
   void kill(std::size_t node);
   /// Assigns the lease to a node under the next epoch.
-  void giveLease(std::size_t node);
+  void assignLease(std::size_t node);
   void loseLease() { lease_state.holder = {}; }
   void run(common::Duration time) { simulation.time().runFor(time); }
   void setConfiguration();
--- a/tests/properties/authority/lease_history.cpp
+++ b/tests/properties/authority/lease_history.cpp
@@ -47,7 +47,7 @@
   zone = Zone{*epoch, self, now};
 }
 
-bool LeaseHistory::everyZoneHeld() const {
+bool LeaseHistory::everyZoneHasHolder() const {
   std::map<std::uint32_t, int> holders;
   for (std::size_t index = 0; index < fleet_.nodeCount(); ++index) {
     const auto& slot = fleet_.slot(index);
--- a/tests/properties/authority/lease_history.h
+++ b/tests/properties/authority/lease_history.h
@@ -26,7 +26,7 @@
   /// \return the lengths of all periods in which a zone had no holder.
   const std::vector<common::Duration>& gaps() const { return gaps_; }
   /// \return true if each zone currently has exactly one holder.
-  bool everyZoneHeld() const;
+  bool everyZoneHasHolder() const;
 
  private:
   struct Zone {
--- a/tests/properties/authority/one_holder_test.cpp
+++ b/tests/properties/authority/one_holder_test.cpp
@@ -65,13 +65,13 @@
       fleet.time().runFor(kFaultTime);
       player.endAll();
       const bool held =
-          fleet.time().runUntilTrue([&] { return history.everyZoneHeld(); }, kHeldAgainWithin);
+          fleet.time().runUntilTrue([&] { return history.everyZoneHasHolder(); }, kHeldAgainWithin);
       RC_ASSERT(held);
       fleet.time().runFor(seconds(5));
       for (const std::string& violation : history.violations()) {
         RC_FAIL(violation);
       }
-      RC_ASSERT(history.everyZoneHeld());
+      RC_ASSERT(history.everyZoneHasHolder());
       faults.merge(fleet.faults());
       faults.add(FaultKind::kLeaseExpired, history.holderChanges());
       changes += history.holderChanges();
--- a/tests/properties/configuration/accepted_configuration_test.cpp
+++ b/tests/properties/configuration/accepted_configuration_test.cpp
@@ -98,7 +98,7 @@
     ++tally.timed;
     RC_LOG() << "version " << change.result->version << " accepted at "
              << common::toSeconds(from.time_since_epoch()) << " s\n";
-    RC_ASSERT(history.heldEverywhere(change.result->version, from, from + kInForceWithin));
+    RC_ASSERT(history.inForceEverywhere(change.result->version, from, from + kInForceWithin));
   }
 }
 
--- a/tests/properties/configuration/configuration_history.cpp
+++ b/tests/properties/configuration/configuration_history.cpp
@@ -42,8 +42,8 @@
   samples.push_back({fleet_.time().now(), configuration->version, !slot.process->paused()});
 }
 
-bool ConfigurationHistory::heldEverywhere(std::uint64_t version, common::MonotonicTime from,
-                                          common::MonotonicTime to) const {
+bool ConfigurationHistory::inForceEverywhere(std::uint64_t version, common::MonotonicTime from,
+                                             common::MonotonicTime to) const {
   return std::all_of(samples_.begin(), samples_.end(), [&](const auto& entry) {
     const auto& samples = entry.second;
     const auto inTime = [&](const Sample& sample) { return sample.at >= from && sample.at <= to; };
--- a/tests/properties/configuration/configuration_history.h
+++ b/tests/properties/configuration/configuration_history.h
@@ -22,8 +22,8 @@
   const std::vector<std::string>& violations() const { return violations_; }
   /// \return true if every process that ran without a pause over the whole interval held at least
   ///   `version` at its end; other processes are ignored.
-  bool heldEverywhere(std::uint64_t version, common::MonotonicTime from,
-                      common::MonotonicTime to) const;
+  bool inForceEverywhere(std::uint64_t version, common::MonotonicTime from,
+                         common::MonotonicTime to) const;
   /// \return true if a network partition, between zones or inside one, was observed in that
   ///   interval.
   bool cutWithin(common::MonotonicTime from, common::MonotonicTime to) const;
--- a/tests/quarantine/crashing_requests_test.cpp
+++ b/tests/quarantine/crashing_requests_test.cpp
@@ -95,7 +95,7 @@
     return crashes;
   }
   /// \return arrivals of the crashing request after the fleet should have quarantined it
-  std::size_t arrivalsOnceKnown() const {
+  std::size_t arrivalsAfterDetection() const {
     std::vector<common::MonotonicTime> arrivals;
     std::vector<common::MonotonicTime> ends;
     for (const auto& [address, engine] : fleet_->engines().all()) {
@@ -168,9 +168,10 @@
       }
       const std::string at = ", seed " + std::to_string(seed);
       CPPUNIT_ASSERT_MESSAGE("no engine crashed" + at, fleet.crashes() > 0);
-      CPPUNIT_ASSERT_MESSAGE("arrivals once known: " + std::to_string(fleet.arrivalsOnceKnown()) +
-                                 ", engines ended: " + std::to_string(fleet.crashes()) + at,
-                             fleet.arrivalsOnceKnown() <= kAllowedArrivals);
+      CPPUNIT_ASSERT_MESSAGE(
+          "arrivals once known: " + std::to_string(fleet.arrivalsAfterDetection()) +
+              ", engines ended: " + std::to_string(fleet.crashes()) + at,
+          fleet.arrivalsAfterDetection() <= kAllowedArrivals);
       CPPUNIT_ASSERT_MESSAGE("engines ended: " + std::to_string(fleet.crashes()) + at,
                              fleet.crashes() <= kMaximumCrashes);
       CPPUNIT_ASSERT_MESSAGE(
--- a/tests/routing/placement_test.cpp
+++ b/tests/routing/placement_test.cpp
@@ -501,8 +501,8 @@
     PlacementZone::Node& owner = *zone.ownersOf().front();
     AttemptProgress progress;
     progress.stream_id = "a";
-    const std::size_t stranger = asker == 0 ? 1 : 0;
-    const auto& context = zone.nodes[stranger].process->context();
+    const std::size_t non_placing_node = asker == 0 ? 1 : 0;
+    const auto& context = zone.nodes[non_placing_node].process->context();
     context.sendTo(owner.process->id(), progress);
     progress.stream_id = "no such stream";
     context.sendTo(owner.process->id(), progress);
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -109,11 +109,11 @@
       }
       requests_.push_back(connection.received.substr(0, size));
       connection.received.erase(0, size);
-      giveAnswer(connection);
+      sendAnswer(connection);
     }
   }
 
-  void giveAnswer(Connection& connection) {
+  void sendAnswer(Connection& connection) {
     if (answers_.empty()) {
       return;
     }
