--- a/tests/store_relay/change_packer_test.cpp
+++ b/tests/store_relay/change_packer_test.cpp
@@ -59,7 +59,7 @@
 
   void manyAddedRoutesFitBusyLink() {
     ChangePacker packer;
-    packer.note(kName, 3, routes(12));
+    packer.storePlain(kName, 3, routes(12));
     const Json content = routes(1400);
     CPPUNIT_ASSERT(content.dump().size() * 8 / kBusyLinkBitsPerSecond > kSecondsToApply);
     CPPUNIT_ASSERT(secondsOnABusyLink(packer.packPut(kName, 4, content)) < kSecondsToApply);
@@ -70,8 +70,8 @@
     ChangePacker packer;
     ChangePacker peer;
     Json content = routes(14000);
-    packer.note(kName, 3, content);
-    peer.note(kName, 3, content);
+    packer.storePlain(kName, 3, content);
+    peer.storePlain(kName, 3, content);
     content["routes"][7]["timeout_ms"] = 1;
     content["routes"].push_back({{"name", "new"}});
     const StoreChange change = packer.packPut(kName, 4, content);
@@ -83,12 +83,12 @@
   void differenceNeedsItsBase() {
     ChangePacker packer;
     ChangePacker peer;
-    packer.note(kName, 3, routes(100));
+    packer.storePlain(kName, 3, routes(100));
     const StoreChange change = packer.packPut(kName, 4, routes(101));
     CPPUNIT_ASSERT(!peer.canUnpack(change));
-    peer.note(kName, 2, routes(99));
+    peer.storePlain(kName, 2, routes(99));
     CPPUNIT_ASSERT(!peer.canUnpack(change));
-    peer.note(kName, 3, routes(100));
+    peer.storePlain(kName, 3, routes(100));
     CPPUNIT_ASSERT(peer.canUnpack(change));
     CPPUNIT_ASSERT(peer.unpack(change) == routes(101));
   }
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT(!packer.unpack(change).is_object());
     change.encoding = ContentEncoding::kPacked;
     CPPUNIT_ASSERT(!packer.unpack(change).is_object());
-    packer.note(kName, 3, routes(100));
+    packer.storePlain(kName, 3, routes(100));
     change.encoding = ContentEncoding::kPackedDifference;
     change.base_revision = 3;
     CPPUNIT_ASSERT(!packer.unpack(change).is_object());
@@ -110,8 +110,8 @@
       ChangePacker packer;
       ChangePacker peer;
       Json content = routes(*rc::gen::inRange(0, 60));
-      packer.note(kName, 1, content);
-      peer.note(kName, 1, content);
+      packer.storePlain(kName, 1, content);
+      peer.storePlain(kName, 1, content);
       for (std::uint64_t revision = 2; revision < 10; ++revision) {
         content = routes(*rc::gen::inRange(0, 60));
         content["extra"] = *rc::gen::inRange(0, 3);
