--- a/src/cypresswall/admission/admission.h
+++ b/src/cypresswall/admission/admission.h
@@ -21,7 +21,7 @@
 
 enum class RefusalReason { kTenantRequestLimit, kTenantTokenLimit, kShedding, kDraining };
 
-/// A refusal; final and returned without delay.
+/// A refusal. It is returned at once; the refused request is not queued.
 struct Refusal {
   RefusalReason reason = RefusalReason::kShedding;
   /// Time after which the caller should retry.
@@ -32,7 +32,8 @@
 class AdmissionController {
  public:
   virtual ~AdmissionController() = default;
-  /// \return empty if admitted, in which case released() must be called once when the request ends
+  /// \return an empty value if the request is admitted; the caller must then call released() once
+  ///   when the request ends
   virtual std::optional<Refusal> admit(const AdmissionRequest& request) = 0;
   virtual void released(const AdmissionRequest& request) = 0;
 };
--- a/src/cypresswall/admission/admission_settings.h
+++ b/src/cypresswall/admission/admission_settings.h
@@ -8,7 +8,8 @@
 namespace cypresswall::admission {
 
 struct AdmissionSettings {
-  /// Bucket capacity of a tenant, as time at its full rate.
+  /// Capacity of a tenant's token bucket, expressed as the time in which the tenant's rate fills
+  /// the empty bucket.
   common::Duration burst = std::chrono::seconds(2);
   /// Bounds of the Retry-After returned with a refusal.
   common::Duration minimum_retry_after = std::chrono::seconds(1);
@@ -17,20 +18,23 @@
   common::Duration draining_retry_after = std::chrono::seconds(1);
   /// Maximum concurrent requests on this node, which bounds its memory use.
   std::uint32_t maximum_in_flight = 5000;
-  /// Minimum interval between allowance requests to peers for the same tenant.
+  /// Minimum interval between two requests to peers for unused allowance of the same tenant.
   common::Duration exchange_period = std::chrono::milliseconds(250);
-  /// Fraction of its bucket level that a peer donates.
+  /// Fraction of its bucket's level that a node donates when a peer requests allowance.
   double donated_share = 0.5;
 };
 
-/// Rate at which load shedding reacts to refusals by the router.
+/// How fast load shedding follows refusals by the router. The shedding level is the number of
+/// urgency classes that are shed (see SheddingLevel).
 struct SheddingSettings {
+  /// Period over which refusals are counted before the level is adjusted.
   common::Duration window = std::chrono::milliseconds(250);
-  /// Fraction of refused requests in a window above which the shedding level rises.
+  /// The shedding level rises after a window in which more than this fraction of the counted
+  /// requests was refused.
   double refused_share = 0.02;
-  /// Change of the shedding level, in urgency classes, after an overloaded window and after any
-  /// other window.
+  /// Increase of the shedding level after such a window, in urgency classes.
   double step_up = 0.2;
+  /// Decrease of the shedding level after any other window, in urgency classes.
   double step_down = 0.05;
 };
 
--- a/src/cypresswall/admission/engine_priority.h
+++ b/src/cypresswall/admission/engine_priority.h
@@ -7,7 +7,8 @@
 
 namespace cypresswall::admission {
 
-/// Each urgency has two priorities; the higher one is for resumed answers.
+/// Each urgency maps to two priorities: the lower one for new requests, the higher one for requests
+/// that resume an interrupted answer.
 constexpr std::uint8_t kPrioritiesPerUrgency = 2;
 constexpr std::uint8_t kLowestPriority = 1;
 
--- a/src/cypresswall/admission/load_probe.h
+++ b/src/cypresswall/admission/load_probe.h
@@ -1,4 +1,4 @@
-/// Admission's view of the load on a model's engines.
+/// Interface through which admission control learns the load on a model's engines.
 #pragma once
 
 #include "cypresswall/common/identifiers.h"
@@ -13,7 +13,8 @@
   /// \return fraction of the requests of this urgency to admit, 0 to 1
   virtual double admittedShare(const common::ModelName& model,
                                configuration::Urgency urgency) const = 0;
-  /// \return estimated time until the model's queues have drained far enough
+  /// \return estimated time until the model's engines accept requests again, used as Retry-After;
+  ///   zero if none of the model's requests was refused for overload
   virtual common::Duration drainTime(const common::ModelName& model) const = 0;
 };
 
--- a/src/cypresswall/admission/messages.h
+++ b/src/cypresswall/admission/messages.h
@@ -7,7 +7,8 @@
 
 namespace cypresswall::admission {
 
-/// Requests allowance from a peer because the tenant has used up its share on this node.
+/// Requests unused allowance from a peer because the tenant has used up the sender's share of its
+/// limit. A peer without unused allowance does not answer.
 struct AllowanceRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kAdmissionFirst, 0);
   std::uint64_t sequence = 0;
@@ -15,7 +16,8 @@
   MSGPACK_DEFINE(sequence, tenant)
 };
 
-/// Allowance that the requested node has taken out of its own buckets.
+/// Answers an AllowanceRequest: allowance that the sender has taken out of its own buckets, in
+/// requests and in tokens.
 struct AllowanceGrant {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kAdmissionFirst, 1);
   std::uint64_t sequence = 0;
--- a/src/cypresswall/admission/observed_router.h
+++ b/src/cypresswall/admission/observed_router.h
@@ -12,9 +12,9 @@
 namespace cypresswall::admission {
 
 /// Load shedding of one model, measured in urgency classes: a level of 1.3 sheds all requests of
-/// the lowest urgency and 30 % of the next. The level rises while the router refuses requests of a
-/// class above the one currently being shed, and falls otherwise. The highest urgency is never
-/// shed.
+/// the lowest urgency and 30 % of the next. The level rises while the router refuses requests of
+/// classes above the one that is partly shed (at level 1.3, above the second lowest), and falls
+/// otherwise. The highest urgency is never shed.
 class SheddingLevel {
  public:
   explicit SheddingLevel(const SheddingSettings& settings) : settings_(settings) {}
@@ -38,7 +38,8 @@
   double level_ = 0;
 };
 
-/// Decorator that forwards all calls to a router and maintains a shedding level for each model.
+/// Decorator that forwards all calls to a router and derives a shedding level for each model from
+/// the router's choices.
 class ObservedRouter final : public routing::Router, public LoadProbe {
  public:
   ObservedRouter(routing::Router& router, const common::Clock& clock,
--- a/src/cypresswall/admission/tenant_limits.h
+++ b/src/cypresswall/admission/tenant_limits.h
@@ -1,5 +1,5 @@
-/// Zone-wide tenant limits without a central counter: each node enforces its share of a limit, and
-/// a node that runs short requests unused allowance from a peer.
+/// Zone-wide tenant limits without a central counter: each node enforces its share of a tenant's
+/// limit and, when a tenant has used up that share, requests unused allowance from a peer.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +19,8 @@
 
 /// A node's share is the limit divided by the number of nodes that serve callers, recomputed when
 /// that number changes. Transferred allowance is taken from the donor's bucket before it is sent,
-/// and grants are accepted once, so lost or duplicate messages can only reduce it. During a network
-/// partition each side divides the full limit among its own nodes.
+/// and each grant is accepted only once, so a lost or duplicate message can only reduce the total
+/// allowance. During a network partition each side divides the full limit among its own nodes.
 class TenantLimits {
  public:
   TenantLimits(const api::ProcessContext& process,
--- a/src/cypresswall/admission/token_bucket.cpp
+++ b/src/cypresswall/admission/token_bucket.cpp
@@ -7,8 +7,8 @@
 
 /// Fraction of its capacity below which a bucket donates nothing.
 constexpr double kMinimumDonorShare = 0.5;
-/// Absorbs rounding errors of repeated refills, so that a caller that honored its Retry-After is
-/// not refused.
+/// Tolerance, in tokens, for rounding errors of repeated refills. Without it, a caller that waited
+/// for its Retry-After could be refused again.
 constexpr double kTolerance = 1e-6;
 
 }  // namespace
--- a/src/cypresswall/admission/zone_admission_controller.cpp
+++ b/src/cypresswall/admission/zone_admission_controller.cpp
@@ -6,8 +6,8 @@
 namespace cypresswall::admission {
 namespace {
 
-/// Maximum random extension of the Retry-After of shed requests, as a fraction, so that their
-/// retries are spread over time.
+/// The Retry-After of a shed request is extended at random by up to this fraction, so that the
+/// retries of shed requests are spread over time.
 constexpr double kRetryAfterJitter = 0.5;
 
 const char* nameOf(RefusalReason reason) {
--- a/src/cypresswall/admission/zone_admission_controller.h
+++ b/src/cypresswall/admission/zone_admission_controller.h
@@ -29,7 +29,8 @@
   std::optional<Refusal> decide(const AdmissionRequest& request);
   bool shouldShed(const AdmissionRequest& request, const common::ModelName& model);
   Refusal refuse(RefusalReason reason, common::Duration retry_after, std::string message);
-  /// \return the model of a service, empty for plain HTTP services
+  /// \return the model of a service; the name itself if it is a model's name; empty for plain HTTP
+  ///   services
   common::ModelName modelOf(const common::ServiceName& service) const;
   common::Counter& refusedCounter(RefusalReason reason);
 
