--- a/src/cypresswall/admission/messages.h
+++ b/src/cypresswall/admission/messages.h
@@ -8,7 +8,7 @@
 namespace cypresswall::admission {
 
 /// Requests unused allowance from a peer because the tenant has used up the sender's share of its
-/// limit. A peer without unused allowance does not answer.
+/// limit. A peer whose buckets for the tenant are less than half full does not answer.
 struct AllowanceRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kAdmissionFirst, 0);
   std::uint64_t sequence = 0;
--- a/src/cypresswall/admission/observed_router.cpp
+++ b/src/cypresswall/admission/observed_router.cpp
@@ -34,10 +34,10 @@
   window_start_ = now;
 }
 
-/// \return true if the router refused more than the permitted share of the requests in classes
-///   above the one that is partly shed. Refusals in that class and in lower classes don't count:
-///   shedding already handles these classes, and shedding more of them would not help the classes
-///   above.
+/// \return true if the router refused more than SheddingSettings::refused_share of the requests in
+///   classes above the one that is partly shed. Refusals in that class and in lower classes don't
+///   count: shedding already handles these classes, and shedding more of them would not help the
+///   classes above.
 bool SheddingLevel::overloaded() const {
   Count remaining;
   for (auto rank = static_cast<std::size_t>(level_) + 1; rank < kClasses; ++rank) {
--- a/src/cypresswall/planning/baseline_planners.cpp
+++ b/src/cypresswall/planning/baseline_planners.cpp
@@ -23,7 +23,8 @@
   return found != input.changes_in_progress.end() && found->second > 0;
 }
 
-/// Adds the first change towards `wanted`, unless a change of the model is already in progress.
+/// Adds the change of the first engine whose role differs from its entry in `wanted`, unless a
+/// change of the same model is already in progress.
 void addFirstDifference(const PlanningInput& input, const common::ModelName& model,
                         const std::vector<const PlannedEngine*>& engines,
                         const std::vector<EngineRole>& wanted, Plan& plan) {
@@ -49,7 +50,9 @@
   return found;
 }
 
-/// \return the utilisation of the engines for one kind of work
+/// \return utilisation by one kind of work; infinite if there is demand but no speed
+/// \param demand tokens per second requested
+/// \param speed tokens per second that the engines can serve
 double utilisation(double demand, double speed) {
   if (demand <= 0) {
     return 0;
--- a/src/cypresswall/planning/baseline_planners.h
+++ b/src/cypresswall/planning/baseline_planners.h
@@ -13,15 +13,15 @@
   Plan plan(const PlanningInput&) override { return {}; }
 };
 
-/// Changes every engine to the role "mixed".
+/// Changes every engine to the role "mixed", one engine of each model at a time.
 class AllMixedPlanner final : public Planner {
  public:
   std::string name() const override { return "all-mixed"; }
   Plan plan(const PlanningInput& input) override;
 };
 
-/// Assigns the role "prefill" to a fixed share of each model's engines, in name order, and "decode"
-/// to the others.
+/// Assigns the role "prefill" to a fixed share of each model's engines, the first in order of name,
+/// and the role "decode" to the others. Changes one engine of each model at a time.
 class StaticSplitPlanner final : public Planner {
  public:
   explicit StaticSplitPlanner(double prefill_share) : prefill_share_(prefill_share) {}
@@ -32,9 +32,10 @@
   double prefill_share_;
 };
 
-/// The usual threshold rule: when the engines for one kind of work are utilised above a threshold
-/// and those for the other kind are not, moves one engine over. At most one change per model is in
-/// progress at a time.
+/// Threshold rule: when the utilisation by one kind of work (prompts or output) is above the
+/// threshold and the utilisation by the other kind is below it, changes one engine to the role for
+/// the busier kind. Prefers a mixed engine, else takes one from the other role. At most one change
+/// per model is in progress at a time.
 class ThresholdPlanner final : public Planner {
  public:
   ThresholdPlanner(const CapacitySettings& settings, double threshold)
--- a/src/cypresswall/planning/capacity_model.cpp
+++ b/src/cypresswall/planning/capacity_model.cpp
@@ -9,13 +9,16 @@
 
 /// Utilisations above this are treated as infinite.
 constexpr double kMaximumUtilisation = 64.0;
-/// Bisection steps; the relative error of the result is about one in ten thousand.
+/// Bisection steps in the search for the utilisation; the relative error of the result is about one
+/// in ten thousand.
 constexpr int kSearchSteps = 20;
 
-/// Erlang's formula is applied up to this utilisation; demand beyond it counts as refused.
+/// Largest utilisation to which the Erlang C formula is applied. Its waiting times grow without
+/// bound as the utilisation approaches 1. Demand above a utilisation of 1 counts as refused.
 constexpr double kMaximumQueueingUtilisation = 0.98;
 
-/// Prompt tokens per second of a mixed engine whose prompt chunks share steps with output.
+/// \return prompt tokens per second of a mixed engine that generates output of one stream in each
+///   step in which it computes a chunk of a prompt; zero if its speed is unknown
 double sharedPrefillSpeed(const PlannedEngine& engine, const CapacitySettings& settings) {
   const double alone = engine.prefill_tokens_per_second * settings.mixed_prefill_share;
   if (alone <= 0) {
@@ -81,8 +84,9 @@
 
 bool CapacityModel::fits(const RoleCapacity& capacity, const DemandRate& demand,
                          double time_share) const {
-  // Output goes to decode engines first and prompts to prefill engines first; the remainder of both
-  // shares the mixed engines, and what is left of the prompts uses idle time of decode engines.
+  // Output goes to decode engines first, and prompts go to prefill engines first. The output and
+  // prompts that don't fit there go to the mixed engines. Prompts that don't fit there either use
+  // the idle time of decode engines.
   const double decode_left = demand.decode_tokens_per_second - time_share * capacity.decode_decode;
   const double mixed_time = time_share - shareOf(decode_left, capacity.mixed_decode);
   if (mixed_time < 0) {
@@ -156,7 +160,8 @@
   const double slack = common::toSeconds(limits.long_first_token_limit) - service;
   double lost = demand.long_requests_per_second * lateShare(servers, utilisation, service, slack);
   if (capacity.mixed_engines >= 1) {
-    // The mean of two routing patterns: even load on all engines, and prefill engines first.
+    // Utilisation of the mixed engines by long prompts: the mean of the utilisation if long prompts
+    // are spread evenly over all engines, and if they go to prefill engines first.
     const double left = demand.long_prefill_tokens_per_second -
                         settings_.late_onset_utilisation * capacity.prefill_only;
     const double overflow = std::max(0.0, left) / capacity.shared_prefill;
--- a/src/cypresswall/planning/demand_counter.h
+++ b/src/cypresswall/planning/demand_counter.h
@@ -1,4 +1,4 @@
-/// Counts this node's requests per model, for the zone's planner.
+/// Counts the requests for each model at this node, for the planner of the zone.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,33 @@
 
 namespace cypresswall::planning {
 
-/// Demand for one model since the last report.
+/// Demand for one model at one node since the node's last report to the planner. Fields whose names
+/// end in `_us` are engine time in microseconds.
 struct DemandCount {
   std::uint64_t requests = 0;
-  /// Prompt tokens that engines have to compute, excluding those expected in their caches.
+  /// Prompt tokens that engines have to compute: without those expected in the engine's cache or
+  /// copied from another one's.
   std::uint64_t prefill_tokens = 0;
   std::uint64_t decode_tokens = 0;
   /// Requests refused because no engine could meet their limits.
   std::uint64_t refused = 0;
-  /// Requests whose prompt takes more than one engine step, and their prompt tokens.
+  /// Requests whose prompt takes more than one engine step to compute ("long prompts").
   std::uint64_t long_requests = 0;
+  /// Tokens of the long prompts, counted as in `prefill_tokens`.
   std::uint64_t long_prefill_tokens = 0;
-  /// Requests whose prompt a prefill engine computes for a decode engine, and their prefill time.
+  /// Requests whose prompt is computed by a prefill engine and whose output by another engine.
   std::uint64_t prefill_engine_requests = 0;
+  /// Time that these prompts occupy the prefill engines.
   std::uint64_t prefill_engine_us = 0;
-  /// Prefill time of the other prompts, on the engines that also generate the output.
+  /// Time that the other prompts occupy engines that also generate the output.
   std::uint64_t decode_engine_us = 0;
-  /// The parts of these two times due to long prompts that an engine of either role may compute,
-  /// and the number of such prompts on engines that also generate the output.
+  /// Part of `prefill_engine_us` due to flexible prompts (see RequestDemand::flexible).
   std::uint64_t flexible_prefill_us = 0;
+  /// Part of `decode_engine_us` due to flexible prompts.
   std::uint64_t flexible_decode_us = 0;
+  /// Flexible prompts computed by the engine that also generates the output.
   std::uint64_t flexible_decode_requests = 0;
-  /// Output time, in time of an engine whose stream slots are all in use.
+  /// Engine time that the output takes (see RequestDemand::output_time).
   std::uint64_t output_us = 0;
 
   MSGPACK_DEFINE_ARRAY(requests, prefill_tokens, decode_tokens, refused, long_requests,
@@ -48,13 +53,14 @@
   bool refused = false;
   /// The prompt takes more than one engine step.
   bool is_long = false;
-  /// A prefill engine computes the prompt for a decode engine.
+  /// A prefill engine computes the prompt, and another engine generates the output.
   bool split = false;
   /// Time for which the prompt occupies the engine that computes it.
   common::Duration prompt_time{0};
   /// The prompt is long, but a decode engine may compute it without delaying output too much.
   bool flexible = false;
-  /// Output time on a fully loaded engine, divided by the number of its concurrent streams.
+  /// Time to generate the output on an engine whose stream slots are all in use, divided by the
+  /// number of its slots.
   common::Duration output_time{0};
 };
 
--- a/src/cypresswall/planning/demand_estimator.cpp
+++ b/src/cypresswall/planning/demand_estimator.cpp
@@ -6,8 +6,8 @@
 namespace cypresswall::planning {
 namespace {
 
-/// No rate is estimated before this share of a window has passed, since dividing the first counts
-/// by a short time would give far too high rates.
+/// Rates are reported as zero until a window's sums have reached this share of their steady-state
+/// value: dividing the first counts by a very short time would give rates that are far too high.
 constexpr double kMinimumObservedShare = 0.05;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -60,7 +60,7 @@
                                  common::Duration window) const {
   sum.decayTo(now, window);
   const double seconds = common::toSeconds(window);
-  // A window observed only in part has reached this share of its steady-state sum.
+  // The sums have reached this share of their steady-state value since this object was created.
   const double seen = 1.0 - std::exp(-common::toSeconds(now - started_at_) / seconds);
   if (seen < kMinimumObservedShare) {
     return {};
--- a/src/cypresswall/planning/demand_estimator.h
+++ b/src/cypresswall/planning/demand_estimator.h
@@ -1,5 +1,5 @@
-/// Demand rates per model over a short and a long window, from counts that the zone's nodes
-/// report. Uses exponentially decaying sums: constant memory per model, no buckets to rotate.
+/// Estimates demand rates per model over a short and a long window, from the counts that the zone's
+/// nodes report. Uses sums that decay exponentially, so that the memory per model is constant.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +11,8 @@
 
 namespace cypresswall::planning {
 
+/// Time constants of the exponential decay: the weight of a count falls to 1/e after the length of
+/// the window.
 struct DemandSettings {
   common::Duration short_window = std::chrono::seconds(10);
   common::Duration long_window = std::chrono::seconds(60);
@@ -21,7 +23,7 @@
   DemandEstimator(const DemandSettings& settings, common::MonotonicTime now)
       : settings_(settings), started_at_(now) {}
 
-  /// Adds the counts of one node since its last report.
+  /// Adds the counts that one node gathered since its previous report.
   void add(const common::ModelName& model, const DemandCount& count, common::MonotonicTime now);
   /// \return the rates of a model; zero if it was never requested.
   ModelDemand demand(const common::ModelName& model, common::MonotonicTime now) const;
--- a/src/cypresswall/planning/disaggregated_planner.cpp
+++ b/src/cypresswall/planning/disaggregated_planner.cpp
@@ -10,7 +10,8 @@
 
 using engines::EngineRole;
 
-/// Upper bound of utilisation, used instead of infinity if a role has no engines.
+/// Upper bound of calculated utilisations; also the utilisation of a role that has work but no
+/// engines.
 constexpr double kSaturatedUtilisation = 64.0;
 
 double utilisationOf(double work, double engines) {
@@ -95,7 +96,8 @@
   const double slowdown = 1.0 / settings_.capacity.decode_prefill_share;
   const double fixed_prefill = demand.prefill_engine_seconds - demand.flexible_prefill_seconds;
   const double fixed_decode = demand.decode_engine_seconds - demand.flexible_decode_seconds;
-  // Total prompt work, in prefill-engine seconds per second.
+  // Prompt work that prefill engines could do, in seconds of a prefill engine per second: their
+  // present work and the flexible prompts of the decode engines.
   const double total = demand.prefill_engine_seconds + demand.flexible_decode_seconds / slowdown;
   const double even = split.prefill * (fixed_decode + work.output_seconds + slowdown * total) /
                       std::max(1.0, split.decode + slowdown * split.prefill);
@@ -154,7 +156,7 @@
                      std::min(state.split.decode, after.decode)};
   const double recent = benefit(state, state.demand.short_window, during, after);
   const double past = benefit(state, state.demand.long_window, during, after);
-  // Without enough benefit in the short window, the reason for the move has passed.
+  // If the short window shows too little benefit, the reason for the move no longer exists.
   if (recent <= state.weight) {
     return std::min(recent, past);
   }
--- a/src/cypresswall/planning/planner.h
+++ b/src/cypresswall/planning/planner.h
@@ -1,5 +1,5 @@
-/// Interface of the planners that assign roles to engines: the cost-based ones and the baselines
-/// they are compared with. A planner has no clock and does no I/O.
+/// Interface of the planners that assign roles to engines: the cost-based planners and the simple
+/// ones that serve as baselines. A planner has no clock and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,27 +14,31 @@
 
 namespace cypresswall::planning {
 
-/// Demand for one model in one time window.
+/// Demand for one model in one time window. Fields whose names end in `_seconds` are engine seconds
+/// per second: the mean number of engines that the work keeps busy.
 struct DemandRate {
   double requests_per_second = 0;
   /// Prompt tokens that engines have to compute.
   double prefill_tokens_per_second = 0;
   double decode_tokens_per_second = 0;
-  /// Requests whose prompt takes more than one engine step, and their prompt tokens.
+  /// Requests whose prompt takes more than one engine step to compute ("long prompts").
   double long_requests_per_second = 0;
+  /// Tokens of the long prompts that engines have to compute.
   double long_prefill_tokens_per_second = 0;
-  /// Requests whose prompt a prefill engine computes for a decode engine.
+  /// Requests whose prompt is computed by a prefill engine and whose output by another engine.
   double prefill_engine_requests_per_second = 0;
-  /// Engine seconds per second that these prompts take on prefill engines, and that the other
-  /// prompts take on the engines that also generate the output.
+  /// Time that prefill engines spend on prompts.
   double prefill_engine_seconds = 0;
+  /// Time that engines that also generate the output spend on prompts.
   double decode_engine_seconds = 0;
-  /// The parts of these two due to long prompts that an engine of either role may compute, and the
-  /// rate of such prompts on engines that also generate the output.
+  /// Part of `prefill_engine_seconds` spent on flexible prompts: long prompts that a decode engine
+  /// may compute without delaying output too much.
   double flexible_prefill_seconds = 0;
+  /// Part of `decode_engine_seconds` spent on flexible prompts.
   double flexible_decode_seconds = 0;
+  /// Rate of the flexible prompts that are computed by the engine that also generates the output.
   double flexible_decode_requests_per_second = 0;
-  /// Engine seconds per second that output takes, on engines whose stream slots are all in use.
+  /// Time that output takes on engines whose stream slots are all in use.
   double output_seconds = 0;
 };
 
@@ -42,11 +46,14 @@
 struct ModelDemand {
   DemandRate short_window;
   DemandRate long_window;
-  /// Tightest limit on the time between tokens among the services that use the model.
+  /// Smallest limit on the time between tokens among the services that use the model. The default
+  /// applies if no service declares a limit.
   common::Duration between_tokens_limit = std::chrono::milliseconds(79);
-  /// Tightest and loosest first-token limits among these services. Short prompts are assumed to
-  /// have the tightest, long ones the loosest.
+  /// Limit on the time to first token that is assumed for short prompts: the smallest target or
+  /// limit among the services that use the model. The default applies if no service declares a
+  /// limit.
   common::Duration short_first_token_limit = std::chrono::milliseconds(1300);
+  /// The same for long prompts: the largest target or limit among these services.
   common::Duration long_first_token_limit = std::chrono::milliseconds(1300);
 };
 
@@ -55,15 +62,19 @@
   common::EngineName name;
   common::ModelName model;
   engines::EngineRole role = engines::EngineRole::kMixed;
-  /// Accepts work now.
+  /// The engine accepts work now, or is being drained for a change and will accept work afterwards.
   bool available = false;
-  /// Its role may be changed: available, not pinned, no change in progress.
+  /// The engine's role may be changed: the engine is available, its role is not pinned by an
+  /// operator, and changes of the engine are neither in progress nor paused.
   bool changeable = false;
-  /// Speed in the role "prefill".
+  /// Prompt speed that the engine has, or would have, in the role "prefill".
   double prefill_tokens_per_second = 0;
+  /// Duration of a decode step without streams, in seconds.
   double decode_step_base = 0;
+  /// Additional duration of a decode step for each stream, in seconds.
   double decode_step_per_stream = 0;
   std::uint32_t maximum_streams = 0;
+  /// Running and waiting streams.
   std::uint32_t streams = 0;
 };
 
@@ -71,42 +82,48 @@
   std::map<common::ModelName, ModelDemand> demand;
   /// Ordered by name.
   std::vector<PlannedEngine> engines;
-  /// Changes in progress, by model.
+  /// Number of changes in progress, by model.
   std::map<common::ModelName, std::uint32_t> changes_in_progress;
   configuration::PlanningPolicy policy;
-  /// Measured time to drain an engine and change its role; zero selects the planner's own setting.
+  /// Measured time to drain an engine and change its role; zero if not measured, in which case the
+  /// planner's setting applies.
   common::Duration expected_change_time{0};
 };
 
-/// A role change that was considered.
+/// A role change that the planner considered.
 struct PlanAlternative {
   common::EngineName engine;
   engines::EngineRole from = engines::EngineRole::kMixed;
   engines::EngineRole to = engines::EngineRole::kMixed;
-  /// Answers in time gained over the horizon, net of the loss while the engine is unavailable.
+  /// Gain from the change within the policy's horizon, less the loss while the engine is
+  /// unavailable. The cost-based planner counts answers in time; the disaggregated planner counts
+  /// engine seconds spent on them.
   double benefit = 0;
 };
 
-/// Why a model's roles were changed or kept.
+/// Explains why a model's roles were changed or kept.
 struct ModelExplanation {
   common::ModelName model;
   ModelDemand demand;
-  /// Utilisation of the engines with the current roles.
+  /// Utilisation of the engines with the current roles, by the demand of the short window and of
+  /// the long window. With the disaggregated planner, utilisation of the prefill engines only.
   double utilisation_short = 0;
   double utilisation_long = 0;
-  /// Utilisation of the decode engines, where prefill and decode are separate; the values above are
-  /// then those of the prefill engines.
+  /// Utilisation of the decode engines by the demand of the short window and of the long window;
+  /// zero unless the disaggregated planner is used.
   double decode_utilisation_short = 0;
   double decode_utilisation_long = 0;
-  /// Engines that accept work, or will after a change in progress.
+  /// Number of available engines in the roles "prefill" and "decode"; zero unless the disaggregated
+  /// planner is used.
   std::uint32_t prefill_engines = 0;
   std::uint32_t decode_engines = 0;
-  /// Answers late or refused over the horizon with the current roles.
+  /// Answers that would be late or refused within the horizon with the current roles and the demand
+  /// of the short window. Same unit as PlanAlternative::benefit.
   double lost_without_change = 0;
-  /// Minimum benefit for a change.
+  /// A change is made only if its benefit exceeds this. Same unit as PlanAlternative::benefit.
   double required_benefit = 0;
   std::vector<PlanAlternative> alternatives;
-  /// Summary for operators, one sentence.
+  /// Summary for operators, in one line.
   std::string conclusion;
 };
 
--- a/src/cypresswall/planning/role_planner.cpp
+++ b/src/cypresswall/planning/role_planner.cpp
@@ -16,8 +16,9 @@
       std::distance(kRoles.begin(), std::find(kRoles.begin(), kRoles.end(), role)));
 }
 
-/// Relative variance of the weighted demand estimate at one prompt per second, given random
-/// arrivals, varying prompt lengths, and exponential windows of 10 and 60 s.
+/// Relative variance of the weighted estimate of the long prompts' demand at a rate of one long
+/// prompt per second, with random arrivals, varying prompt lengths, and exponential windows of 10
+/// and 60 s. The variance is inversely proportional to the rate.
 constexpr double kEstimateVariance = 0.031;
 
 std::string describe(const PlanAlternative& best, double required) {
@@ -145,7 +146,8 @@
 double RolePlanner::lostOnPath(Forecast& forecast, const Path& path) const {
   const double rate = lostRate(forecast, path.capacity);
   double least = rate * path.remaining;
-  // Only queueing delays can make several changes pay off where a single one does not.
+  // Further changes are considered only if queueing delays count: without these, several changes
+  // gain nothing where a single one does not.
   if (path.steps <= 0 || rate <= 0 || !forecast.state.queueing_matters) {
     return least;
   }
@@ -172,8 +174,8 @@
   };
   const double gain_short = gain(recent);
   const double gain_long = gain(past);
-  // A benefit in only one window counts with that window's weight. Without a benefit in the short
-  // window, the reason for the change has passed.
+  // If the short window shows no benefit, the reason for the change no longer exists, and the lower
+  // gain is returned. Otherwise the gains of both windows are weighted.
   if (gain_short <= 0) {
     return std::min(gain_short, gain_long);
   }
