--- a/src/cypresswall/routing/cost_model.cpp
+++ b/src/cypresswall/routing/cost_model.cpp
@@ -5,12 +5,14 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Speed assumed for an engine that declares none.
+/// Prompt speed assumed for an engine that declares none.
 constexpr double kDefaultPrefillTokensPerSecond = 5000;
-/// Slack of CostInputs::relaxed_single_stream_step.
+/// Factor on the duration of a single-stream step for CostInputs::relaxed_single_stream_step.
 constexpr double kSingleStreamStepSlack = 1.25;
 
-/// While streams run, each prompt chunk shares its step with one token of every stream.
+/// \return seconds that a prompt token takes. While streams run, each chunk of a prompt is computed
+///   in a step that also generates one token of every stream, so the duration `step` is added per
+///   chunk.
 double secondsPerPrefillToken(const EngineEstimate& engine, double step, double chunks_per_token) {
   const bool shared = engine.role != engines::EngineRole::kPrefill && streamsOn(engine) > 0;
   const double promised =
--- a/src/cypresswall/routing/cost_model.h
+++ b/src/cypresswall/routing/cost_model.h
@@ -12,7 +12,8 @@
 
 namespace cypresswall::routing {
 
-/// Load and speed of one engine as plain numbers. Times are in seconds on this node's clock.
+/// Load and speed of one engine as plain numbers. Durations are in seconds; points in time are in
+/// seconds on this node's clock.
 struct EngineEstimate {
   double observed_at = 0;
   double seconds_per_prefill_token = 0;
@@ -22,7 +23,7 @@
   double prefill_seconds_per_pair = 0;
   double queued_prefill_tokens = 0;
   double queued_decode_tokens = 0;
-  /// Work sent by this node that the report does not include yet.
+  // Work that this node sent to the engine and that the last load report does not include yet.
   double unreported_prefill_tokens = 0;
   double unreported_decode_tokens = 0;
   std::uint32_t streams = 0;
@@ -33,37 +34,38 @@
   engines::EngineRole role = engines::EngineRole::kMixed;
   /// Seconds to transfer the KV cache of one token to another engine; zero if not declared.
   double kv_seconds_per_token = 0;
-  /// Observed prompt speed relative to the reported speed.
+  /// Correction of the reported prompt speed, learned from measured prompts.
   PromptSpeed prompt_speed;
-  /// Correction factor for the reported decode step times.
+  /// Factor on the reported durations of decode steps, learned from measured answers.
   double step_scale = 1;
   /// Mean remaining seconds of a running stream; zero if unknown.
   double stream_remaining = 0;
-  /// Whether long prompts are in flight to the engine or queued on it, and when all of them will
-  /// have been computed.
+  /// Whether the engine was sent long prompts (see LongPromptTracker) that it has not computed yet.
   bool has_backlog = false;
+  /// When the engine will have computed all of these prompts; not meaningful if there are none.
   double backlog_empty_at = 0;
 };
 
 /// The values of an estimate that every routing decision reads, precomputed when the estimate
 /// changes. Fits into one cache line, so that all engines of a zone are evaluated in microseconds.
 struct alignas(64) CostInputs {
-  /// When the reported prompts will have been computed.
+  /// When the engine will have computed the prompts that were queued at its last load report.
   double queue_empty_at = 0;
-  /// When the long prompts sent by all nodes will have been computed.
+  /// As in EngineEstimate.
   double backlog_empty_at = 0;
-  /// Time to compute the unreported prompts.
+  /// Time to compute the prompts that the last load report does not include yet.
   double unreported_wait = 0;
-  /// Time until a stream slot is free; zero if the engine has a free one.
+  /// Expected time until a stream slot becomes free; zero if one is free.
   double slot_wait = 0;
-  // Durations rather than points in time: single precision is sufficient.
+  // The following members need only single precision, because they are not points in time.
   /// Latency of a prompt on top of its computation, during which the engine is not occupied.
   float prefill_fixed_latency = 0;
   float seconds_per_prefill_token = 0;
   float prefill_seconds_per_pair = 0;
   /// Duration of a decode step with one additional stream.
   float step = 0;
-  /// Duration of a decode step with a single stream, plus some slack.
+  /// Duration of a decode step with a single stream, plus some slack. Accepted as time between
+  /// tokens even if a request's limit is lower, because the engine can't be faster.
   float relaxed_single_stream_step = 0;
   /// As in EngineEstimate.
   float kv_seconds_per_token = 0;
@@ -71,7 +73,7 @@
   bool has_backlog = false;
 };
 
-/// \return `time` as used in EngineEstimate.
+/// \return `time` in seconds on this node's clock, as used in EngineEstimate.
 inline double toModelTime(common::MonotonicTime time) {
   return common::toSeconds(time.time_since_epoch());
 }
@@ -85,13 +87,14 @@
   return engine.step_scale * (engine.decode_step_base + engine.decode_step_per_stream * streams);
 }
 
-/// \return streams on the engine, both reported and sent since.
+/// \return number of streams in the engine's last load report and of those that this node started
+///   since.
 inline std::uint32_t streamsOn(const EngineEstimate& engine) {
   return engine.streams + engine.unreported_streams;
 }
 
-/// \param chunks_per_token inverse of the number of prompt tokens computed in one step together
-///   with the output of running streams
+/// \param chunks_per_token inverse of the number of prompt tokens that an engine computes in one
+///   step together with the output of running streams
 CostInputs costInputs(const EngineEstimate& engine, double chunks_per_token);
 
 /// Estimates of all engines by slot, with the cost inputs derived from them.
--- a/src/cypresswall/routing/cost_router.cpp
+++ b/src/cypresswall/routing/cost_router.cpp
@@ -16,8 +16,8 @@
 /// Retry-After when no engine of a model is available.
 constexpr double kNoEngineRetrySeconds = 2.0;
 
-/// Added cost of a long answer on an engine that is not a host of long answers; lower than that of
-/// missing a limit.
+/// Cost added to a decode engine for a long answer if long answers are consolidated on other
+/// engines. Lower than kLatePenalty, so that meeting the limits matters more.
 constexpr double kNonHostPenalty = 10.0;
 
 /// Finalizer of splitmix64, to mix the bits of `value`.
@@ -27,7 +27,8 @@
   return value ^ (value >> 31);
 }
 
-/// Counts the engines that compute prompts and those among them with queued prompts.
+/// Counts the engines with the role "prefill" or "mixed", and those among them on which the prompt
+/// would have to wait.
 class Contention {
  public:
   void count(const CostInputs& engine, const Offer& offer) {
@@ -151,7 +152,8 @@
     std::sort(narrowed_.begin(), narrowed_.end());
     narrowed_.erase(std::unique(narrowed_.begin(), narrowed_.end()), narrowed_.end());
   }
-  // Before the exclusion of engines that refused a permit: exhausted engines determine Retry-After.
+  // Done before `request.excluded` is applied, so that `exhausted_` also includes engines that
+  // refused a permit to this request: it determines Retry-After.
   excludeExhausted();
   for (const common::EngineName& name : request.excluded) {
     std::erase(narrowed_, table_.slotOf(name));
@@ -245,7 +247,8 @@
       std::ceil(settings_.minimum_host_share * static_cast<double>(decode_order_.size()));
   const auto hosts =
       std::min(decode_order_.size(), static_cast<std::size_t>(std::max(needed, least)));
-  // Ordered by name hash, so that all nodes select the same hosts without communication.
+  // Selects engines in order of their name hashes, so that nodes with the same candidates select
+  // the same hosts without communication.
   std::partial_sort(decode_order_.begin(),
                     decode_order_.begin() + static_cast<std::ptrdiff_t>(hosts), decode_order_.end(),
                     [this](EngineSlot left, EngineSlot right) {
@@ -299,7 +302,8 @@
       contention.count(engine, offer);
       continue;
     }
-    // Decode engines also compute prompts, but slowly; mixed ones also accept computed prompts.
+    // Decode engines can also compute prompts, but slowly. Mixed engines can also generate the
+    // output for prompts that prefill engines computed.
     const Offer offer = model_.whole(engine, work, prompt, now);
     whole_engines_.push_back(
         {offer.cost, slot, delaysDecoding(slot, work, prompt, now), offer.occupancy});
@@ -322,7 +326,8 @@
   if (work.affinity == 0 || !settings_.copies_prefixes || !matches_.empty()) {
     return settings_.cost_tolerance;
   }
-  // No engine holds the shared part yet: each further engine would compute all of it again.
+  // No engine holds the shared part yet. Each additional engine that receives prompts with it would
+  // have to compute all of it again, so a higher cost is accepted to keep them on one engine.
   double least = std::numeric_limits<double>::infinity();
   for (const EngineSlot slot : narrowed_) {
     least = std::min<double>(least, estimates_.inputs(slot).seconds_per_prefill_token);
@@ -490,8 +495,9 @@
 
 RouteRefusal CostRouter::refuse(const Selection& best, const RequestWork& work,
                                 const common::ModelName& model) {
-  // Callers refused earlier take up capacity first, so this one is told to retry after them. The
-  // engines' other routing nodes are assumed to refuse as many callers as this one.
+  // The retries of callers refused earlier use capacity first, so this caller is told to retry
+  // after them. The other nodes that route to these engines are assumed to refuse as many callers
+  // as this node.
   const double now = toModelTime(context_.clock.now());
   double& promised = promised_until_[model];
   promised = std::max(promised, now);
@@ -579,7 +585,8 @@
   }
   const EngineSlot slot = awaited.mapped().engine;
   const EngineEstimate& engine = estimates_.estimate(slot);
-  // Prompts computed between the output's steps would be counted as step time.
+  // On an engine with long prompts, the time to compute them between steps would be counted as step
+  // time.
   const bool measurable =
       !engine.has_backlog && awaited.mapped().tokens >= settings_.output_speed.minimum_tokens;
   const double step = stepSeconds(engine, streamsOn(engine)) / engine.step_scale;
--- a/src/cypresswall/routing/cost_router.h
+++ b/src/cypresswall/routing/cost_router.h
@@ -18,11 +18,11 @@
 
 namespace cypresswall::routing {
 
-/// Computes the cost of all candidates of the zone (of a sample above
+/// Computes the cost of each candidate engine (of a random sample if there are more than
 /// RouterSettings::full_scan_limit) and chooses the cheapest. Ties are broken by rendezvous hashing
-/// of the prompt's first cache piece, so that nodes send prompts with equal prefixes to the same
-/// engine without coordination. A prompt without a whole piece can't be found in a cache; ties are
-/// then broken by least recent use.
+/// of the prompt's shared part (see shared_part.h), so that nodes send prompts with the same shared
+/// part to the same engine without coordination. If the prompt has no shared part, the least
+/// recently used engine is chosen.
 class CostRouter final : public Router {
  public:
   CostRouter(const RouterSettings& settings, const api::ProcessContext& context,
@@ -46,14 +46,16 @@
   struct PricedEngine {
     double cost = 0;
     EngineSlot engine = kNoEngineSlot;
+    /// The prompt would delay the engine's running streams too much (see delaysDecoding()).
     bool delays_decoding = false;
     /// As in Offer.
     double occupancy = 0;
   };
-  /// The engines selected for a request, before the check against its limits.
+  /// The engines selected for a request, before the router checks whether they meet the request's
+  /// limits.
   struct Selection {
     EngineSlot engine = kNoEngineSlot;
-    /// kNoEngineSlot unless another engine computes the prompt.
+    /// The engine that computes the prompt; kNoEngineSlot if `engine` computes it.
     EngineSlot prefill = kNoEngineSlot;
     Offer offer;
 
@@ -62,7 +64,8 @@
     EngineSlot computing() const { return split() ? prefill : engine; }
   };
 
-  /// Whether an engine generates long answers.
+  /// Whether an engine is one of those on which long answers are consolidated (see
+  /// RouterSettings::consolidates_long_answers).
   enum class OutputHosting : std::uint8_t {
     kAnywhere,  ///< long answers are not consolidated
     kHost,      ///< long answers are consolidated on this engine
@@ -71,7 +74,7 @@
   /// An answer whose first token was not received yet.
   struct AwaitedOutput {
     EngineSlot engine = kNoEngineSlot;
-    /// Tokens after the first.
+    /// Maximum number of output tokens after the first.
     double tokens = 0;
   };
 
@@ -82,7 +85,8 @@
   void excludeExhausted();
   void lookUpPrefixes(const RouteRequest& request);
   void clearPrefixes();
-  /// Finds the engine from which others may copy the cached prefix of the prompt.
+  /// Finds the engine with the longest cached prefix of the prompt, from which other engines may
+  /// copy it.
   void findPrefixSource(const RouteRequest& request);
   /// \return the work that the prompt causes on the engine, with missing cache pieces copied from
   ///   the prefix source where that is possible
@@ -98,18 +102,20 @@
                       double now) const;
   void priceEngines(const RequestWork& work, double now);
   /// \return the cheapest engine, kNoEngineSlot if there is none. Ties are broken by rendezvous
-  ///   hashing for a prompt with whole cache pieces, by least recent use otherwise.
+  ///   hashing if the prompt has a shared part, by least recent use otherwise.
   /// \param tolerance cost difference to the cheapest engine up to which engines are tied
   EngineSlot cheapest(const std::vector<PricedEngine>& engines, const RequestWork& work,
                       double tolerance);
-  /// \return the cost tolerance among engines that would compute the prompt
+  /// \return the cost difference up to which engines that would compute the prompt are tied
   double computingTolerance(const RequestWork& work) const;
   /// \return the engine with the highest rendezvous rank for `piece`.
   EngineSlot preferredByHash(const std::vector<PricedEngine>& equals,
                              common::PieceHash piece) const;
-  /// \return the engine that received work least recently; engines with a free stream slot first.
+  /// \return the engine that received work from this node least recently. Engines with a free
+  ///   stream slot are preferred.
   EngineSlot leastRecentlyUsed(const std::vector<PricedEngine>& equals) const;
-  /// Adds the cost of delaying other requests, scaled by the share of engines with queued prompts.
+  /// Adds to the cost of each engine that would compute the prompt its Offer::occupancy, multiplied
+  /// by `contention_`.
   void chargeOccupancy();
   Selection select(const RequestWork& work, double now);
   void countDemand(const RouteRequest& request, const RequestWork& work,
@@ -139,21 +145,25 @@
   /// By slot, the sequence number of the last attempt; zero if there was none.
   std::vector<std::uint64_t> last_attempt_;
   std::uint64_t attempts_ = 0;
-  /// Randomizes ties, so that nodes do not all start with the same engine.
+  /// Random value that orders engines not used yet differently on each node, so that nodes do not
+  /// all start with the same engine.
   std::uint64_t tie_break_salt_;
-  /// By model, the model time up to which capacity is promised to refused callers by Retry-After.
+  /// By model, the time (see toModelTime()) until which the engines are expected to be busy with
+  /// requests of refused callers, who were told by Retry-After to try again.
   std::map<common::ModelName, double> promised_until_;
   // Scratch buffers, reused to avoid allocations per decision.
-  /// Candidates that are evaluated.
+  /// Candidates whose cost is computed for the current request.
   std::vector<EngineSlot> narrowed_;
   /// Engines excluded from `narrowed_` because their rate limit is used up.
   std::vector<common::EngineName> exhausted_;
   std::vector<PrefixMatch> matches_;
   std::vector<std::uint32_t> cached_tokens_;
-  /// Engine from which others can copy cached tokens of the prompt, and the number of tokens.
+  /// Engine from which others can copy cached tokens of the prompt; kNoEngineSlot if there is none.
   EngineSlot prefix_source_ = kNoEngineSlot;
+  /// Number of leading prompt tokens that `prefix_source_` holds.
   std::uint32_t source_tokens_ = 0;
-  /// Share of the candidates that compute prompts on which prompts are queued.
+  /// Share of the candidates with the role "prefill" or "mixed" on which the prompt would have to
+  /// wait.
   double contention_ = 0;
   std::vector<PricedEngine> whole_engines_;
   std::vector<PricedEngine> prefill_engines_;
--- a/src/cypresswall/routing/delta_exchange.cpp
+++ b/src/cypresswall/routing/delta_exchange.cpp
@@ -6,21 +6,23 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Bytes of one message without its lists: envelope, sender, receiver, digest, sequence.
+/// Size of one message without its lists, in bytes: envelope, sender, receiver, digest, sequence.
 constexpr double kEnvelopeBytes = 80;
-/// Upper estimates of the bytes of one list entry.
+/// Upper estimates of the size of one list entry, in bytes.
 constexpr double kDeltaBytes = 16;
 constexpr double kIdentityBytes = 80;
 constexpr double kHintBytes = 14;
-/// A publication is delayed until the budget covers this multiple of its fixed part.
+/// A publication that is not urgent is delayed until the budget covers this multiple of its fixed
+/// part.
 constexpr double kFixedCostMultiple = 2.0;
 /// Unspent budget accumulates for up to this long.
 constexpr double kBudgetWindowSeconds = 2.0;
-/// Lower bound of the budget per peer: one small publication a second. With less, the peers in a
-/// zone of many nodes would consider all engine reports outdated.
+/// Lower bound of the budget per peer: one small publication a second. With less, in a zone of many
+/// nodes, peers would receive publications so rarely that they would consider all engines silent.
 constexpr double kMinimumBytesPerPeerSecond = 120;
 constexpr std::size_t kMaximumQueuedHints = 512;
-/// Above this many, sequence numbers of former peers are dropped.
+/// If sequence numbers of more peers than this are stored, those of nodes that no longer receive
+/// publications from this node are dropped.
 constexpr std::size_t kMaximumRememberedPeers = 64;
 constexpr auto kAgeUnit = std::chrono::milliseconds(10);
 /// Minimum interval between two requests for an engine's identity. An answer takes about ten
@@ -144,7 +146,8 @@
     const auto last = published_.find(slot);
     double significance = kUrgentSignificance;
     if (last != published_.end()) {
-      // The priority of a deferred change grows with time, so that none is starved.
+      // The priority of a deferred change grows with time, so that every change is eventually
+      // published.
       const double waited = common::toSeconds(context_.clock.now() - last->second.at);
       significance = changeSignificance(last->second.delta, delta, record.load) * (1.0 + waited);
     }
--- a/src/cypresswall/routing/delta_exchange.h
+++ b/src/cypresswall/routing/delta_exchange.h
@@ -26,7 +26,8 @@
 
   /// Starts publishing the state of the engines that `poller` watches; called once.
   void start(EnginePoller& poller);
-  /// Sets how to find the node that plans roles, which receives the state of every engine.
+  /// Sets the function that returns the node that plans roles (empty if unknown). This node is sent
+  /// the state of every engine that the local node watches.
   void setPlanningNode(std::function<common::NodeId()> find) { planning_node_ = std::move(find); }
   /// Queues a cache change of a watched engine for publication.
   void addCacheHint(EngineSlot slot, bool stored, common::PieceHash piece);
@@ -49,7 +50,8 @@
 
   void tick();
   void publish(const std::vector<common::NodeId>& peers);
-  /// \return true if the last publication is at least one poll interval of steady engines ago.
+  /// \return true if at least one poll interval of steady engines has passed since the last
+  ///   publication.
   bool confirmationDue() const;
   /// \return the receivers of publications: the nodes that route to the engines watched by this
   ///   node, and the node that plans roles.
@@ -57,9 +59,9 @@
   std::vector<PendingChange> collectChanges(EngineDeltas& message);
   /// \return true if the engine's model, version, adapters or speeds differ from those published.
   bool identityChanged(const PendingChange& change) const;
-  /// \return upper estimate of the bytes that a change adds to a message.
+  /// \return upper estimate of the number of bytes that a change adds to a message.
   double estimatedBytes(const PendingChange& change) const;
-  /// \param budget bytes left for this message
+  /// \param budget number of bytes that may be added to this message
   void addChanges(EngineDeltas& message, const std::vector<PendingChange>& changes, double budget);
   void addHints(EngineDeltas& message, double budget);
   common::Duration ageOf(EngineSlot slot) const;
@@ -91,7 +93,8 @@
   std::map<common::NodeId, std::uint64_t> received_;
   std::map<std::uint16_t, EngineIdentity> identities_;
   std::uint32_t identities_digest_ = 0;
-  /// When the identity of an engine was last requested because it did not match its tag.
+  /// By engine index: when this node last requested the engine's identity because the known one did
+  /// not match the published tag.
   std::map<std::uint16_t, common::MonotonicTime> asked_;
   std::deque<CacheHint> hints_;
   common::Counter& sent_bytes_;
--- a/src/cypresswall/routing/engine_deltas.cpp
+++ b/src/cypresswall/routing/engine_deltas.cpp
@@ -17,13 +17,14 @@
 constexpr unsigned kRoleShift = 2;
 constexpr std::uint8_t kTwoBits = 3;
 constexpr std::uint8_t kUnreachableFlag = 1U << 4;
-/// Significant change of the time to compute the queued prompts.
+/// A change of the time to compute the queued prompts is significant from this duration.
 constexpr double kSignificantWaitSeconds = 0.025;
-/// Significant change of the number of streams, as a share of the published number, and at least
-/// kSignificantStreams.
+/// A change of the number of streams is significant from this share of the published number, but
+/// not below kSignificantStreams.
 constexpr double kSignificantStreamShare = 0.125;
 constexpr double kSignificantStreams = 2.0;
-/// Ranks changes of state, role, reachability and identity above all changes of load.
+/// Significance of a change of state, role, reachability or identity. Ranks it above changes of
+/// load.
 constexpr double kUrgent = 1000.0;
 
 std::uint32_t tokensToUnits(std::uint64_t tokens) {
--- a/src/cypresswall/routing/engine_deltas.h
+++ b/src/cypresswall/routing/engine_deltas.h
@@ -1,6 +1,6 @@
 /// Messages by which the watcher of an engine publishes load changes to other nodes of the zone,
-/// and the rule which changes are significant. An unchanged engine takes one byte per publication,
-/// a changed one about twelve.
+/// and the rule that decides which changes are significant. An unchanged engine takes one byte per
+/// publication, a changed one about twelve.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +22,13 @@
   std::uint32_t running_streams = 0;
   std::uint32_t waiting_streams = 0;
   std::uint32_t output_streams = 0;
+  /// Queued prompt tokens, in hundreds.
   std::uint32_t prefill_hundreds = 0;
+  /// Queued output tokens, in hundreds.
   std::uint32_t decode_hundreds = 0;
   /// Age of the report when the message is sent, in units of 10 ms.
   std::uint32_t age_centiseconds = 0;
-  /// Tag of the identity (the rarely changing part) that belongs to this load.
+  /// identityTag() of the EngineIdentity that belongs to this load.
   std::uint16_t identity_tag = 0;
 
   MSGPACK_DEFINE(index, flags, running_streams, waiting_streams, output_streams, prefill_hundreds,
@@ -54,7 +56,7 @@
                  prefill_base_us, prefill_pair_picoseconds, kv_token_picoseconds)
 };
 
-/// A change of an engine's prefix cache, published as far as the byte budget permits.
+/// A change of an engine's prefix cache. Published only if the byte budget permits.
 struct CacheHint {
   std::uint16_t index = 0;
   bool stored = true;
@@ -67,16 +69,18 @@
 struct EngineDeltas {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 0);
 
-  /// Digest of the zone's engine names; indexes are only valid for the same list.
+  /// Digest of the sender's list of the zone's engine names. Engine indexes are valid only for a
+  /// receiver with the same list.
   std::uint32_t roster_digest = 0;
   /// Increases per sender, so that late and duplicate messages are dropped; zero in answers to
   /// IdentityRequest.
   std::uint64_t sequence = 0;
   std::vector<EngineDelta> changed;
-  /// Engines polled since the last publication whose published load is still valid; delta-encoded
-  /// ascending indexes, the first relative to zero.
+  /// Indexes of the engines whose previously published load is still valid, encoded by
+  /// encodeDifferences().
   std::vector<std::uint16_t> confirmed;
-  /// Engines polled since whose load changed but was deferred by the byte budget; same encoding.
+  /// Indexes of the reachable engines whose changed load did not fit into the byte budget and is
+  /// published later, encoded by encodeDifferences().
   std::vector<std::uint16_t> deferred;
   /// Age of the oldest report among `confirmed`, in units of 10 ms.
   std::uint32_t confirmed_age_centiseconds = 0;
@@ -87,7 +91,7 @@
                  identities, cache_hints)
 };
 
-/// Requests from the watcher the identities that the sender lacks.
+/// Requests from the watcher of engines the identities that the sender of this message lacks.
 struct IdentityRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 1);
 
@@ -111,7 +115,8 @@
 void applyIdentity(const EngineIdentity& identity, engines::EngineLoad& load);
 
 /// Estimates how much the change since the last publication affects routing decisions.
-/// \return zero if it does not; otherwise at least 1, and larger for changes to publish sooner
+/// \return zero if the change is not significant; otherwise at least 1, and larger for changes that
+///   must be published sooner
 double changeSignificance(const EngineDelta& published, const EngineDelta& now,
                           const engines::EngineLoad& load);
 
--- a/src/cypresswall/routing/engine_directory.cpp
+++ b/src/cypresswall/routing/engine_directory.cpp
@@ -62,8 +62,8 @@
       },
       context_.clock.now());
   members_changed_ = true;
-  // In a zone divided into groups, the next sweep applies membership changes, so that groups are
-  // not recomputed for each change while many nodes come and go.
+  // In a zone divided into groups, membership changes are applied by the next sweep(), so that
+  // groups are not recomputed for each change while many nodes join and leave.
   if (roster_changed_ || groups_.everyNodeRoutes()) {
     assignWatches();
   }
--- a/src/cypresswall/routing/engine_directory.h
+++ b/src/cypresswall/routing/engine_directory.h
@@ -1,7 +1,7 @@
 /// This node's view of the engines that it routes to: their load, kept up to date by polling some
 /// of them and by the publications of the other routing nodes; the KV cache pieces that they
-/// probably hold; and their availability for new work. Of the zone's other engines it knows only
-/// the addresses and which ones are leaving.
+/// probably hold; and their availability for new work. Of the zone's other engines, the directory
+/// knows only the addresses and which ones are leaving.
 #pragma once
 
 #include <functional>
@@ -44,12 +44,14 @@
   /// be idle.
   void setDraining(const std::set<common::EngineName>& engines);
 
-  /// \return true for DirectorySettings::catch_up_time after a pause of the process: its view of
-  ///   engines and machines is stale, and messages queued meanwhile appear newer than they are.
+  /// \return true for DirectorySettings::catch_up_time after a pause of the process. During that
+  ///   time, this node's view of engines and machines may be stale, and messages queued during the
+  ///   pause appear newer than they are.
   bool catchingUp();
 
   const EngineGroups& groups() const { return groups_; }
-  /// Sets how to find the node that plans roles, which receives the state of every engine.
+  /// Sets the function that returns the node that plans roles (empty if unknown). This node is sent
+  /// the state of every engine that the local node watches.
   void setPlanningNode(std::function<common::NodeId()> find) {
     exchange_.setPlanningNode(std::move(find));
   }
@@ -93,7 +95,8 @@
   EngineEjection ejection_;
   EnginePoller poller_;
   fleet_limits::RateLimiter* rate_limiter_ = nullptr;
-  /// Engines taken over by another node, and until when this node keeps watching them.
+  /// Engines that another node has taken over, with the time until which this node keeps watching
+  /// them.
   std::map<EngineSlot, common::MonotonicTime> handed_over_;
   common::Counter& pauses_;
 };
--- a/src/cypresswall/routing/engine_ejection.h
+++ b/src/cypresswall/routing/engine_ejection.h
@@ -1,8 +1,8 @@
 /// Outlier ejection: removes engines on which attempts fail from routing for a short time, before
 /// load reports show the fault. A node ejects an engine at once if its own attempts can't reach it.
 /// It also reports failures to the engine's watcher, which ejects the engine for the whole zone
-/// once several nodes have reported. This takes one message per failure and one per node for each
-/// ejection, regardless of how many nodes use the engine.
+/// once several nodes have reported. A failure causes one message to the watcher, and an ejection
+/// one message to each of the engine's other routing nodes.
 #pragma once
 
 #include <cstdint>
@@ -47,11 +47,11 @@
   EngineEjection(const EngineEjection&) = delete;
   EngineEjection& operator=(const EngineEjection&) = delete;
 
-  /// Records a failed attempt of this node. Refusals and attempts that were not tried are ignored,
-  /// as they do not indicate the engine's health.
+  /// Records a failed attempt of this node. Refusals by the engine and attempts that were never
+  /// tried are ignored, because they say nothing about the engine's health.
   void attemptFailed(EngineSlot slot, engines::StreamFailure failure);
-  /// Records a failed attempt that this node placed for `node`. Counts as a report from that node,
-  /// which alone does not eject the engine.
+  /// Records a failed attempt of `node`, for which this node had chosen the engine. Counts as a
+  /// report from `node`; reports of a single node do not eject an engine.
   void placedAttemptFailed(const common::NodeId& node, EngineSlot slot,
                            engines::StreamFailure failure);
 
@@ -63,9 +63,10 @@
     common::MonotonicTime at{};
   };
   struct Engine {
-    /// Failures within the window that were reported to this node as the watcher.
+    /// Failures within EjectionSettings::window that nodes reported to this node as the engine's
+    /// watcher.
     std::vector<Failure> reports;
-    /// This node's own broken streams within the window.
+    /// When streams of this node broke on the engine within EjectionSettings::window.
     std::vector<common::MonotonicTime> broken;
     /// Consecutive ejections, each begun within EjectionSettings::backoff_reset_time of the end of
     /// the previous one.
@@ -75,13 +76,14 @@
   void onReport(const common::NodeId& sender, const EngineFailureReport& report);
   void onEjected(const EngineEjected& notice);
   void reportFailure(EngineSlot slot, bool unreached);
-  /// \return true if the reports within the window suffice to eject the engine
+  /// \return true if the reports within EjectionSettings::window suffice to eject the engine for
+  ///   the whole zone
   bool enoughReports(const Engine& engine, bool unreached) const;
   void ejectForZone(EngineSlot slot, bool unreached);
   /// \return the duration of the engine's next ejection
   common::Duration nextEjectionTime(EngineSlot slot);
-  /// \return false if ejection is disabled, or if the maximum share of engines of the same model
-  ///   and role is ejected already
+  /// \return false if ejection is disabled, or if ejecting this engine too would exceed the maximum
+  ///   share of ejected engines of the same model and role
   bool mayEject(EngineSlot slot, bool unreached) const;
   void eject(EngineSlot slot, common::Duration time, bool unreached, const char* source);
 
--- a/src/cypresswall/routing/engine_groups.cpp
+++ b/src/cypresswall/routing/engine_groups.cpp
@@ -13,7 +13,7 @@
 using membership::Member;
 using membership::MemberState;
 
-/// Maximum number of groups from which a placement is requested for one request.
+/// Maximum number of groups whose owners are asked to place one request.
 constexpr std::size_t kMaximumCandidateGroups = 2;
 
 std::uint64_t mix(std::uint64_t first, std::uint64_t second) {
@@ -135,7 +135,8 @@
   if (engine >= group_of_.size() || groups_.empty()) {
     return {};
   }
-  // Polling is most of the owners' work, so the engines of a group are divided among its owners.
+  // Polling is most of the owners' work, so each owner of a group polls a part of the group's
+  // engines.
   return membership::rendezvousNode(name, groups_[group_of_[engine]].owners);
 }
 
--- a/src/cypresswall/routing/engine_groups.h
+++ b/src/cypresswall/routing/engine_groups.h
@@ -1,9 +1,10 @@
 /// Assigns engines to routing nodes. In a small zone every node routes to every engine and informs
-/// all others of the work that it sends. In a large zone the engines of each model are divided into
-/// groups with two owners each: the primary places all requests on the group's engines and knows
-/// their queues exactly; the secondary is informed of these placements and takes over when the
-/// primary is away. Other nodes request placements from the owners. The assignment is a function of
-/// the lists of engines and members, so all nodes compute the same one without communication.
+/// all others of the long prompts that it sends. In a large zone the engines of each model are
+/// divided into groups with two owners each: the primary places all requests on the group's engines
+/// and knows their queues exactly; the secondary is informed of long prompts that the primary
+/// places, and places requests itself when the primary does not answer. Other nodes request
+/// placements from the owners. The assignment is a function of the lists of engines and members, so
+/// all nodes compute the same one without communication.
 #pragma once
 
 #include <cstdint>
@@ -42,13 +43,14 @@
   bool everyNodeRoutes() const { return every_node_routes_; }
   /// \return the node that polls an engine; empty if no member is alive.
   common::NodeId watcherOf(EngineSlot engine) const;
-  /// \return the node that places all requests on an engine; empty if several nodes do
+  /// \return the node that places all requests on an engine; empty if several nodes place requests
+  ///   on it
   common::NodeId primaryOwnerOf(EngineSlot engine) const;
   /// \return the routing nodes of an engine except this node.
   const std::vector<common::NodeId>& otherRoutingNodes(EngineSlot engine) const;
   /// \return the routing nodes of all engines.
   const std::vector<common::NodeId>& allRoutingNodes() const { return all_routing_nodes_; }
-  /// \return number of nodes that place requests on one engine concurrently, at least 1.
+  /// \return number of nodes that place requests on one engine at the same time, at least 1.
   std::size_t routingNodesPerEngine() const;
   /// \return true if this node is an owner of the group.
   bool owns(const std::string& group) const;
@@ -58,10 +60,11 @@
   std::size_t routedEngineCount() const;
 
   /// Returns at most two groups to request a placement from, in order of preference. Prompts with
-  /// the same shared part get the same groups: rendezvous hashing ranks the engines that compute
-  /// prompts, and the groups of the highest ranked are taken, so that a group receives prompts in
-  /// proportion to its prefill capacity. Prompts without a shared part get the groups of random
-  /// engines. \param shared_part hash of the part shared with other prompts, zero if there is none
+  /// the same shared part get the same groups: rendezvous hashing of the shared part ranks the
+  /// model's prefill and mixed engines, and the groups of the highest-ranked engines are returned.
+  /// A group thus receives prompts in proportion to the number of its engines that compute prompts.
+  /// Prompts without a shared part get the groups of randomly chosen decode and mixed engines.
+  /// \param shared_part hash of the part shared with other prompts, zero if there is none
   std::vector<const EngineGroup*> candidateGroupsFor(const common::ModelName& model,
                                                      common::PieceHash shared_part,
                                                      common::RandomSource& random) const;
@@ -76,7 +79,8 @@
 
   void divideEngines();
   void findOwners();
-  /// \return the members eligible as owners: alive ones with the fastest links
+  /// \return the members eligible as owners: the alive members with the fastest links, at least
+  ///   half as many as there are groups if that many are alive
   std::vector<membership::Member> eligibleMembers() const;
   void updateRoutingNodes();
   bool ownedHere(const EngineGroup& group) const;
@@ -86,7 +90,7 @@
   const EngineTable& table_;
   bool every_node_routes_ = true;
   std::vector<EngineGroup> groups_;
-  /// By slot.
+  /// By slot: index of the engine's group in `groups_`.
   std::vector<std::size_t> group_of_;
   std::map<common::ModelName, std::vector<GroupedEngine>> engines_by_model_;
   /// By group: its owners except this node.
--- a/src/cypresswall/routing/engine_poller.cpp
+++ b/src/cypresswall/routing/engine_poller.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Polls are spread over this many ticks per poll period.
+/// Number of ticks per poll period; each tick polls a part of the engines, to spread the load.
 constexpr std::uint32_t kPhases = 5;
 
 }  // namespace
@@ -153,7 +153,8 @@
           : 1;
   bool gap = events.gap.value_or(false);
   for (const engines::CacheEvent& event : events.events) {
-    // Events of several pieces affected by one change have the same sequence number.
+    // If one change affects several pieces, the events of these pieces have the same sequence
+    // number.
     const bool follows =
         event.sequence == state.last_cache_event || event.sequence == state.last_cache_event + 1;
     gap = gap || (state.last_cache_event != 0 && !events.gap && !events.snapshot && !follows);
--- a/src/cypresswall/routing/engine_poller.h
+++ b/src/cypresswall/routing/engine_poller.h
@@ -38,15 +38,18 @@
     bool load_pending = false;
     bool cache_pending = false;
     std::uint32_t failures = 0;
-    /// Sequence number of the last cache event read from this incarnation, zero if none was.
+    /// Sequence number of the last cache event read from the engine's current incarnation; zero if
+    /// none was read.
     std::uint64_t last_cache_event = 0;
     common::MonotonicTime cache_polled_at{};
-    /// Interval between polls of cache events, in cache poll periods.
+    /// Interval between polls of cache events, in units of DirectorySettings::cache_poll_period.
     std::uint32_t cache_poll_factor = 1;
-    /// The last report with a significant change; later reports are compared with it.
+    /// The last report with a significant change, with which later reports are compared; empty
+    /// before the first report.
     std::optional<EngineDelta> reference;
     std::uint32_t cache_pieces_used = 0;
-    /// The newest report has no significant change, and the engine is ready and not changing.
+    /// The newest report has no significant change, and the engine is ready and executes no order
+    /// (such as a role change).
     bool steady = false;
   };
 
--- a/src/cypresswall/routing/engine_record.h
+++ b/src/cypresswall/routing/engine_record.h
@@ -14,10 +14,10 @@
   kAvailable,
   kNotReported,        ///< no load report was received yet
   kSilent,             ///< the newest report is too old
-  kUnreachable,        ///< its watcher can't reach it
-  kEjected,            ///< attempts failed; temporarily removed from routing
-  kChanging,           ///< changing its role or loading weights
-  kFailed,             ///< reported that it failed
+  kUnreachable,        ///< the node that polls the engine can't reach it
+  kEjected,            ///< temporarily removed from routing because attempts failed
+  kChanging,           ///< the engine is changing its role or loading weights
+  kFailed,             ///< the engine reported that it failed
   kDraining,           ///< the zone's controller drains it for a planned change
   kDrainedByOperator,  ///< an operator drained it or its machine
   kMachineLeaving,     ///< the machine list shows its machine as leaving or gone
@@ -35,7 +35,8 @@
   engines::EngineLoad load;
   /// The time that `load` describes, on this node's clock.
   common::MonotonicTime observed_at{};
-  /// The time of the last known report, including those whose load was not published.
+  /// The time of the engine's last report known here. Later than `observed_at` if the load in that
+  /// report was not published to this node.
   common::MonotonicTime last_contact_at{};
   bool reachable = true;
   /// This node polls the engine.
--- a/src/cypresswall/routing/engine_table.cpp
+++ b/src/cypresswall/routing/engine_table.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr char kKeySeparator = '\n';
-/// Limit of cached candidate lists; when it is reached, all of them are dropped.
+/// Maximum number of cached candidate lists; when it is reached, all lists are dropped.
 constexpr std::size_t kMaximumCandidateLists = 1024;
 
 bool sameEngine(const configuration::EngineDeclaration& left,
--- a/src/cypresswall/routing/engine_table.h
+++ b/src/cypresswall/routing/engine_table.h
@@ -23,8 +23,8 @@
 
 class EngineTable {
  public:
-  /// Called after an engine's record changed; `restarted` is true if the engine has a new
-  /// incarnation, or the slot a new engine.
+  /// Called after an engine's record changed; `restarted` is true if the engine was restarted, or
+  /// if the slot was assigned to another engine.
   using Listener = std::function<void(EngineSlot slot, bool restarted)>;
 
   explicit EngineTable(const DirectorySettings& settings) : settings_(settings) {}
@@ -41,14 +41,14 @@
   void observe(EngineSlot slot, const EngineObservation& observation, common::MonotonicTime now);
   /// Records that the last reported load was still valid at `observed_at`.
   void confirm(EngineSlot slot, common::MonotonicTime observed_at, common::MonotonicTime now);
-  /// Records that the engine reported at `contact_at`, with a load that is not known here.
+  /// Records that the engine sent a report at `contact_at` whose load is not known to this node.
   void noteContact(EngineSlot slot, common::MonotonicTime contact_at, common::MonotonicTime now);
   /// Removes the engine from routing until `until`.
   void eject(EngineSlot slot, common::MonotonicTime until, common::MonotonicTime now);
   /// \return the end of the engine's last ejection; the clock's epoch if it was never ejected.
   common::MonotonicTime ejectedUntil(EngineSlot slot) const { return entries_[slot].ejected_until; }
-  /// \return true if the engine may receive no work regardless of its load: its machine is leaving,
-  ///   or an operator or the zone's controller drains it.
+  /// \return true if the engine must receive no new work whatever its load: its machine is leaving,
+  ///   or an operator or the zone's controller drains the engine.
   bool isLeaving(EngineSlot slot) const;
   void setReachable(EngineSlot slot, bool reachable, common::MonotonicTime now);
   void setWatched(EngineSlot slot, bool watched) { entries_[slot].record.watched_here = watched; }
--- a/src/cypresswall/routing/long_prompt_tracker.cpp
+++ b/src/cypresswall/routing/long_prompt_tracker.cpp
@@ -6,7 +6,8 @@
 namespace cypresswall::routing {
 namespace {
 
-/// An engine later than this with its prompts may have failed, so nothing is copied from it.
+/// An engine that should have computed its long prompts longer ago than this may have failed, so
+/// nothing is copied from its cache.
 constexpr double kOverdueSeconds = 0.4;
 
 }  // namespace
@@ -107,8 +108,8 @@
     }
     return;
   }
-  // Record the pieces again: an earlier prompt that should have computed them may have been
-  // abandoned.
+  // Record the pieces again: another prompt with the same pieces may have been abandoned, which
+  // removed them from the index.
   prefixes_.usedBy(slot, ended.shape, clock_.now());
   if (ended.output != kNoEngineSlot) {
     prefixes_.usedBy(ended.output, ended.shape, clock_.now());
--- a/src/cypresswall/routing/long_prompt_tracker.h
+++ b/src/cypresswall/routing/long_prompt_tracker.h
@@ -1,6 +1,7 @@
-/// Tracks the long prompts in progress on the zone's engines, sent by this node or announced by its
-/// peers: how long each engine will be busy with them, which cached pieces are still being
-/// computed, and the engines' measured speed.
+/// Tracks the long prompts in progress on the zone's engines, which this node sent or peers
+/// announced. A prompt is long if its computation takes more than one engine step or includes a
+/// copy from another engine's cache. Determines until when each engine is busy with long prompts,
+/// which cache pieces are still being computed, and the engines' actual prompt speed.
 #pragma once
 
 #include <string>
@@ -28,17 +29,19 @@
   LongPromptTracker(const LongPromptTracker&) = delete;
   LongPromptTracker& operator=(const LongPromptTracker&) = delete;
 
-  /// Records that this node sent a prompt. Prompts that take no more than one step are ignored.
-  /// \param output engine that receives the KV cache, or kNoEngineSlot
+  /// Records that this node sent a prompt. Prompts that are not long are ignored.
+  /// \param output engine that receives the KV cache to generate the output; kNoEngineSlot if
+  ///   `engine` generates the output
   void started(const std::string& stream_id, EngineSlot engine, EngineSlot output,
                const PromptWork& prompt, const common::PromptShape& shape);
   void computed(const std::string& stream_id) { end(stream_id, true); }
-  /// The attempt ended. Does nothing after computed().
+  /// Records that the attempt ended. Does nothing if computed() was called before.
   void abandoned(const std::string& stream_id) { end(stream_id, false); }
 
-  /// \return true if the engine was sent the piece but has not computed it yet
+  /// \return true if the engine is still computing a long prompt that includes the piece, and did
+  ///   not hold the piece before
   bool beingComputed(EngineSlot engine, common::PieceHash piece) const;
-  /// \return true if the engine is so late with a prompt that it may have failed
+  /// \return true if the engine is so late with its long prompts that it may have failed
   bool overdue(EngineSlot engine) const;
   /// Updates an engine's estimate; called at each of its reports.
   void refresh(EngineSlot engine);
@@ -62,7 +65,8 @@
     /// Number of leading pieces that the engine already held.
     std::size_t held_pieces = 0;
     EngineSlot output = kNoEngineSlot;
-    /// Seconds by the engine's declared speed; zero if a copy is part of it.
+    /// Expected seconds of computation at the engine's declared or assumed speed; zero if tokens
+    /// are copied too, since the speed can't be measured then.
     double nominal = 0;
   };
   struct Engine {
--- a/src/cypresswall/routing/offers.h
+++ b/src/cypresswall/routing/offers.h
@@ -1,5 +1,6 @@
-/// Expected times of one request on one engine, and the cost by which engines are compared. Inline,
-/// because each choice evaluates every engine of the zone within microseconds.
+/// Expected times of one request on one engine, and the cost by which engines are compared. The
+/// functions are inline because each choice evaluates every candidate engine, within microseconds
+/// in total.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 /// preferred.
 inline constexpr double kLatePenalty = 100.0;
 
-/// The work of a request; times in seconds.
+/// The work and the limits of a request; times in seconds.
 struct RequestWork {
   double prompt_tokens = 0;
   double decode_tokens = 0;
@@ -23,20 +24,21 @@
   double between_tokens_limit = 0;
   double inverse_first_token_limit = 0;
   double inverse_between_tokens_limit = 0;
-  /// Piece that keys prefix affinity: prompts with the same piece are routed to the same engine.
-  /// Zero if the shared prefix is too short.
+  /// Hash of the last piece of the prefix shared with other prompts. Prompts with the same hash are
+  /// routed to the same engine if costs are about equal. Zero if there is no shared prefix or it is
+  /// too short.
   std::uint64_t affinity = 0;
-  /// Tokens up to the end of that piece.
+  /// Number of prompt tokens up to the end of that piece.
   double affinity_tokens = 0;
 };
 
-/// Work of an engine until it holds the whole prompt, in tokens.
+/// How an engine obtains the KV cache of a whole prompt, in prompt tokens.
 struct PromptWork {
-  /// Computed by the engine.
+  /// Tokens that the engine computes.
   double uncached = 0;
-  /// Copied from another engine's cache.
+  /// Tokens that the engine copies from another engine's cache.
   double copied = 0;
-  /// Already in the engine's cache.
+  /// Tokens that the engine's cache already holds.
   double cached = 0;
 
   /// \return number of pairs of a computed token and an earlier one, for the cost of attention
@@ -50,17 +52,20 @@
 /// seconds.
 struct Offer {
   double cost = 0;
-  /// Cost to other requests when prompts queue at every engine: the time for which the prompt
-  /// occupies the engine, and the cached tokens displaced by copied ones. Not part of `cost`.
+  /// Cost of the delay of other requests, for the case that prompts are queued on every engine: the
+  /// time for which the prompt occupies the engine, plus the time to recompute the cached tokens
+  /// that are evicted for copied ones. Not included in `cost`.
   double occupancy = 0;
   double wait = 0;
   double first_token = 0;
   double between_tokens = 0;
-  /// Largest acceptable time between tokens.
+  /// Largest acceptable time between tokens of this request on this engine.
   double step_limit = 0;
-  /// Queueing makes the first token late; never set for an engine without a queue.
+  /// The first token would be late, and the request would have to wait in a queue. Never set if the
+  /// wait is negligible.
   bool late = false;
-  /// The prompt would delay the output of a decode engine although prefill engines exist.
+  /// The prompt would delay the output of a decode engine too much, although there are prefill
+  /// engines that could compute it.
   bool delays_decoding = false;
 
   bool meetsLimits() const { return !late && !delays_decoding && between_tokens <= step_limit; }
@@ -107,7 +112,7 @@
   double occupyingSeconds(const CostInputs& engine, const PromptWork& prompt) const {
     return computingSeconds(engine, prompt) + copyingSeconds(engine, prompt.copied);
   }
-  /// \return seconds until the engine will have computed the prompts that it already has
+  /// \return seconds until the engine will have computed the prompts that were sent to it before
   static double prefillWait(const CostInputs& engine, double now) {
     const double queue = std::max(0.0, engine.queue_empty_at - now) + engine.unreported_wait;
     return std::max(queue, backlogWait(engine, now));
@@ -126,7 +131,8 @@
         engine.kv_seconds_per_token > 0 ? engine.kv_seconds_per_token : kv_per_token_;
     return copy_base_ + per_token * tokens;
   }
-  /// \return the offer of an engine that receives a computed prompt
+  /// \return the offer of an engine that generates the output after a prefill engine has computed
+  ///   the prompt
   Offer decode(const CostInputs& engine, const RequestWork& work, double now) const {
     Offer offer;
     offer.wait = wait(engine, now);
@@ -135,7 +141,8 @@
     setCost(offer, work, engine);
     return offer;
   }
-  /// \param decode_engine the engine of `decode`
+  /// \return the offer of a prefill engine and a decode engine that share the request
+  /// \param decode_engine the engine that made the offer `decode`
   Offer combined(const Offer& prefill, const Offer& decode, const CostInputs& decode_engine,
                  const RequestWork& work) const {
     Offer offer = decode;
@@ -154,7 +161,8 @@
     return prefillWait(engine, now) + engine.slot_wait;
   }
 
-  /// An engine that is overdue with its prompts is expected to need as much time again.
+  /// \return seconds until the engine will have computed its long prompts. If the engine is late
+  ///   with them, it is expected to need as much more time as it is already late.
   static double backlogWait(const CostInputs& engine, double now) {
     return engine.has_backlog ? std::abs(engine.backlog_empty_at - now) : 0.0;
   }
@@ -172,7 +180,8 @@
     offer.late = offer.wait > negligible_wait_ && offer.first_token > work.first_token_limit;
     offer.cost = offer.first_token * work.inverse_first_token_limit +
                  between_weight_ * offer.between_tokens * work.inverse_between_tokens_limit;
-    // The cost still ranks engines that miss the limits. Without branches, for speed.
+    // Engines that miss the limits get a penalty but are still ranked by cost. The expression
+    // avoids branches for speed.
     const bool misses = offer.late | (offer.between_tokens > offer.step_limit);
     offer.cost += misses ? kLatePenalty : 0.0;
   }
@@ -187,8 +196,8 @@
 };
 
 /// \param engine the engine that generates the output
-/// \return seconds until the offer's queue and the number of streams have shrunk enough to meet the
-///   limits; zero if the offer meets them.
+/// \return estimated seconds until the queue and the number of streams have shrunk so far that the
+///   offer would meet the limits; zero if the offer meets the limits now.
 double secondsUntilWithinLimits(const Offer& offer, const RequestWork& work,
                                 const EngineEstimate& engine);
 
--- a/src/cypresswall/routing/output_speed.cpp
+++ b/src/cypresswall/routing/output_speed.cpp
@@ -42,8 +42,8 @@
 }
 
 double OutputSpeedEstimator::remainingSeconds(const common::ModelName& model) const {
-  // A stream observed at a random time is more likely a long one: its mean remaining time is
-  // E[T^2] / (2 E[T]).
+  // A stream observed at a random time is more likely to be a long one. With durations T, its mean
+  // remaining time is E[T^2] / (2 E[T]).
   constexpr double kHalf = 0.5;
   const auto found = models_.find(model);
   if (!settings_.learns_remaining_time || found == models_.end() || found->second.seconds <= 0) {
--- a/src/cypresswall/routing/output_speed.h
+++ b/src/cypresswall/routing/output_speed.h
@@ -1,4 +1,4 @@
-/// Learns the actual duration of decode steps from completed answers.
+/// Learns the actual duration of decode steps, and the duration of answers, from completed answers.
 #pragma once
 
 #include <map>
@@ -10,24 +10,25 @@
 
 namespace cypresswall::routing {
 
-/// Learns, per model, the ratio of measured output time to the nominal time from the engines'
-/// declared or assumed step durations. Has no clock and does no I/O.
+/// Learns, per model, the ratio of the measured output time to the nominal output time, which is
+/// calculated from the engines' declared or assumed step durations. Has no clock and does no I/O.
 class OutputSpeedEstimator {
  public:
   explicit OutputSpeedEstimator(const OutputSpeedSettings& settings) : settings_(settings) {}
 
   /// Records that the first token of an answer was received.
-  /// \param nominal expected seconds for the rest of the output; zero if it is too short to measure
-  ///   the duration of a step
+  /// \param nominal nominal seconds for the rest of the output; zero if the answer must not be used
+  ///   to learn the duration of steps, for example because the output is too short
   void begin(const std::string& stream_id, const common::ModelName& model, double nominal,
              double now);
   /// Records that the answer was completed at `now`.
   void complete(const std::string& stream_id, double now);
-  /// Drops the stream, which ended in any way.
+  /// Drops a stream that has ended, completely or not.
   void forget(const std::string& stream_id) { running_.erase(stream_id); }
   /// \return the factor on the nominal duration of a step
   double scale(const common::ModelName& model) const;
-  /// \return mean remaining seconds of a stream observed while running; zero until known
+  /// \return expected remaining seconds of a running stream; zero until an answer was completed, or
+  ///   if this is not learned
   double remainingSeconds(const common::ModelName& model) const;
 
  private:
@@ -39,8 +40,9 @@
   struct Sums {
     double nominal = 0;
     double measured = 0;
-    /// Over all answers, including those too short to measure a step.
+    /// Durations of all answers, including those too short to measure a step.
     double seconds = 0;
+    /// Squares of these durations.
     double squared_seconds = 0;
   };
 
--- a/src/cypresswall/routing/permit_router.h
+++ b/src/cypresswall/routing/permit_router.h
@@ -12,10 +12,10 @@
 
 namespace cypresswall::routing {
 
-/// Decorates a router. A route over rate-limited engines is used only once a permit was granted for
-/// each of them; if a permit is refused, another engine is chosen. Permits for both engines of a
-/// route are acquired before anything is sent, since a prompt computed for an engine that then
-/// can't take it would be lost.
+/// Decorates a router. If engines of a route have a rate limit, the route is used only after a
+/// permit was granted for each of them; if a permit is refused, another engine is chosen. Permits
+/// for both engines of a route are acquired before anything is sent: otherwise a prompt would be
+/// computed in vain if the engine for the output had no permit.
 class PermitRouter final : public Router {
  public:
   /// \pre all references outlive this object
@@ -53,7 +53,8 @@
     RouteRequest request;
     PlacementCallback done;
     Route route;
-    /// Engines of the route that still need a permit; the next one is last.
+    /// Engines of the route for which a permit is still needed. The permit for the last entry is
+    /// requested first.
     std::vector<common::EngineName> needed;
   };
 
--- a/src/cypresswall/routing/placement_messages.cpp
+++ b/src/cypresswall/routing/placement_messages.cpp
@@ -6,8 +6,8 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Limits on excluded engines, prompt pieces, tokens and times in one request. All are far above
-/// legitimate values and bound the work that a faulty peer can cause.
+/// Limits on excluded engines, prompt pieces, tokens and times in one request. They bound the work
+/// that a faulty peer can cause, and are far above the values of valid requests.
 constexpr std::size_t kMaximumExcluded = 64;
 constexpr std::size_t kMaximumPieces = 16384;
 constexpr std::uint32_t kMaximumTokens = 1U << 28U;
--- a/src/cypresswall/routing/placement_messages.h
+++ b/src/cypresswall/routing/placement_messages.h
@@ -24,7 +24,8 @@
 struct PlacementRequest {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 5);
 
-  /// Matches answers to requests, since one stream may send several.
+  /// Identifies the request; the answer contains the same number. Several requests may be sent for
+  /// one stream.
   std::uint64_t number = 0;
   std::string group;
   std::string stream_id;
@@ -50,7 +51,8 @@
   kPlaced = 0,
   /// No engine of the group can meet the limits.
   kOverloaded = 1,
-  /// The node can't choose now: it doesn't own the group, or knows no engine that may get work.
+  /// The asked node can't choose now: it doesn't own the group, or knows no engine that may get
+  /// work.
   kUnable = 2,
   /// No engine is known to serve the model.
   kUnknownModel = 3,
@@ -72,8 +74,9 @@
   std::string stream_id;
   PlacementOutcome outcome = PlacementOutcome::kUnable;
   PlacedEngine engine;
-  /// An empty name means that `engine` computes the prompt, or that nothing is copied.
+  /// The engine that computes the prompt; its name is empty if `engine` computes the prompt.
   PlacedEngine prefill_engine;
+  /// The engine from which cached tokens are copied; its name is empty if nothing is copied.
   PlacedEngine prefix_source;
   std::string version;
   std::int64_t expected_first_token = 0;
@@ -98,21 +101,22 @@
 enum class AttemptStep : std::uint8_t {
   kPromptComputed = 0,
   kFirstToken = 1,
-  /// Ended with a complete answer.
+  /// The attempt ended with a complete answer.
   kCompleted = 2,
-  /// Ended without a complete answer; also releases a placement that is not used.
+  /// The attempt ended without a complete answer. Also sent to release a placement that is not
+  /// used.
   kEnded = 3,
   kFailed = 4,
 };
 
-/// Reports the progress of an attempt to the owner that placed it. Never retransmitted: a lost
-/// message only makes estimates less accurate until the engine's next reports.
+/// Reports the progress of an attempt to the owner that placed it. The message is never
+/// retransmitted: if it is lost, estimates are only less accurate until the engine's next reports.
 struct AttemptProgress {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 7);
 
   std::string stream_id;
   AttemptStep step = AttemptStep::kEnded;
-  /// For a failed attempt: the engine and the kind of failure.
+  /// For kFailed only: the engine on which the attempt failed, and the kind of failure.
   common::EngineName engine;
   engines::StreamFailure failure = engines::StreamFailure::kNotTried;
 
--- a/src/cypresswall/routing/placement_router.cpp
+++ b/src/cypresswall/routing/placement_router.cpp
@@ -9,7 +9,7 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Size of the table of unresponsive owners above which expired entries are removed.
+/// Number of entries in the table of unresponsive owners from which expired entries are removed.
 constexpr std::size_t kMaximumUnresponsiveOwners = 256;
 
 }  // namespace
@@ -204,7 +204,8 @@
 void PlacementRouter::onRefusal(PendingRequest& pending, const PlacementAnswer& answer) {
   pending.refusal = refusalOf(answer);
   if (answer.outcome == PlacementOutcome::kOverloaded) {
-    // The group's other owner sees the same engines and would refuse as well.
+    // The group's other owners know the same engines and would refuse as well, so they are not
+    // asked.
     std::erase_if(pending.candidates, [&pending](const Candidate& candidate) {
       return candidate.group == pending.asked.group;
     });
@@ -243,7 +244,8 @@
   local_.abandonPlacement(stream_id);
 }
 
-/// A duplicated answer must not release the placement that is in use.
+/// Releases a placement whose answer came too late, unless the stream uses a placement by this
+/// owner: then the answer is a duplicate, and the placement must not be released.
 void PlacementRouter::releaseUnlessInUse(const common::NodeId& owner,
                                          const std::string& stream_id) {
   const auto placed = remote_placements_.find(stream_id);
--- a/src/cypresswall/routing/placement_router.h
+++ b/src/cypresswall/routing/placement_router.h
@@ -1,7 +1,7 @@
-/// The requesting side of placement. A routing node of the engines chooses locally. Other nodes ask
-/// the owners of the prompt's candidate groups one after the other and report the progress of the
-/// attempt to the owner that placed it. The wait for each owner is bounded; owners that don't
-/// answer are skipped.
+/// The requesting side of placement. In a zone that is not divided into groups, this node chooses
+/// engines itself. Otherwise it asks the owners of the prompt's candidate groups (see EngineGroups)
+/// one after the other, and reports the progress of the attempt to the owner that placed it. If an
+/// owner does not answer within a limited time, the next one is asked.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 class PlacementRouter final : public Router {
  public:
   /// Registers the handler of PlacementAnswer.
-  /// \param local chooses among the engines that this node routes to itself
+  /// \param local chooses among the engines that this node routes to
   /// \pre all references outlive this object
   PlacementRouter(const PlacementSettings& settings, const RouterSettings& router_settings,
                   const api::ProcessContext& context, EngineDirectory& directory, Router& local);
@@ -64,14 +64,16 @@
   /// A placement made by another node.
   struct RemotePlacement {
     common::NodeId owner;
-    /// Whether the owner is sent the time of the first token, which its estimates need.
+    /// Whether the first token is reported to the owner, which needs its time only for long prompts
+    /// and long answers.
     bool reports_first_token = false;
     bool completed = false;
   };
 
   std::deque<Candidate> candidatesFor(const RouteRequest& request);
   bool unresponsive(const common::NodeId& node) const;
-  /// Asks the next owner, chooses locally if that is this node, or gives up after the last one.
+  /// Asks the next owner (chooses locally if that is this node), or gives up if no owner is left or
+  /// the maximum number of owners was asked.
   void tryNextOwner(const std::string& stream_id);
   void sendRequest(PendingRequest& pending, const Candidate& candidate);
   void placeLocally(const std::string& stream_id);
--- a/src/cypresswall/routing/placement_service.cpp
+++ b/src/cypresswall/routing/placement_service.cpp
@@ -54,7 +54,8 @@
     invalid_.add();
     return;
   }
-  // A repeated or duplicated request: the earlier placement is not used.
+  // An earlier request for the same stream was repeated or duplicated. Its placement is not used,
+  // so it is released.
   release(request.stream_id);
   router_.abandonPlacement(request.stream_id);
   if (const auto refusal = refusalOfGroup(message.group)) {
--- a/src/cypresswall/routing/placement_service.h
+++ b/src/cypresswall/routing/placement_service.h
@@ -1,5 +1,6 @@
 /// The owner's side of placement: places requests of other nodes on the engines of the groups that
-/// this node owns, and tracks these placements until they are released.
+/// this node owns, and tracks these placements until the requesting node reports their end, or they
+/// expire.
 #pragma once
 
 #include <cstdint>
@@ -26,13 +27,13 @@
 
  private:
   struct ActivePlacement {
-    /// The node that requested it.
+    /// The node that requested the placement.
     common::NodeId node;
     common::MonotonicTime created_at{};
   };
 
   void onRequest(const common::NodeId& sender, const PlacementRequest& message);
-  /// \return why this node places no requests in the group; empty if it does
+  /// \return the reason why this node can't place a request in the group; empty if it can
   std::optional<RouteRefusal> refusalOfGroup(const std::string& group);
   void answerWith(const RouteChoice& choice, const common::NodeId& node, std::uint64_t number,
                   const std::string& stream_id);
--- a/src/cypresswall/routing/prefix_index.h
+++ b/src/cypresswall/routing/prefix_index.h
@@ -1,7 +1,8 @@
 /// Tracks which engines are believed to hold which KV cache pieces. Updated from the prompts that
 /// nodes send to engines, and corrected by the engines' cache events, which are delayed and may
 /// have gaps. Eviction is predicted by assuming that a full engine evicts its least recently used
-/// pieces: under load a cache turns over within a second, which is less than the delay of events.
+/// pieces: under load, the whole content of a cache may be replaced within a second, and events are
+/// too slow to follow that.
 #pragma once
 
 #include <cstdint>
@@ -33,8 +34,8 @@
   /// Sets an engine's cache capacity in tokens; zero if unknown. Does nothing unless cache contents
   /// are predicted.
   void setCapacity(EngineSlot engine, std::uint64_t tokens);
-  /// Sets the number of engines among which the memory of the index is divided. Defaults to the
-  /// number of engines ever recorded.
+  /// Sets the number of engines among which PrefixIndexSettings::maximum_pieces is divided. If it
+  /// is not set or zero, the highest slot ever recorded determines the number.
   void setEngineCount(std::size_t engines) { engine_count_ = engines; }
   /// Records that `engine` holds `piece` and used it at `now`.
   /// \param tokens length of the piece; zero selects its known length, or else the default one
@@ -54,12 +55,13 @@
   bool evictionReported(EngineSlot engine, common::PieceHash piece, common::MonotonicTime now);
   /// Drops all pieces of an engine that restarted or whose slot was reassigned.
   void forgetEngine(EngineSlot engine);
-  /// Lowers the trust in an engine's entries because events were lost. The entries are kept, since
-  /// most of them are still valid.
+  /// Lowers the trust in an engine's entries (see trust()) because events were lost. The entries
+  /// are kept, since most of them are still valid.
   void gapSeen(EngineSlot engine);
   /// Restores part of the trust after a batch of events without a gap.
   void batchWithoutGap(EngineSlot engine);
-  /// \return the fraction of matched pieces to rely on for this engine, from minimum_trust to 1.
+  /// \return the fraction of matched tokens that the engine is assumed to hold, from
+  ///   PrefixIndexSettings::minimum_trust to 1.
   double trust(EngineSlot engine) const;
 
   /// Finds the engines that hold the start of a prompt.
--- a/src/cypresswall/routing/prompt_backlog.h
+++ b/src/cypresswall/routing/prompt_backlog.h
@@ -1,6 +1,6 @@
-/// The long prompts that were sent to one engine, by this node or by peers that announced them, and
-/// are not computed yet, and the time at which the engine will have computed them all. Has no clock
-/// and does no I/O.
+/// The long prompts that one engine was sent and has not computed yet. Includes prompts that this
+/// node sent and those announced by peers. Estimates when the engine will have computed all of
+/// them. Has no clock and does no I/O; times are in seconds.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 /// How long an engine was busy with one prompt.
 struct BusyTime {
   double seconds = 0;
-  /// The engine was idle before: the time counts from sending the prompt and includes its network
-  /// latency.
+  /// True if the engine had no other long prompt when this one was sent: `seconds` then counts from
+  /// the sending of the prompt and includes its network latency.
   bool includes_latency = false;
 };
 
@@ -27,13 +27,15 @@
  public:
   /// \param seconds time for which this prompt occupies the engine
   void add(PromptKey key, double started_at, double seconds);
-  /// \return how long the engine has been busy with this prompt alone. Empty if unknown: other
-  ///   prompts are before it, or the previous one was abandoned.
+  /// \return how long the engine has been computing this prompt. Empty if unknown: other prompts
+  ///   precede this one, or the end of the previous one was not observed, or came before this one
+  ///   was sent.
   std::optional<BusyTime> busyTimeOf(PromptKey key, double now) const;
   /// Removes a prompt that was computed or abandoned.
   /// \return true if it was present
   bool remove(PromptKey key, double now, bool computed);
-  /// Removes prompts overdue by more than `limit`, whose end notice must have been lost.
+  /// Removes prompts that should have been computed more than `limit` seconds ago: the notice of
+  /// their end must have been lost.
   void expire(double now, double limit);
 
   bool holds(PromptKey key) const;
@@ -46,15 +48,16 @@
     PromptKey key = 0;
     double started_at = 0;
     double seconds = 0;
-    /// The backlog was empty when this prompt was added.
+    /// True if the backlog was empty when this prompt was added.
     bool alone = false;
   };
 
   /// In order of their start.
   std::vector<Prompt> prompts_;
-  /// When the engine finished the prompt before the first of `prompts_`.
+  /// When the engine finished the prompt that preceded the first entry of `prompts_`.
   double last_end_ = 0;
-  /// That prompt is known to have been computed at that time.
+  /// True if that prompt is known to have been computed at `last_end_`; false if it was abandoned
+  /// or expired.
   bool last_end_known_ = false;
 };
 
--- a/src/cypresswall/routing/prompt_speed.cpp
+++ b/src/cypresswall/routing/prompt_speed.cpp
@@ -8,8 +8,9 @@
 
 /// Lower bound of the scale.
 constexpr double kMinimumScale = 1e-4;
-/// Minimum determinant, relative to its largest possible value, at which the samples separate the
-/// fixed latency from the scale.
+/// Minimum determinant of the least-squares equations, relative to its largest possible value.
+/// Below this, the samples can't separate the fixed latency from the scale, and a latency of zero
+/// is assumed.
 constexpr double kMinimumRelativeDeterminant = 1e-9;
 
 }  // namespace
@@ -68,7 +69,8 @@
   auto [entry, first] = models_.try_emplace(model);
   ModelSums& sums = entry->second;
   if (first) {
-    // The prior counts as samples of the first prompt's size.
+    // The prior (the assumed latency and a scale of 1) has the weight of `prior_samples` samples
+    // with the nominal duration of the first prompt.
     sums.ff = settings_.prior_samples;
     sums.fy = settings_.prior_samples * assumed_latency;
     sums.xx = settings_.prior_samples * x * x;
--- a/src/cypresswall/routing/prompt_speed.h
+++ b/src/cypresswall/routing/prompt_speed.h
@@ -1,4 +1,4 @@
-/// Learns the actual duration of prompts on engines from those that were computed.
+/// Learns how long engines actually take to compute prompts, from measured prompts.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,12 @@
 
 /// A computed prompt with its measured duration.
 struct PromptSample {
-  /// Expected seconds by the engine's declared or assumed speed; positive.
+  /// Expected seconds of computation at the engine's declared or assumed speed; positive.
   double nominal = 0;
   /// Measured seconds.
   double measured = 0;
-  /// `measured` counts from sending the prompt and so includes its fixed latency; otherwise it
-  /// counts from the end of the previous prompt on the same engine.
+  /// If true, `measured` counts from the sending of the prompt and so includes the fixed latency.
+  /// If false, `measured` counts from the end of the previous prompt on the same engine.
   bool includes_latency = false;
 };
 
@@ -48,8 +48,9 @@
                     double now) const;
 
  private:
-  /// Decayed sums over samples, of products of f (1 if the fixed latency is included, else 0),
-  /// x (nominal seconds) and y (measured seconds).
+  /// Sums over a model's samples, in which older samples have less weight. Each member is the sum
+  /// of the product that its name spells, of f (1 if the sample includes the fixed latency, else
+  /// 0), x (nominal seconds) and y (measured seconds).
   struct ModelSums {
     double ff = 0;
     double fx = 0;
@@ -68,7 +69,8 @@
 
   PromptSpeed modelSpeed(const common::ModelName& model, double assumed_latency) const;
   /// \return the weight of a sample, which decreases with its deviation from the expected value: a
-  ///   prompt that was delayed, or found less in the cache than predicted, tells little about speed
+  ///   prompt that was delayed, or for which fewer tokens were cached than predicted, says little
+  ///   about the speed
   double weightOf(double residual, double expected) const;
   double effectiveSamples(const EngineScale& engine, double now) const;
 
--- a/src/cypresswall/routing/router.h
+++ b/src/cypresswall/routing/router.h
@@ -46,17 +46,19 @@
   common::Duration expected_first_token{0};
   common::Duration expected_between_tokens{0};
   std::uint32_t expected_cached_tokens = 0;
-  /// The node that chose, if not this one.
+  /// The node that chose the route; empty if this node chose it.
   common::NodeId chosen_by;
   /// Set if the engine that computes the prompt first copies a cached part of it from this engine.
   std::optional<engines::EngineEndpoint> prefix_source;
   std::uint32_t expected_copied_tokens = 0;
   /// Number of engines believed to hold a part of the prompt, including any that get no new work.
   std::uint32_t known_holders = 0;
-  /// Identifies the longest prefix that other prompts may share; zero if there is none.
+  /// Hash that identifies the prefix that other prompts may share (see sharedPartOf()); zero if
+  /// there is none.
   common::PieceHash shared_part = 0;
-  /// Expected time to compute the prompt, and expected wait before that.
+  /// Expected time to compute the prompt, without the wait before that.
   common::Duration expected_prompt{0};
+  /// Expected wait for the queue and for a free stream slot.
   common::Duration expected_wait{0};
 };
 
@@ -65,20 +67,20 @@
   kOverloaded,    ///< no engine can meet the limits; see RouteRefusal
 };
 
-/// The best engine for a refused request, with the expected times there.
+/// The best engine for a refused request, with the times expected on that engine.
 struct RefusedOffer {
   common::EngineName engine;
   common::Duration expected_wait{0};
   common::Duration expected_first_token{0};
   common::Duration first_token_limit{0};
-  /// Age of the engine's report behind these estimates.
+  /// Age of the load report on which the estimates are based.
   common::Duration report_age{0};
 };
 
 /// Why no engine was chosen.
 struct RouteRefusal {
   RouteFailure reason = RouteFailure::kOverloaded;
-  /// When an attempt would probably be admitted, estimated from the time to drain the queues.
+  /// Estimated time until a new attempt would be admitted; zero if the model is unknown.
   common::Duration retry_after{0};
   std::string message;
   /// Empty if no engine was available.
@@ -102,19 +104,21 @@
     }
     done(std::move(choice));
   }
-  /// Called when a request ends before its placement is known.
+  /// Called when a request ends before `done` of its place() call was called.
   virtual void abandonPlacement(const std::string&) {}
-  /// Checked again before opening the second stream of a route that was chosen earlier.
-  /// \return false if the engine may no longer get new work: leaving, drained or unavailable
+  /// Called before the second stream of a route, that to the engine for the output, is opened: the
+  /// engine's state may have changed since the route was chosen.
+  /// \return false if the engine may no longer get new work because it is leaving, drained or
+  ///   unavailable
   virtual bool takesWork(const engines::EngineEndpoint& engine) const = 0;
   /// The following calls report the progress of an attempt, so that estimates include work that no
   /// load report shows yet. Each started attempt ends with exactly one of attemptFinished() and
   /// attemptFailed().
   virtual void attemptStarted(const RouteRequest& request, const Route& route) = 0;
-  /// The prefill engine of a route has computed the prompt.
+  /// Reports that the prefill engine of a route has computed the prompt.
   virtual void promptComputed(const std::string& stream_id) = 0;
   virtual void firstTokenReceived(const std::string& stream_id) = 0;
-  /// The attempt delivered its complete answer; attemptFinished() follows.
+  /// Reports that the attempt delivered its complete answer; attemptFinished() is called next.
   virtual void answerCompleted(const std::string& stream_id) = 0;
   virtual void attemptFinished(const std::string& stream_id) = 0;
   /// \param engine the engine of the route at which the attempt failed
--- a/src/cypresswall/routing/shared_part.cpp
+++ b/src/cypresswall/routing/shared_part.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::routing {
 namespace {
 
-/// Shared prefixes shorter than this are not worth routing by affinity.
+/// Shared prefixes with fewer tokens are ignored, since little computation is saved by routing
+/// prompts with them to the same engine.
 constexpr std::uint32_t kMinimumAffinityTokens = 1024;
 
 }  // namespace
--- a/src/cypresswall/routing/unreported_work.h
+++ b/src/cypresswall/routing/unreported_work.h
@@ -29,10 +29,12 @@
   /// Records an attempt that uses one stream slot on each engine of `shares`.
   void started(const std::string& stream_id, const std::vector<WorkShare>& shares,
                common::MonotonicTime now);
-  /// Records that the prompt was computed.
+  /// Records that the prompt of the attempt was computed, so that its prompt tokens no longer
+  /// count.
   void firstToken(const std::string& stream_id);
+  /// Removes the unreported work of an attempt that ended.
   void ended(const std::string& stream_id);
-  /// Removes work that a load report of `observed_at` includes.
+  /// Removes the work that is included in a load report that describes the engine at `observed_at`.
   void reported(EngineSlot engine, common::MonotonicTime observed_at);
   /// Removes all unreported work of an engine that restarted.
   void forgetEngine(EngineSlot engine);
@@ -40,7 +42,8 @@
   std::size_t attempts() const { return attempts_.size(); }
 
  private:
-  /// A share in an engine's queue, which is ordered by start.
+  /// An entry in the queue of one engine's unreported work, which is ordered by the start of the
+  /// attempts.
   struct Unreported {
     std::uint64_t id = 0;
     common::MonotonicTime started_at{};
--- a/src/cypresswall/routing/work_exchange.h
+++ b/src/cypresswall/routing/work_exchange.h
@@ -1,5 +1,5 @@
-/// Notifies the other routing nodes of an engine immediately of the start and end of each
-/// long prompt that this node sends to it. Load reports are too slow for that: such a prompt
+/// Notifies the other nodes that route to an engine, immediately, of the start and end of each long
+/// prompt that this node sends to the engine. Load reports are too slow for that: a long prompt
 /// occupies an engine for a tenth of a second or more, and reports are a few tenths of a second
 /// old.
 #pragma once
@@ -23,13 +23,14 @@
   /// Tokens whose KV cache the engine first copies from another engine.
   std::uint32_t copied_tokens = 0;
   std::uint32_t cached_tokens = 0;
-  /// The pieces that the engine will hold afterwards, and how many of them it held before.
+  /// The pieces that the engine will hold when it has computed the prompt.
   std::vector<common::PieceHash> pieces;
+  /// Number of leading `pieces` that the engine already held.
   std::uint32_t held_pieces = 0;
   /// Tokens up to the end of each piece; empty if all pieces have the default length.
   std::vector<std::uint32_t> piece_ends;
-  /// Engine that receives the KV cache to generate the output and then holds the pieces too; empty
-  /// if the same engine generates the output.
+  /// Engine that receives the KV cache to generate the output, and then also holds the pieces;
+  /// empty if `engine` generates the output.
   common::EngineName output_engine;
 
   /// \return the shape of the pieces, without the length of the whole prompt
@@ -47,6 +48,7 @@
 /// The end of a long prompt.
 struct EndedPrompt {
   common::EngineName engine;
+  /// As in StartedPrompt.
   std::uint32_t number = 0;
   /// False if the engine did not compute the prompt and so does not hold its pieces.
   bool computed = true;
@@ -54,8 +56,9 @@
   MSGPACK_DEFINE(engine, number, computed)
 };
 
-/// Prompts that one node started or ended. Never retransmitted: a lost start only leads to a less
-/// informed choice, and a prompt whose end notice was lost expires once it is long overdue.
+/// Prompts that one node started or ended. The message is never retransmitted. If a start is lost,
+/// other nodes only choose with less information; if an end is lost, they drop the prompt after
+/// RouterSettings::backlog_expiry.
 struct WorkNotice {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kRoutingFirst, 2);
 
@@ -80,12 +83,12 @@
   WorkExchange(const api::ProcessContext& context, const EngineGroups& groups,
                const EngineTable& table);
 
-  /// \param listener outlives this object, or nullptr
+  /// \param listener must outlive its registration; nullptr removes the listener
   void setListener(Listener* listener) { listener_ = listener; }
 
   /// Notifies the other nodes that this node sent a prompt to an engine. Fills in the names of the
   /// engines and `prompt.number`.
-  /// \param output kNoEngineSlot if the same engine generates the output
+  /// \param output engine that generates the output; kNoEngineSlot if `engine` generates it
   /// \return the number to pass to ended()
   std::uint32_t started(EngineSlot engine, EngineSlot output, StartedPrompt prompt);
   /// Notifies the other nodes of the end of a prompt. Fills in `prompt.engine`.
