--- a/src/cypresswall/routing/cost_model.h
+++ b/src/cypresswall/routing/cost_model.h
@@ -58,7 +58,7 @@
   /// Expected time until a stream slot becomes free; zero if one is free.
   double slot_wait = 0;
   // The following members need only single precision, because they are not points in time.
-  /// Latency of a prompt on top of its computation, during which the engine is not occupied.
+  /// Latency of a prompt in addition to the time for which it occupies the engine.
   float prefill_fixed_latency = 0;
   float seconds_per_prefill_token = 0;
   float prefill_seconds_per_pair = 0;
--- a/src/cypresswall/routing/engine_deltas.h
+++ b/src/cypresswall/routing/engine_deltas.h
@@ -1,6 +1,6 @@
-/// Messages by which the watcher of an engine publishes load changes to other nodes of the zone,
-/// and the rule that decides which changes are significant. An unchanged engine takes one byte per
-/// publication, a changed one about twelve.
+/// Messages by which the watcher of an engine (the node that polls the engine) publishes load
+/// changes to other nodes of the zone, and the rule that decides which changes are significant. An
+/// unchanged engine takes one byte per publication, a changed one about twelve.
 #pragma once
 
 #include <cstdint>
--- a/src/cypresswall/routing/engine_ejection.h
+++ b/src/cypresswall/routing/engine_ejection.h
@@ -1,8 +1,9 @@
 /// Outlier ejection: removes engines on which attempts fail from routing for a short time, before
 /// load reports show the fault. A node ejects an engine at once if its own attempts can't reach it.
 /// It also reports failures to the engine's watcher, which ejects the engine for the whole zone
-/// once several nodes have reported. A failure causes one message to the watcher, and an ejection
-/// one message to each of the engine's other routing nodes.
+/// once several nodes have reported. A failure causes one message to the watcher, however many
+/// nodes use the engine; an ejection causes one message to each of the engine's other routing
+/// nodes.
 #pragma once
 
 #include <cstdint>
--- a/src/cypresswall/routing/engine_groups.h
+++ b/src/cypresswall/routing/engine_groups.h
@@ -2,9 +2,9 @@
 /// all others of the long prompts that it sends. In a large zone the engines of each model are
 /// divided into groups with two owners each: the primary places all requests on the group's engines
 /// and knows their queues exactly; the secondary is informed of long prompts that the primary
-/// places, and places requests itself when the primary does not answer. Other nodes request
-/// placements from the owners. The assignment is a function of the lists of engines and members, so
-/// all nodes compute the same one without communication.
+/// places, and places requests itself when the primary does not answer or can't place them. Other
+/// nodes request placements from the owners. The assignment is a function of the lists of engines
+/// and members, so all nodes compute the same one without communication.
 #pragma once
 
 #include <cstdint>
@@ -80,7 +80,7 @@
   void divideEngines();
   void findOwners();
   /// \return the members eligible as owners: the alive members with the fastest links, at least
-  ///   half as many as there are groups if that many are alive
+  ///   GroupSettings::owners and at least half as many as there are groups, if that many are alive
   std::vector<membership::Member> eligibleMembers() const;
   void updateRoutingNodes();
   bool ownedHere(const EngineGroup& group) const;
--- a/src/cypresswall/routing/permit_router.h
+++ b/src/cypresswall/routing/permit_router.h
@@ -1,4 +1,5 @@
-/// Places requests only on engines within the fleet-wide rate limits.
+/// Places requests on rate-limited engines only as far as the engines' fleet-wide rate limits
+/// permit.
 #pragma once
 
 #include <cstdint>
--- a/src/cypresswall/routing/prompt_speed.h
+++ b/src/cypresswall/routing/prompt_speed.h
@@ -24,9 +24,9 @@
 
 /// Duration of a prompt: `fixed_latency` + `scale` * nominal seconds.
 struct PromptSpeed {
-  /// Seconds per prompt in addition to its computation, during which the engine is not occupied.
+  /// Latency of a prompt in addition to the time for which it occupies the engine, in seconds.
   double fixed_latency = 0;
-  /// Factor on the nominal seconds.
+  /// Factor on the nominal seconds of computation.
   double scale = 1;
 };
 
