--- a/src/cypresswall/fleet_limits/account_keepers.cpp
+++ b/src/cypresswall/fleet_limits/account_keepers.cpp
@@ -8,9 +8,9 @@
 namespace cypresswall::fleet_limits {
 namespace {
 
-/// Fraction of the limit that a keeper grants while a second node may act as keeper, too.
+/// Fraction of a limit that a keeper may grant while another node may act as keeper too.
 constexpr double kUnsettledShare = 0.5;
-/// Maximum number of servers in the rendezvous cache.
+/// Maximum number of cached rendezvous hashing results; a full cache is cleared.
 constexpr std::size_t kMaximumCachedServers = 4096;
 
 }  // namespace
--- a/src/cypresswall/fleet_limits/account_keepers.h
+++ b/src/cypresswall/fleet_limits/account_keepers.h
@@ -1,5 +1,6 @@
-/// Determines the keeper of each rate-limited server: the one node that holds the server's permit
-/// account, and the share of the limit that it may grant.
+/// Determines the keeper of each rate-limited server: the one node that grants permits to send
+/// requests to the server. Also determines what fraction of the server's limit the keeper may
+/// grant.
 #pragma once
 
 #include <cstddef>
@@ -14,19 +15,20 @@
 
 namespace cypresswall::fleet_limits {
 
-/// \return the node that places all requests on a server, such as an engine's primary owner; empty
-///   if the server has none
+/// \return the owner of a server: the node that already makes other decisions about it, as for an
+///   engine; empty if the server has no owner
 using OwnerLookup = std::function<common::NodeId(const std::string& server)>;
 
 struct AccountKeeperSettings {
-  /// Time until all nodes have learnt that a node joined, left or was partitioned.
+  /// Time after which all nodes are assumed to know that a node joined, left or was partitioned.
   common::Duration settling_time = std::chrono::seconds(5);
 };
 
-/// A server's keeper is its owner, or a node chosen by rendezvous hashing over the members. While
-/// member lists differ, two nodes may both act as keeper. Each therefore grants only half of the
-/// limit until its list has been stable for the settling time, and while it sees no more than half
-/// of the largest membership of the last minutes.
+/// A server's keeper is its owner if it has one that is alive, otherwise a node chosen by
+/// rendezvous hashing over the members. While the member lists of nodes differ, two nodes may both
+/// act as the keeper of a server. A keeper therefore grants only half of the limit in two cases:
+/// until its member list has been unchanged for AccountKeeperSettings::settling_time, and while it
+/// sees only a minority of the fleet (see FleetSizeHistory).
 class AccountKeepers {
  public:
   AccountKeepers(const AccountKeeperSettings& settings, const api::ProcessContext& context,
@@ -35,7 +37,8 @@
   AccountKeepers& operator=(const AccountKeepers&) = delete;
 
   void setOwnerLookup(OwnerLookup find) { owner_lookup_ = std::move(find); }
-  /// \return the keeper of the server's account; this node if there is no candidate
+  /// \return the keeper of the server's account; this node if no member is alive and supports the
+  ///   rate limit messages
   common::NodeId keeperOf(const std::string& server);
   /// \return the fraction of a limit that this node may grant as the keeper, up to 1
   double share() const;
--- a/src/cypresswall/fleet_limits/engine_rate_limits.cpp
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.cpp
@@ -13,22 +13,23 @@
 constexpr const char* kOwnAnswer = "answer";
 constexpr const char* kPeer = "peer";
 constexpr const char* kAskingNode = "asking node";
-/// Servers in one update message, about 5 KB; further servers follow in the next messages.
+/// Maximum number of servers in one update message, which is then about 5 KB. Further servers
+/// follow in the next messages.
 constexpr std::size_t kServersPerMessage = 64;
-/// If the number of members grows by more than this factor, the node has just started or returned
-/// from a partition.
+/// If the number of members that this node sees grows by more than this factor at once, the node is
+/// assumed to have just started or returned from a partition.
 constexpr std::size_t kRejoinGrowthFactor = 2;
 /// Maximum number of servers with a metric label of their own; the others share one label.
 constexpr std::size_t kLabelledServers = 64;
 constexpr const char* kOtherServers = "other";
-/// A refused node waits for the time until the next permit plus up to this multiple of it at
-/// random, so that nodes do not retry at the same time.
+/// A node that was refused a permit waits until the next permit is due, plus a random time of up to
+/// this multiple of that wait, so that nodes do not retry at the same time.
 constexpr double kRetrySpread = 1.0;
-/// Retry-After is extended by up to this fraction at random, so that callers do not return
-/// together.
+/// Each Retry-After time is extended by a random fraction of up to this value, so that callers do
+/// not retry at the same time.
 constexpr double kRetryJitter = 0.25;
-/// Wait time in the answer of a node that is not the keeper, which happens while member lists
-/// differ.
+/// Wait time in the answer of a node that is asked for a permit but is not the server's keeper.
+/// This happens while the member lists of nodes differ.
 constexpr common::Duration kNotKeeperWait = std::chrono::milliseconds(200);
 
 std::uint32_t ceilMilliseconds(common::Duration duration) {
--- a/src/cypresswall/fleet_limits/engine_rate_limits.h
+++ b/src/cypresswall/fleet_limits/engine_rate_limits.h
@@ -1,5 +1,5 @@
-/// Enforces the rate limits that engines and back ends announce for the whole fleet. The nodes of a
-/// zone enforce them jointly.
+/// Enforces the rate limits that engines and back ends announce. A limit applies to the requests of
+/// all nodes together, so the nodes of a zone enforce it jointly.
 #pragma once
 
 #include <cstddef>
@@ -25,14 +25,16 @@
   RateLimitTableSettings table;
   PermitAccountSettings accounts;
   AccountKeeperSettings keepers;
-  /// Time after which a request for a permit is treated as refused.
+  /// A permit request that the keeper does not answer within this time counts as refused.
   common::Duration permit_timeout = std::chrono::milliseconds(100);
-  /// How long a server counts as exhausted after its keeper did not answer.
+  /// How long a server's limit counts as used up after its keeper did not answer a permit request.
   common::Duration unresponsive_keeper_pause = std::chrono::milliseconds(500);
-  /// How often known limits are sent to two other nodes.
+  /// Interval at which a node sends the limits that it knows to two other nodes, to make up for
+  /// lost updates.
   common::Duration anti_entropy_interval = std::chrono::seconds(1);
-  /// Bounds of the Retry-After time given to callers.
+  /// Shortest Retry-After time given to a refused caller.
   common::Duration minimum_retry_after = std::chrono::milliseconds(200);
+  /// Longest Retry-After time given to a refused caller.
   common::Duration maximum_retry_after = std::chrono::seconds(10);
 };
 
@@ -47,10 +49,11 @@
   PermitCounts counts;
 };
 
-/// When a response names a limit, it is disseminated to all nodes at once. From then on each
-/// request needs a permit from the server's keeper, so that the total is exact for any number of
-/// nodes, even if an equal share per node would be less than one request. This costs one round trip
-/// before each request to a limited server, and nothing for other servers.
+/// When a server's response names a limit, the node that received it sends the limit to all nodes
+/// at once. From then on each request to the server needs a permit from the server's keeper (see
+/// AccountKeepers). The total of all nodes thus equals the limit for any number of nodes, even if
+/// an equal share per node would be less than one request. A permit costs one round trip before
+/// each request to a limited server; requests to other servers need none.
 /// docs/design/shared-limits.md compares alternatives.
 class EngineRateLimits final : public RateLimiter {
  public:
@@ -80,15 +83,15 @@
   std::vector<RateLimitRow> rows();
 
  private:
-  /// A permit request to another node that is waiting for its answer.
+  /// A permit requested from another node that has not answered yet.
   struct PendingPermit {
     std::string server;
     PermitCallback done;
     common::TimerId timer = 0;
   };
 
-  /// A node that starts or returns from a partition requests the known limits from others, so that
-  /// it need not learn them from responses to its own requests.
+  /// If this node has just started or returned from a partition, requests the known limits from
+  /// other nodes, so that it need not learn them from responses to its own requests.
   void membersChanged();
   void onSyncRequest(const common::NodeId& sender);
   void onUpdate(const RateLimitUpdate& update);
@@ -123,9 +126,11 @@
   PermitAccounts accounts_;
   std::unordered_map<std::uint64_t, PendingPermit> pending_permits_;
   std::uint64_t next_request_id_ = 1;
-  /// By server: time before which the keeper will not grant a permit.
+  /// By server: time until which this node treats the limit as used up, because the keeper refused
+  /// a permit or did not answer.
   std::map<std::string, common::MonotonicTime> refused_until_;
-  /// By resource: retry time given to the most recently refused caller.
+  /// By resource: time at which the most recently refused caller was told to retry, without the
+  /// random extension. The next refused caller gets a later time.
   std::map<std::string, common::MonotonicTime> last_retry_at_;
   /// Position in the table at which the next update starts.
   std::size_t next_server_ = 0;
--- a/src/cypresswall/fleet_limits/fleet_size_history.h
+++ b/src/cypresswall/fleet_limits/fleet_size_history.h
@@ -1,4 +1,5 @@
-/// Compares the current number of members with the largest one of the last minutes.
+/// Compares the number of members that a node sees now with the largest number that it saw
+/// recently.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +9,22 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Detects that a node sees only a minority of its fleet, as in a network partition. The majority
-/// may then use the limits without this node.
+/// Detects that a node sees only a minority of its fleet, as in a network partition. The other
+/// nodes may then divide the fleet's limits among themselves, without this node.
 class FleetSizeHistory {
  public:
   void add(std::size_t members, common::MonotonicTime now) {
     members_ = members;
     maximum_.add(members, now);
   }
-  /// \return true if the node sees no more than half of the largest recent membership
+  /// \return true if the node sees at most half as many members as at the recent maximum
   bool seesMinority() const { return members_ * kMinorityDivisor <= maximum_.value(); }
 
  private:
+  /// The recent maximum covers the last one to two of these spans (see RecentMaximum).
   static constexpr common::Duration kHistorySpan = std::chrono::minutes(10);
-  /// A node sees a minority unless it sees more than the maximum divided by this.
+  /// The node sees a minority if the recent maximum is at least this many times the current number
+  /// of members.
   static constexpr std::size_t kMinorityDivisor = 2;
 
   std::size_t members_ = 0;
--- a/src/cypresswall/fleet_limits/local_share.cpp
+++ b/src/cypresswall/fleet_limits/local_share.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr common::Duration kCheckInterval = std::chrono::milliseconds(500);
-/// A timer that fires later than this shows that the process was paused; shorter pauses are covered
-/// by the settling time.
+/// If check() runs more than this late, the process is assumed to have been paused. Shorter pauses
+/// need no action, as LocalShareSettings::settling_time is long enough to allow for them.
 constexpr common::Duration kPauseThreshold = std::chrono::seconds(1);
 
 }  // namespace
@@ -69,8 +69,8 @@
 }
 
 double LocalShare::fraction() const {
-  // After a machine was suspended, its timers continue with their remaining time, so a request may
-  // be processed before the check that detects the pause.
+  // The timers of a machine that was suspended resume with the time that remained, so a request may
+  // arrive before check() notices the pause.
   if (wasPaused() || cut_off_ || context_.clock.now() < allowed_at_ || members_max_.value() == 0) {
     return 0;
   }
--- a/src/cypresswall/fleet_limits/local_share.h
+++ b/src/cypresswall/fleet_limits/local_share.h
@@ -11,33 +11,38 @@
 namespace cypresswall::fleet_limits {
 
 struct LocalShareSettings {
-  /// Number of regions. Nodes do not see the members of other regions; each region gets an equal
-  /// share.
+  /// Number of regions in the fleet. Each region gets an equal share of the limit, since nodes do
+  /// not see the members of other regions.
   std::size_t regions = 1;
-  /// Window over which the limit is summed. What a node or its previous incarnation used counts for
-  /// this long.
+  /// Length of the time window that the limit applies to. What a node has used counts against the
+  /// limit for this long, even if the node's process has restarted since.
   common::Duration window = std::chrono::seconds(10);
-  /// Time until all nodes have learnt that a node joined, left or was partitioned: a node without
-  /// heartbeats is declared dead after 2.5 s, and gossip takes about a second to spread it.
+  /// Time after which all nodes are assumed to know that a node joined, left or was partitioned: a
+  /// node without heartbeats is declared dead after 2.5 s, and gossip takes about a second to
+  /// spread it.
   common::Duration settling_time = std::chrono::seconds(5);
-  /// False: a node may use its share from its start. True: the share is withheld after a start, so
-  /// that the total stays within the limit when nodes restart.
+  /// False: a node may use its share at all times. True: the share is zero for some time after a
+  /// start, a pause or a partition, so that the total stays within the limit when nodes restart or
+  /// are cut off.
   bool withhold_after_start = false;
 };
 
-/// One divided by the number of nodes in the fleet. The shares used in any window add up to at most
-/// one, even while member lists differ:
+/// One divided by the number of nodes in the fleet, which is estimated as the members of this
+/// node's region times the number of regions. If LocalShareSettings::withhold_after_start is set,
+/// the shares used in any window add up to at most one, even while member lists differ, because of
+/// three rules:
 ///
 /// A node that starts, or resumes after a pause, has no share for one window plus the settling
-/// time: its previous incarnation may have used the share, and others may still divide without this
-/// node.
+/// time: its previous incarnation may have used the share, and other nodes may still divide the
+/// limit by a number of nodes that does not include this one.
 ///
-/// A node divides by the largest number of members that it saw in that time, so that it takes over
-/// the shares of lost nodes only after their use has left the window.
+/// A node divides by the largest number of members that it saw during at least the last window plus
+/// the settling time. It thus takes over the shares of lost nodes only after what those nodes used
+/// has left the window.
 ///
-/// A node that sees no more than half of the largest membership of ten minutes assumes that it is
-/// partitioned and has no share, as the others may divide without it. Once it sees more, its share
-/// is withheld as after a start.
+/// A node that sees at most half as many members as at the maximum of the last ten minutes or more
+/// (see FleetSizeHistory) assumes that it is partitioned. It has no share, as the other nodes may
+/// divide the limit without it. Once it sees more members, its share is withheld as after a start.
 class LocalShare {
  public:
   LocalShare(const LocalShareSettings& settings, const api::ProcessContext& context,
--- a/src/cypresswall/fleet_limits/permit_accounts.h
+++ b/src/cypresswall/fleet_limits/permit_accounts.h
@@ -1,5 +1,5 @@
-/// The permit accounts that this node holds for the fleet as keeper: one token bucket for each
-/// server that names a limit.
+/// The accounts from which this node, as the keeper of servers, grants permits to all nodes: one
+/// token bucket for each server that names a limit.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 namespace cypresswall::fleet_limits {
 
 struct PermitAccountSettings {
-  /// Bucket depth as a time: a burst after an idle period may contain the requests of this time,
-  /// and at least one.
+  /// Depth of the bucket, as a time: after a pause, as many requests may be sent at once as the
+  /// limit allows in this time, but at least one.
   common::Duration burst = std::chrono::seconds(1);
-  /// Lower bound in requests per second, applied to servers with a lower limit: only a response can
-  /// show that the limit no longer applies.
+  /// Lowest rate, in permits per second, at which permits are granted, even if the limit is lower
+  /// or zero. Some requests must be sent, since only a response shows that the limit has ended.
   double minimum_rate = 0.1;
 };
 
-/// Response to a permit request.
+/// Answer to a request for a permit.
 struct Permit {
   bool granted = false;
-  /// Time until the next permit is available.
+  /// Time until the next permit is available; zero if granted.
   common::Duration wait{0};
 };
 
--- a/src/cypresswall/fleet_limits/rate_bucket.h
+++ b/src/cypresswall/fleet_limits/rate_bucket.h
@@ -7,7 +7,8 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Starts empty, since a node that takes over an account does not know what was used before.
+/// The bucket starts empty, since a node that takes over an account from another keeper does not
+/// know how many permits that keeper has granted.
 class RateBucket {
  public:
   explicit RateBucket(common::MonotonicTime now) : filled_at_(now) {}
@@ -27,7 +28,8 @@
     return true;
   }
   bool available() const { return tokens_ >= 1; }
-  /// \return the time until one token is available
+  /// \return the time until one token is available; zero if one is available now
+  /// \param rate tokens per second
   common::Duration wait(double rate) const {
     return available() ? common::Duration{0} : common::fromSeconds((1 - tokens_) / rate);
   }
--- a/src/cypresswall/fleet_limits/rate_limit_messages.h
+++ b/src/cypresswall/fleet_limits/rate_limit_messages.h
@@ -28,7 +28,8 @@
   MSGPACK_DEFINE(limits)
 };
 
-/// Requests all limits known to the receiver, which replies with RateLimitUpdate.
+/// Requests all limits known to the receiver, which replies with one or more RateLimitUpdate
+/// messages.
 struct RateLimitSyncRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kFleetLimitsFirst, 3);
   MSGPACK_DEFINE()
--- a/src/cypresswall/fleet_limits/rate_limit_table.cpp
+++ b/src/cypresswall/fleet_limits/rate_limit_table.cpp
@@ -40,7 +40,8 @@
   }
   RateLimit& limit = known->second;
   if (!limit.active()) {
-    // The response to a request sent before the limit ended may have been produced before it, too.
+    // A response to a request that was sent before the limit ended may also have been produced
+    // before then, so it must not bring the limit back.
     const bool newer = sent_at > limit.named_at;
     if (newer) {
       change(limit, value, now);
@@ -66,8 +67,8 @@
     return false;
   }
   RateLimit& limit = known->second;
-  // Responses may overtake each other: only a response to a request sent after the limit was named
-  // is certain to be newer.
+  // Responses can overtake each other. This one was certainly produced after the one that last
+  // confirmed the limit only if its request was sent after that confirmation.
   if (sent_at <= limit.named_at || now - limit.named_at < settings_.raise_delay) {
     return false;
   }
--- a/src/cypresswall/fleet_limits/rate_limit_table.h
+++ b/src/cypresswall/fleet_limits/rate_limit_table.h
@@ -15,7 +15,8 @@
 
 /// The last known state of one server's limit.
 struct RateLimit {
-  /// Incremented with each change of the limit; comparable across nodes.
+  /// Incremented with each change of the limit. If two nodes know different states, the one with
+  /// the higher version is newer.
   std::uint64_t version = 0;
   /// Empty if the server named a limit earlier but no longer does.
   std::optional<double> requests_per_second;
@@ -28,10 +29,11 @@
 struct RateLimitTableSettings {
   /// A limit that was not confirmed for this long is removed.
   common::Duration retention = std::chrono::minutes(1);
-  /// Minimum time after a limit was named before it is raised or lifted. If a server alternates
-  /// between several values, the lowest one applies.
+  /// Minimum time between the last response that confirmed a limit and a response that raises or
+  /// lifts the limit. If a server alternates between several values, the lowest one thus applies.
   common::Duration raise_delay = std::chrono::seconds(1);
-  /// Requests per second above which a limit is treated as no limit, as no fleet sends that many.
+  /// A limit of more than this many requests per second is treated as no limit, as no fleet sends
+  /// that many.
   double unlimited_above = 10000;
   /// Maximum number of servers in the table, about 100 bytes each; further ones are ignored.
   std::size_t maximum_servers = 4096;
--- a/src/cypresswall/fleet_limits/recent_maximum.h
+++ b/src/cypresswall/fleet_limits/recent_maximum.h
@@ -8,7 +8,8 @@
 
 namespace cypresswall::fleet_limits {
 
-/// A value expires after one to two spans; only two buckets are stored.
+/// Stores only the maxima of the current span and of the one before, so a value counts for one to
+/// two spans after it was added.
 class RecentMaximum {
  public:
   explicit RecentMaximum(common::Duration span) : span_(span) {}
--- a/src/cypresswall/fleet_limits/retry_budgets.cpp
+++ b/src/cypresswall/fleet_limits/retry_budgets.cpp
@@ -6,11 +6,12 @@
 namespace cypresswall::fleet_limits {
 namespace {
 
-/// Retries in one window may be backed by requests of the previous window, so up to two windows of
-/// requests count towards one window of retries. Half of the share keeps the total within limits.
+/// Fraction of `fleet_share` that a node credits for each request. The retries of one window may be
+/// covered by the requests of that window and of the window before; crediting half keeps them
+/// within the share nonetheless.
 constexpr double kUsedShare = 0.5;
-/// A budget counts as recovered after this long without a refusal, so that one log line covers many
-/// requests.
+/// An exhausted budget counts as recovered if it grants a retry at least this long after it last
+/// refused one. One log line then covers many refused requests.
 constexpr common::Duration kRecoveryTime = std::chrono::seconds(2);
 
 }  // namespace
--- a/src/cypresswall/fleet_limits/retry_budgets.h
+++ b/src/cypresswall/fleet_limits/retry_budgets.h
@@ -15,19 +15,19 @@
 
 /// Limits on the retries of a service in each window, over all nodes.
 struct RetryLimitSettings {
-  /// Retries per request sent to the service.
+  /// Retries allowed per request that callers send to the service.
   double fleet_share = 0.2;
-  /// Retries allowed beyond the share, so that the streams of one lost engine can resume at once.
-  /// The default allows 50 on each of 13 nodes.
+  /// Retries allowed in each window in addition to `fleet_share`, so that the streams of one lost
+  /// engine can resume at once. The default allows 50 on each of 13 nodes.
   double fleet_burst = 650;
   common::Duration window = std::chrono::seconds(10);
 };
 
-/// \return the fraction of the fleet's burst that this node may use, from 0 to 1
+/// \return the fraction of RetryLimitSettings::fleet_burst that this node may use, from 0 to 1
 using LocalShareFunction = std::function<double()>;
 
-/// The retry budget of one service. Each arrival of a request at a back end after its first arrival
-/// counts as one retry.
+/// The retry budget of one service. If a request is sent to back ends several times, each time
+/// after the first counts as one retry.
 class RetryBudget {
  public:
   RetryBudget(const common::ServiceName& service, const RetryLimitSettings& settings,
@@ -59,7 +59,7 @@
   /// True from the first refusal until retries are granted again.
   bool exhausted_ = false;
   common::MonotonicTime last_refused_at_{};
-  /// Refusals since the budget was exhausted.
+  /// Refused calls of withdraw() since the budget was exhausted; logged when it has recovered.
   std::uint64_t refusals_ = 0;
   std::uint64_t total_refused_ = 0;
   common::Counter& granted_count_;
--- a/src/cypresswall/fleet_limits/sliding_window_counter.h
+++ b/src/cypresswall/fleet_limits/sliding_window_counter.h
@@ -9,8 +9,9 @@
 
 namespace cypresswall::fleet_limits {
 
-/// Divides the window into 20 slices. Both sums are conservative: used amounts count for up to two
-/// slices longer than the window, earned amounts for up to one slice less.
+/// Divides the window into 20 slices. Both sums are conservative, so that the amount still
+/// available is never overestimated: used amounts count for up to two slices longer than the
+/// window, earned amounts for up to one slice less.
 class SlidingWindowCounter {
  public:
   explicit SlidingWindowCounter(common::Duration window);
@@ -22,12 +23,13 @@
 
  private:
   static constexpr std::size_t kSlicesPerWindow = 20;
-  /// The current slice, those of the window, and one more for the conservative sum of used amounts.
+  /// Number of stored slices: the current one, those of the window, and one more for the
+  /// conservative sum of used amounts.
   static constexpr std::size_t kUsedSlices = kSlicesPerWindow + 2;
 
   struct Slice {
-    /// Slice number since the clock's epoch; distinguishes an outdated slice from the current one
-    /// at the same index.
+    /// Number of the slice, counted from the clock's epoch; -1 if never used. Distinguishes an
+    /// outdated slice from the current one at the same index.
     std::int64_t number = -1;
     double earned = 0;
     double used = 0;
