--- a/src/cypresswall/quarantine/answered_requests.h
+++ b/src/cypresswall/quarantine/answered_requests.h
@@ -10,8 +10,9 @@
 
 namespace cypresswall::quarantine {
 
-/// Ring buffer of the newest answers. Adding is cheap and happens for each answer; a look-up scans
-/// the whole buffer and happens only for requests that are about to be quarantined.
+/// Ring buffer of the most recently answered requests. Adding is cheap and happens for each answer;
+/// a look-up scans the whole buffer and happens only for requests that are being quarantined or
+/// released from quarantine.
 class AnsweredRequests {
  public:
   explicit AnsweredRequests(const QuarantineSettings& settings) : settings_(settings) {}
--- a/src/cypresswall/quarantine/crash_detector.h
+++ b/src/cypresswall/quarantine/crash_detector.h
@@ -13,10 +13,11 @@
 namespace cypresswall::quarantine {
 
 /// Probes the engine by fetching its load right after one of its streams broke: an engine that
-/// merely reset the connection answers. Without the probe, engines that fail some of their streams
-/// would make innocent requests count as crashing ones. A failed probe is repeated once, since the
-/// first may use a keep-alive connection that the engine has already closed. One result serves all
-/// streams that break on the engine within QuarantineSettings::probe_validity.
+/// merely reset the connection still answers, a crashed one does not. Without the probe, harmless
+/// requests would count as crashing an engine that merely fails some of its streams. A failed probe
+/// is repeated once, since the first may use a keep-alive connection that the engine has already
+/// closed. The result of one probe applies to all streams that break on the engine within
+/// QuarantineSettings::probe_validity.
 class CrashDetector {
  public:
   using Callback = std::function<void(bool ended)>;
@@ -26,7 +27,8 @@
   CrashDetector(const CrashDetector&) = delete;
   CrashDetector& operator=(const CrashDetector&) = delete;
 
-  /// \param callback called once, possibly before the call returns
+  /// \param callback called once, possibly before the call returns; with true if the engine did not
+  ///   answer and so counts as crashed
   void probeEngine(const engines::EngineEndpoint& engine, Callback callback);
 
  private:
--- a/src/cypresswall/quarantine/crash_history.cpp
+++ b/src/cypresswall/quarantine/crash_history.cpp
@@ -17,7 +17,7 @@
         const auto apart = crash.at > at ? crash.at - at : at - crash.at;
         return crash.engine == engine && apart < settings_.crash_merge_window;
       });
-  // Crashes beyond the threshold change nothing.
+  // Crashes beyond the threshold need not be stored, since they do not change the decision.
   if (!known && entry.crashes.size() < settings_.crashes) {
     entry.crashes.push_back({engine, at});
   }
--- a/src/cypresswall/quarantine/crash_history.h
+++ b/src/cypresswall/quarantine/crash_history.h
@@ -1,4 +1,4 @@
-/// Engine crashes by the request that ran on the engine.
+/// Engine crashes, grouped by the request that the engine was running.
 #pragma once
 
 #include <cstddef>
@@ -13,21 +13,23 @@
 
 namespace cypresswall::quarantine {
 
-/// Bounded in number and age. Does no I/O.
+/// Bounded by the maximum number of requests and the age of crashes in QuarantineSettings. Does no
+/// I/O.
 class CrashHistory {
  public:
   explicit CrashHistory(const QuarantineSettings& settings) : settings_(settings) {}
 
   /// Records that an engine crashed at `at` while it ran the request. Reports of one engine less
   /// than QuarantineSettings::crash_merge_window apart count as one crash.
-  /// \param engine hash of its name
+  /// \param engine hash of the engine's name
   void add(common::RequestFingerprint request, std::uint64_t engine, common::MonotonicTime at,
            common::MonotonicTime now);
-  /// \return false if nothing was recorded
+  /// Removes all crashes under the request. \return false if there were none
   bool forget(common::RequestFingerprint request) { return requests_.erase(request) != 0; }
-  /// \return the number of recent engine crashes under the request
+  /// \return the number of recent engine crashes under the request, at most
+  ///   QuarantineSettings::crashes
   std::size_t crashes(common::RequestFingerprint request, common::MonotonicTime now) const;
-  /// \return the recent crashes under the request, in the form of a report
+  /// \return the recent crashes under the request, as sent in a CrashReport
   std::vector<EngineCrash> all(common::RequestFingerprint request, common::MonotonicTime now) const;
   std::size_t size() const { return requests_.size(); }
 
--- a/src/cypresswall/quarantine/fleet_quarantine.cpp
+++ b/src/cypresswall/quarantine/fleet_quarantine.cpp
@@ -8,9 +8,11 @@
 namespace cypresswall::quarantine {
 namespace {
 
-/// Nodes that count the crashes of one request; tolerates the loss or isolation of one of them.
+/// Number of nodes that count the crashes under one request, so that one of them may be lost or
+/// isolated.
 constexpr std::size_t kCountingNodes = 2;
-/// Requests in one periodic announcement, about 900 bytes; a longer list is sent in rotation.
+/// Maximum number of requests in one periodic announcement, which is then about 900 bytes. A longer
+/// list is spread over successive announcements.
 constexpr std::size_t kRequestsPerAnnouncement = 64;
 
 common::Duration timeLeft(const QuarantinedRequest& request) {
@@ -113,7 +115,8 @@
   if (observed_.forget(request)) {
     report({request, {}});
   }
-  // The request was sent before it was quarantined.
+  // A request that was sent before it was quarantined may be answered during its quarantine, which
+  // then ends.
   if (list_.remaining(request, now) && release(request)) {
     notifyPeers({{request, 0}});
   }
--- a/src/cypresswall/quarantine/fleet_quarantine.h
+++ b/src/cypresswall/quarantine/fleet_quarantine.h
@@ -20,16 +20,18 @@
 
 namespace cypresswall::quarantine {
 
-/// A node reports engine crashes under a request to two nodes of the zone, chosen by rendezvous
-/// hashing over the request's fingerprint, which count them. Once the count reaches the threshold,
-/// all nodes quarantine the request, unless one of them has recently had it answered: a request
-/// that many callers send may be running on each of several engines that crash for another reason.
-/// The number of messages grows with the broken streams, not with the zone: two for each stream
-/// that a crash broke, and a few per node for each quarantined request.
-/// docs/design/quarantine.md discusses the alternatives.
+/// When an engine crashes while it runs a request, the node that sent the request reports the crash
+/// to two nodes of the zone. These two are chosen by rendezvous hashing over the request's
+/// fingerprint and count the crashes under the request. Once one of them has counted
+/// QuarantineSettings::crashes, all nodes quarantine the request, unless one of them has recently
+/// received a complete answer to it: a request that many callers send may happen to run on several
+/// engines that crash for another reason. Messages are sent only for broken streams and quarantined
+/// requests: two for each stream that a crash broke, whatever the size of the zone, and a few per
+/// node for each quarantined request. docs/design/quarantine.md discusses the alternatives.
 class FleetQuarantine final : public RequestQuarantine {
  public:
-  /// Registers the handlers of both messages. \pre all references outlive this object
+  /// Registers the handlers of CrashReport and QuarantineNotice. \pre all references outlive this
+  /// object
   FleetQuarantine(const QuarantineSettings& settings,
                   const membership::NeighbourSettings& neighbours,
                   const api::ProcessContext& context, membership::MembershipView& membership,
@@ -37,7 +39,7 @@
   FleetQuarantine(const FleetQuarantine&) = delete;
   FleetQuarantine& operator=(const FleetQuarantine&) = delete;
 
-  /// Starts the periodic announcements and keeping the list in the store.
+  /// Starts the periodic announcements of the list, and its synchronisation with the object store.
   void start();
 
   std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) override;
@@ -59,18 +61,22 @@
   std::uint32_t quarantineMilliseconds() const;
   /// \return true if the request was not quarantined yet
   bool addToList(const QuarantinedRequest& request, const char* source);
-  /// Quarantines a request on all nodes of the zone, unless it was answered recently.
+  /// Quarantines a request on all nodes of the zone, unless this node knows that it was answered
+  /// recently.
   void quarantineForZone(common::RequestFingerprint request, const char* source);
-  /// Ends the quarantine of a request that was answered. \return true if this node did not know yet
+  /// Ends the quarantine of a request that was answered. \return false if nothing changed: this
+  /// node already knew of the answer, and the request was not quarantined here
   bool release(common::RequestFingerprint request);
-  /// Gossips an update, which each node forwards once to its neighbours: all nodes in a small zone,
-  /// four in a large one. Redundant paths and periodic announcements make up for lost messages.
+  /// Sends an update to all other nodes in a small zone, and to four in a large one. Each node to
+  /// which the update is new forwards it in the same way. A node is thus reached on several paths,
+  /// which, with the periodic announcements, makes up for lost messages.
   void notifyPeers(const std::vector<QuarantinedRequest>& requests);
   void announcePeriodically();
-  /// Updates the gauge and the stored list after a change of the list.
+  /// To be called after each change of `list_`. Updates the gauge and the stored list.
   void listChanged();
   std::vector<common::RequestFingerprint> fingerprints() const;
-  /// \return the nodes that may count crashes or own the stored list, ordered
+  /// \return the nodes that may count crashes or own the stored list, ordered: the alive members
+  ///   whose build supports the quarantine messages
   std::vector<common::NodeId> eligibleNodes() const;
 
   const QuarantineSettings settings_;
@@ -80,7 +86,7 @@
   CrashDetector detector_;
   /// Crashes that this node observed itself.
   CrashHistory observed_;
-  /// Crashes that this node counts for the zone.
+  /// Crashes reported to this node as one of the two that count them.
   CrashHistory counted_;
   QuarantineList list_;
   /// Requests answered by this node, or by others according to their notices.
--- a/src/cypresswall/quarantine/messages.h
+++ b/src/cypresswall/quarantine/messages.h
@@ -22,7 +22,8 @@
 struct CrashReport {
   static constexpr auto kType = api::messageType(api::MessageType::kQuarantineFirst, 0);
   common::RequestFingerprint request = 0;
-  /// Empty if the request was answered completely, which voids earlier reports.
+  /// Empty if the request was answered completely; the receiver then forgets the crashes reported
+  /// earlier.
   std::vector<EngineCrash> crashes;
   MSGPACK_DEFINE(request, crashes)
 };
@@ -30,8 +31,9 @@
 /// A quarantined request, or one that has been released.
 struct QuarantinedRequest {
   common::RequestFingerprint request = 0;
-  /// Zero releases the request: it was answered, so the engines crashed for another reason. A
-  /// release takes precedence over quarantine notices from other nodes.
+  /// Time until the quarantine ends. Zero if the request is released because it was answered, which
+  /// means that the engines crashed for another reason. A release takes precedence over quarantine
+  /// notices from other nodes.
   std::uint32_t milliseconds_left = 0;
   MSGPACK_DEFINE(request, milliseconds_left)
 };
--- a/src/cypresswall/quarantine/quarantine_list.h
+++ b/src/cypresswall/quarantine/quarantine_list.h
@@ -13,7 +13,8 @@
 
 namespace cypresswall::quarantine {
 
-/// Bounded in number and age. Does no I/O.
+/// Bounded by the maximum number of requests and the maximum duration in QuarantineSettings. Does
+/// no I/O.
 class QuarantineList {
  public:
   explicit QuarantineList(const QuarantineSettings& settings) : settings_(settings) {}
--- a/src/cypresswall/quarantine/quarantine_store.cpp
+++ b/src/cypresswall/quarantine/quarantine_store.cpp
@@ -11,12 +11,12 @@
 using object_store::StoreFailure;
 using object_store::StoreResult;
 
-/// Delay after a membership change, since more changes may follow: while a zone starts, ownership
-/// would otherwise move from node to node. Nodes must know the list three seconds after their
-/// start.
+/// Delay between a membership change and the check of who owns the object. While a zone starts,
+/// many changes follow each other, and without the delay the ownership would move from node to
+/// node. The delay must be short, as a node must know the list within three seconds of its start.
 constexpr common::Duration kSettlingTime = std::chrono::milliseconds(200);
-/// Interval at which a node that sees no other node reads the object. Nodes must know the list
-/// within three seconds.
+/// Interval at which a node that sees no other node reads the object. The interval must be short,
+/// as nodes must know the list within three seconds.
 constexpr common::Duration kIsolatedReadInterval = std::chrono::seconds(1);
 
 }  // namespace
@@ -133,7 +133,8 @@
   if (result.ok()) {
     observe(result.value());
   } else {
-    // Another owner may have written, or the write took effect and the answer was lost.
+    // Another node that considers itself the owner may have written the object, or this write took
+    // effect but its answer was lost. The object is therefore read again.
     stored_.reset();
     if (result.failure().kind != StoreFailure::kConflict) {
       storeFailed();
@@ -147,7 +148,7 @@
   try {
     stored_ = decodeStoredQuarantine(object.value);
   } catch (const StoredQuarantineError& error) {
-    // An unreadable object quarantines nothing; the next write replaces it.
+    // An unreadable object is treated as an empty list; the next write replaces it.
     stored_.emplace();
     unreadable_.add();
     common::LogEvent(context_.log, common::LogLevel::kWarning, "stored_quarantine_unreadable")
--- a/src/cypresswall/quarantine/quarantine_store.h
+++ b/src/cypresswall/quarantine/quarantine_store.h
@@ -17,11 +17,12 @@
 
 namespace cypresswall::quarantine {
 
-/// One node of the zone, chosen by rendezvous hashing, owns the object. It reads the object when it
-/// becomes the owner, announces the content to the other nodes, and writes the object when the list
-/// has changed; without changes, each new owner makes a single call. Two nodes that both consider
-/// themselves the owner lose nothing: writes are conditional, and each reads the other's object
-/// before it writes again. A node that has lost contact with all others, for example in a network
+/// A zone's list is stored as one object. One node of the zone, chosen by rendezvous hashing, owns
+/// the object. The owner reads the object when it becomes the owner, announces the content to the
+/// other nodes, and writes the object when the list has changed. Without changes, each new owner
+/// makes a single call to the store. If two nodes both consider themselves the owner, no entry is
+/// lost: a write fails if the other node has written since, and the object is then read before it
+/// is written again. A node that has lost contact with all others, for example in a network
 /// partition, rereads the object every second, since it gets no notices from them.
 class QuarantineStore {
  public:
@@ -45,7 +46,8 @@
 
  private:
   void reconcileAfter(common::Duration delay);
-  /// Reads or writes the object if this node is the owner and the object is unknown or outdated.
+  /// If this node is the owner, reads the object if its content is unknown, or writes it if the
+  /// list has changed.
   void reconcile();
   bool isOwner() const;
   /// \return true if this node sees no other node but has seen some before
@@ -69,7 +71,8 @@
   /// Earliest time of the next call after a failure of the store.
   common::MonotonicTime next_call_at_{};
   common::TimerId reconcile_timer_ = 0;
-  /// Content as last read or written while this node is the owner; empty until then.
+  /// Content of the object as last read or written while this node is the owner; empty if the
+  /// object must be read first.
   std::optional<StoredQuarantine> stored_;
   std::uint64_t version_ = 0;
   std::uint64_t next_change_ = 0;
--- a/src/cypresswall/quarantine/request_quarantine.h
+++ b/src/cypresswall/quarantine/request_quarantine.h
@@ -13,16 +13,20 @@
 class RequestQuarantine {
  public:
   virtual ~RequestQuarantine() = default;
-  /// Called before a request is sent to an engine or back end. Prolongs an existing quarantine.
+  /// To be called before a request is sent to an engine or back end. If the request is quarantined,
+  /// its quarantine starts anew.
   /// \return how long the request stays quarantined; nothing if it may be sent
   virtual std::optional<common::Duration> quarantinedFor(common::RequestFingerprint request) = 0;
-  /// A stream of the request broke after it was sent. Probes whether the engine crashed.
+  /// To be called when a stream of the request broke after the request was sent. Probes the engine
+  /// to find out whether it crashed.
   virtual void streamBroken(common::RequestFingerprint request,
                             const engines::EngineEndpoint& engine) = 0;
-  /// A plain back end closed the connection while it processed the request, which counts as a
-  /// crash: a probe would occupy one of the back end's request slots.
+  /// To be called when a plain back end (one that is not an engine) closed the connection while it
+  /// processed the request. This counts as a crash without a probe, since a probe would occupy one
+  /// of the back end's request slots.
   virtual void callBroken(common::RequestFingerprint request, const common::Address& backend) = 0;
-  /// The request was answered completely: engines that crashed under it did so for another reason.
+  /// To be called when the request was answered completely. Engines that crashed under it must have
+  /// done so for another reason, so its crashes are forgotten and its quarantine ends.
   virtual void answered(common::RequestFingerprint request) = 0;
 };
 
--- a/src/cypresswall/quarantine/stored_quarantine.h
+++ b/src/cypresswall/quarantine/stored_quarantine.h
@@ -17,11 +17,13 @@
 struct StoredQuarantine {
   /// Ordered.
   std::vector<common::RequestFingerprint> requests;
-  /// JSON text as read from the store. Fields that this build does not know are written back.
+  /// JSON text as read from the store; empty if there was none. The encoding keeps its fields that
+  /// this build does not know.
   std::string original_text;
 };
 
-/// Skips entries that are not a valid fingerprint. \throws StoredQuarantineError
+/// Skips entries that are not a valid fingerprint.
+/// \throws StoredQuarantineError if `text` is not a JSON object with a list of requests
 StoredQuarantine decodeStoredQuarantine(const std::string& text);
 std::string encodeStoredQuarantine(const StoredQuarantine& quarantine);
 
