--- a/src/cypresswall/membership/broadcast_tree.h
+++ b/src/cypresswall/membership/broadcast_tree.h
@@ -12,9 +12,10 @@
 /// Nodes with the same member list compute the same tree without communicating. If member lists
 /// differ, a node may receive a message twice or not at all.
 /// \param members ordered by node
-/// \param fan_out maximum number of children of a node; with at least as many as members, the root
-///   sends to all others directly
-/// \return the nodes that `self` forwards a broadcast of `root` to; empty if either is not a member
+/// \param fan_out maximum number of children of a node; if it is at least the number of members,
+///   the root sends to all other nodes directly
+/// \return the nodes that `self` forwards a broadcast of `root` to; empty if `root` or `self` is
+///   not a member
 std::vector<common::NodeId> treeChildren(const common::NodeId& root, const common::NodeId& self,
                                          const std::vector<Member>& members, std::size_t fan_out);
 
--- a/src/cypresswall/membership/dissemination_peers.cpp
+++ b/src/cypresswall/membership/dissemination_peers.cpp
@@ -8,8 +8,8 @@
   return findNeighbours(neighbours_, context_.self, peers()).update_receivers;
 }
 
-/// The successor in node order, so that each node is covered by one sender, and a random node,
-/// since nodes may temporarily disagree on the order.
+/// Chooses the successor in node order, so that every node is the receiver of one other node, and a
+/// random node, since nodes may temporarily disagree on the order.
 std::vector<common::NodeId> DisseminationPeers::antiEntropyReceivers() const {
   const auto nodes = peers();
   if (nodes.empty()) {
--- a/src/cypresswall/membership/dissemination_peers.h
+++ b/src/cypresswall/membership/dissemination_peers.h
@@ -9,9 +9,11 @@
 
 namespace cypresswall::membership {
 
-/// In a small zone an update goes to all nodes directly; in a large zone it goes to a few nodes,
-/// each of which forwards it once. Anti-entropy repairs losses: each node periodically sends what
-/// it knows to two others. Nodes whose build does not support the messages are left out.
+/// In a small zone a node sends an update to all other nodes directly. In a large zone the node
+/// sends it to a few nodes; each node that receives the update for the first time forwards it to a
+/// few nodes in turn. Anti-entropy repairs losses: each node periodically sends what it knows to
+/// two others. Nodes whose build does not support the set of messages given to the constructor are
+/// left out.
 class DisseminationPeers {
  public:
   /// \pre all references outlive this object
--- a/src/cypresswall/membership/machine_registry.h
+++ b/src/cypresswall/membership/machine_registry.h
@@ -1,6 +1,7 @@
 /// The zone's replicated copy of the platform's machine list. Normally one node of the zone polls
-/// the list and sends changes to its peers; the others poll only if they see no recent read. If
-/// reading the list costs nothing, every node reads it for itself.
+/// the list and sends changes to its peers; the other nodes poll only if they have not heard of a
+/// recent read. If every node has the list locally (MachineList::isLocal()), each node reads it for
+/// itself.
 #pragma once
 
 #include <cstdint>
@@ -37,12 +38,13 @@
   bool isAddressGone(const common::Address& address) const;
   /// \return the IP addresses of live machines, sorted
   const std::set<std::string>& liveAddresses() const { return live_addresses_; }
-  /// \return the version to compare with peers; zero if each node reads the list for itself
+  /// \return the version of the list, to be announced to peers; zero if each node reads the list
+  ///   for itself
   std::uint64_t version() const;
   std::uint32_t reads() const { return reads_; }
   void onChange(std::function<void()> listener) { listener_ = std::move(listener); }
-  /// Processes the machine list fields of a peer's heartbeat: its version of the list and its
-  /// number of reads.
+  /// Processes the machine list fields of a peer's heartbeat: the peer's version of the list and
+  /// the number of times that the peer has read it.
   void heartbeatReceived(const common::NodeId& sender, std::uint64_t version, std::uint32_t reads);
 
  private:
--- a/src/cypresswall/membership/member_packing.cpp
+++ b/src/cypresswall/membership/member_packing.cpp
@@ -7,11 +7,11 @@
 namespace cypresswall::membership {
 namespace {
 
-/// Limit on the uncompressed size, about 50,000 members, so that a small message cannot expand
-/// without bound.
+/// Maximum uncompressed size of a list, enough for about 50,000 members. Without a limit, a small
+/// message could expand without bound.
 constexpr std::size_t kMaximumBytes = std::size_t{4} << 20;
 
-/// Compressed list with its uncompressed length.
+/// A compressed list, and its uncompressed length in bytes.
 struct PackedMembers {
   std::uint32_t bytes = 0;
   std::string compressed;
--- a/src/cypresswall/membership/membership.cpp
+++ b/src/cypresswall/membership/membership.cpp
@@ -182,7 +182,8 @@
   }
   const Peer* const peer = peers_.find(sender);
   if (peer == nullptr) {
-    // The sender may be a newer incarnation of a member; members() then omits the older one.
+    // The sender may be a newer incarnation of a member. members() then omits the older one, so the
+    // cache is no longer valid.
     members_valid_ = false;
     if (const auto departure = peers_.blockingDeparture(sender, heartbeat.details_version, now)) {
       context_.sendTo(sender, MembershipUpdate{{}, {*departure}, false});
@@ -252,7 +253,8 @@
     if (departure) {
       update.departures.push_back(*departure);
     } else if (peers_.replaced(member.node)) {
-      // The newer incarnation is either among the records below or has departed as well.
+      // The newer incarnation need not be sent here: it is either among the records below or has
+      // departed as well.
       update.departures.push_back({member.node, member.details_version});
     }
   }
@@ -316,7 +318,7 @@
 void Membership::applySelfReport(const common::NodeId& node, const NodeDetails& details) {
   using DetailsResult = PeerTable::DetailsResult;
   const DetailsResult result = peers_.applyDetails(node, details, context_.clock.now());
-  // In a mesh a member announces changes to all others itself.
+  // In a full mesh a known member announces changes of its details to all other nodes itself.
   if (result == DetailsResult::kAdded || (result == DetailsResult::kDetailsChanged && !mesh())) {
     enqueueUpdate(node);
   }
@@ -371,7 +373,8 @@
       refute(departure.details_version);
       context_.sendTo(sender, Introduction{own_details_, false});
     } else if (hadRecentContact(departure.node)) {
-      // A departure is undone only by newer details, which the node itself has to send.
+      // The departure is wrong, as this node still receives heartbeats of the departed node. Only
+      // newer details undo a departure, so that node is told of it and has to announce them.
       context_.sendTo(departure.node, MembershipUpdate{{}, {departure}, false});
     } else {
       changed = applyDeparture(departure) || changed;
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -1,6 +1,7 @@
 /// Membership of one zone as seen by one of its nodes: heartbeats, joining, leaving, and the zone's
 /// copy of the machine list. In a large zone each node exchanges heartbeats with a few neighbours
-/// only; changes spread by gossip, and neighbours whose member lists differ compare them.
+/// only; changes spread by gossip, and neighbours whose member lists differ compare the lists and
+/// send each other what is missing.
 #pragma once
 
 #include <functional>
@@ -72,15 +73,16 @@
   void applySelfReport(const common::NodeId& node, const NodeDetails& details);
   /// Applies the departure of a node. \return true if it was a member
   bool applyDeparture(const Departure& departure);
-  /// Raises the version of the own details above that of a wrong departure and announces it, which
-  /// undoes the departure.
+  /// Undoes a departure of this node that was announced wrongly and carries `details_version`:
+  /// raises the version of this node's own details above it and announces the details.
   void refute(std::uint32_t details_version);
 
   /// \return true if this node monitors the other and received a message from it within two
   ///   heartbeat intervals
   bool hadRecentContact(const common::NodeId& node) const;
 
-  /// Queues a change to be forwarded after a short delay, in which further changes are batched.
+  /// Queues a change. It is forwarded after a short delay, together with the changes queued
+  /// meanwhile.
   void enqueueUpdate(const common::NodeId& node);
   void enqueueUpdate(const Departure& departure);
   void scheduleUpdate(common::Duration delay);
@@ -109,13 +111,15 @@
   /// Cache of members(), rebuilt after each change.
   mutable std::vector<Member> members_;
   mutable bool members_valid_ = false;
-  /// Changes to be forwarded, and the timer that sends them.
+  /// Nodes whose details are to be forwarded.
   std::set<common::NodeId> pending_records_;
+  /// Departures that are to be forwarded.
   std::vector<Departure> pending_departures_;
+  /// Timer that sends the pending changes and answers `joiners_`; zero if it is not set.
   common::TimerId update_timer_ = 0;
   /// Nodes that asked for the member list and have not got it yet.
   std::set<common::NodeId> joiners_;
-  /// Since when each neighbour's member hash has differed from ours.
+  /// By neighbour whose member hash differs from this node's: time since which it has differed.
   std::map<common::NodeId, common::MonotonicTime> diverging_since_;
   std::optional<common::MonotonicTime> compared_at_;
   /// True until a peer has sent its complete member list.
@@ -123,7 +127,7 @@
   std::size_t next_seed_ = 0;
   common::MonotonicTime started_at_;
   common::MonotonicTime last_tick_;
-  /// IP address that was probed last.
+  /// IP address from the machine list that was probed last.
   std::string probe_position_;
   std::vector<std::function<void()>> listeners_;
   common::Counter& foreign_count_;
--- a/src/cypresswall/membership/membership_settings.h
+++ b/src/cypresswall/membership/membership_settings.h
@@ -40,24 +40,28 @@
   common::Duration dead_after = std::chrono::milliseconds(2500);
   /// How often seeds and departed addresses are probed.
   common::Duration probe_interval = std::chrono::seconds(2);
-  /// Number of live machines from the machine list that are probed each probe interval, at the own
-  /// port, so that nodes find each other even if every seed was replaced.
+  /// Number of live machines from the machine list that a node probes in each probe interval, at
+  /// the port number of its own address. Nodes thus find each other even if every seed was
+  /// replaced.
   std::size_t machine_probes = 4;
   /// How long the address of a departed node is probed.
   common::Duration departed_retention = std::chrono::minutes(30);
   /// How often a node that has not joined yet tries the next seed.
   common::Duration join_interval = std::chrono::milliseconds(300);
-  /// A node that got no answer from any seed for this long starts on its own.
+  /// A node that got no answer from any seed for this long after its start no longer waits for one
+  /// and works with the members that it knows.
   common::Duration join_timeout = std::chrono::seconds(2);
-  /// Join requests in a large zone are collected for this long and answered with one member list,
-  /// packed once. When the whole zone starts at once, that list is then nearly complete.
+  /// In a large zone, join requests are collected for this long and then all answered with the same
+  /// member list, which is encoded only once. When the whole zone starts at once, the delay makes
+  /// that list nearly complete.
   common::Duration join_reply_interval = std::chrono::milliseconds(200);
   /// Membership changes are batched for this long before they are forwarded.
   common::Duration update_interval = std::chrono::milliseconds(20);
-  /// If a neighbour's member hash differs for this long, an update was lost and the two compare
-  /// their lists. In a ring, updates are normally in flight for a few hundred milliseconds.
+  /// In a ring, if a neighbour's member hash differs from this node's for this long, an update is
+  /// assumed to be lost and the two nodes compare their lists. Updates are normally in flight for a
+  /// few hundred milliseconds. In a full mesh, nodes compare their lists without this delay.
   common::Duration divergence_limit = std::chrono::milliseconds(900);
-  /// Minimum time between two comparisons.
+  /// Minimum time between two comparisons that a node starts.
   common::Duration comparison_interval = std::chrono::milliseconds(900);
   /// For this long a node that was declared dead is readmitted only with newer details, so that
   /// peers that do not know of its death yet cannot reintroduce it. Must exceed the time in which a
@@ -65,19 +69,23 @@
   common::Duration readmission_delay = std::chrono::seconds(5);
 
   common::Duration machine_poll_interval = std::chrono::milliseconds(500);
-  /// A node polls the list itself if it saw no read for this long, times its rank in the zone.
+  /// A node polls the machine list itself if it has not heard of a read for this long, multiplied
+  /// by its rank: its position, from 0, among the zone's alive nodes. Normally only the first node
+  /// polls.
   common::Duration machine_read_timeout = std::chrono::milliseconds(1000);
 
-  /// Changed gossip entries are batched for this long.
+  /// Changed gossip entries are batched for this long before they are sent.
   common::Duration gossip_flush_interval = std::chrono::milliseconds(100);
   /// Refreshes (a new version with an unchanged payload) are batched for this long before they are
-  /// forwarded. A refresh crosses about four zones; the batching delays plus the time between two
-  /// refreshes must stay below `zone_silent_after`.
+  /// forwarded. A refresh passes through about four zones, each of which adds this delay. The sum
+  /// of these delays plus the time between two refreshes must stay below `zone_silent_after`.
   common::Duration gossip_refresh_flush_interval = std::chrono::seconds(1);
   /// Anti-entropy interval: how often gossip tables are compared by hash.
   common::Duration gossip_refresh_interval = std::chrono::seconds(5);
-  /// A zone without an update for this long is not chosen as a relay.
+  /// A zone that was not heard of for this long is not chosen to relay gossip between regions,
+  /// unless no zone of its region was heard of.
   common::Duration zone_silent_after = std::chrono::seconds(20);
+  /// Maximum size of a gossip payload in bytes.
   std::size_t maximum_gossip_payload = 1024;
   std::size_t maximum_gossip_zones = 128;
   std::size_t maximum_gossip_topics = 16;
--- a/src/cypresswall/membership/membership_view.h
+++ b/src/cypresswall/membership/membership_view.h
@@ -12,7 +12,8 @@
 
 namespace cypresswall::membership {
 
-/// Small values that other subsystems attach to a node; changes are sent to its neighbours.
+/// Topics of digests: small values that subsystems attach to their node. The node sends changes of
+/// its digests to its neighbours.
 enum class DigestTopic : std::uint16_t {
   kConfigurationVersion = 1,
   /// Epoch of the lease that the node holds: generation in the high half, term in the low half;
@@ -20,7 +21,7 @@
   kHeldEpoch = 2,
   /// Bandwidth of the node's link in Mbit/s, rounded down; absent if not configured.
   kLinkMegabits = 3,
-  /// The api::MessageSet that the node's build supports; absent for the first one.
+  /// The api::MessageSet that the node's build supports; absent if it is the first set.
   kMessageSet = 4,
 };
 
--- a/src/cypresswall/membership/messages.h
+++ b/src/cypresswall/membership/messages.h
@@ -100,7 +100,8 @@
 struct MemberVersions {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 5);
   std::vector<MemberVersion> members;
-  /// Asks the receiver to send its own versions if it lacks something.
+  /// Asks the receiver to send its own MemberVersions in turn if it finds that it lacks members or
+  /// details that the sender has.
   bool answer_wanted = false;
   MSGPACK_DEFINE(members, answer_wanted)
 };
@@ -114,7 +115,8 @@
   MSGPACK_DEFINE(name, state, addresses)
 };
 
-/// Machines that changed between two versions of the list, or all machines if `base` is zero.
+/// Machines that changed between the versions `base` and `version` of the list, or all machines if
+/// `base` is zero.
 struct MachinesUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 10);
   std::uint64_t base = 0;
@@ -145,7 +147,8 @@
   MSGPACK_DEFINE(sender_zone, entries)
 };
 
-/// A higher version of a value with an unchanged payload; shows that the zone is still alive.
+/// Announces a higher version of a zone's value whose payload is unchanged. This shows that the
+/// zone is still alive.
 struct GossipRefresh {
   common::ZoneName zone;
   std::uint16_t topic = 0;
@@ -154,7 +157,8 @@
   MSGPACK_DEFINE(zone, topic, version, payload_hash)
 };
 
-/// A receiver that holds a different payload requests what it lacks.
+/// A receiver that holds another payload or a newer version replies with its GossipVersions, so
+/// that the two nodes exchange the entries that either lacks.
 struct GossipRefreshes {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 23);
   common::ZoneName sender_zone;
@@ -163,7 +167,7 @@
 };
 
 /// Hash over the payloads of the sender's whole table; a receiver with a different hash replies
-/// with its versions.
+/// with its GossipVersions.
 struct GossipDigest {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 21);
   common::ZoneName sender_zone;
@@ -178,7 +182,8 @@
   MSGPACK_DEFINE(zone, topic, version)
 };
 
-/// The sender's versions; the receiver sends its newer entries and, if requested, its own versions.
+/// The versions of all entries that the sender holds. The receiver replies with the entries of
+/// which it holds a newer version and, if `answer_wanted`, with its own versions.
 struct GossipVersions {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 22);
   common::ZoneName sender_zone;
--- a/src/cypresswall/membership/neighbours.h
+++ b/src/cypresswall/membership/neighbours.h
@@ -15,8 +15,9 @@
   /// Maximum number of nodes, including this one, for a full mesh. With 24 nodes and two heartbeats
   /// a second, a node sends and receives 92 messages a second in a mesh, and 16 in a ring.
   std::size_t mesh_limit = 24;
-  /// Number of successors that receive a node's heartbeats in a ring. If all of them die with the
-  /// node, its death is detected later: if 40% of the nodes die at once, this affects one in forty.
+  /// Number of successors that receive a node's heartbeats in a ring. If all of them die together
+  /// with the node, the node's death is detected later. If 40% of the nodes die at once, this
+  /// happens for one in forty of the dead nodes.
   std::size_t heartbeat_receivers = 4;
   /// Number of nodes besides the successor that a node forwards updates to in a ring. With three,
   /// an update reaches 1,000 nodes in at most ten hops.
--- a/src/cypresswall/membership/peer_table.h
+++ b/src/cypresswall/membership/peer_table.h
@@ -31,9 +31,11 @@
  public:
   explicit PeerTable(const MembershipSettings& settings) : settings_(settings) {}
 
-  /// What the table knows of the sender of a message.
+  /// Whether the sender of a message is a peer (kKnown), not a peer (kUnknown), or an older
+  /// incarnation than one already seen at its address (kOutdated).
   enum class Contact { kKnown, kUnknown, kOutdated };
-  /// Records a message from `node`. kUnknown: its details are needed before it becomes a peer.
+  /// Records that a message from `node` arrived. If the result is kUnknown, the node becomes a peer
+  /// only once its details are known.
   Contact recordContact(const common::NodeId& node, common::MonotonicTime now);
 
   /// Result of applying a node's details.
@@ -50,13 +52,18 @@
                              common::MonotonicTime now);
   /// Sets the nodes whose heartbeats are monitored.
   void watch(const std::vector<common::NodeId>& nodes, common::MonotonicTime now);
-  /// Marks monitored peers without heartbeats as suspect, then removes them as dead.
-  /// \return the peers that were removed; sets `changed` if anything changed
+  /// Marks a monitored peer as suspect if no heartbeat came for MembershipSettings::suspect_after,
+  /// and removes it as dead after MembershipSettings::dead_after. Also removes peers of which a
+  /// newer incarnation was seen.
+  /// \param changed set to true if a peer was removed or changed its state; otherwise unchanged
+  /// \return the departures of the peers that were removed
   std::vector<Departure> expire(common::MonotonicTime now, bool& changed);
-  /// Extends the deadline of every peer by `pause`, after this process itself was paused.
+  /// Extends the deadline of every peer by `pause`. To be called after this process was paused, as
+  /// it received no heartbeats meanwhile.
   void extend(common::Duration pause);
-  /// Removes a peer unless its details are newer, and records the departure, also of unknown nodes.
-  /// \return true if the departure was not known yet
+  /// Removes the departed node from the peers and records the departure, also if the node was not a
+  /// peer. Does nothing if newer details or a newer incarnation of the node are known.
+  /// \return true if the departure was recorded; false if it was known or is outdated
   bool remove(const Departure& departure, common::MonotonicTime now);
 
   const std::map<common::Address, Peer>& peers() const { return peers_; }
@@ -64,7 +71,7 @@
   std::uint64_t changes() const { return changes_; }
   /// \return an order-independent hash over the peers and the versions of their details
   std::uint64_t hash() const { return hash_; }
-  /// \return the contribution of one member to such a hash
+  /// \return the contribution of one member to hash()
   static std::uint64_t memberHash(const common::NodeId& node, std::uint32_t details_version);
   Peer* find(const common::NodeId& node);
   const Peer* find(const common::NodeId& node) const;
@@ -94,7 +101,8 @@
   std::uint64_t changes_ = 0;
   std::uint64_t hash_ = 0;
   std::map<common::Address, DepartedPeer> departed_;
-  /// Highest incarnation seen per address; bounded since expired departures are removed.
+  /// Highest incarnation seen at each address. Does not grow without bound, since an entry is
+  /// removed with the expired departure at its address.
   std::map<common::Address, std::uint64_t> newest_incarnation_;
 };
 
--- a/src/cypresswall/membership/rendezvous.h
+++ b/src/cypresswall/membership/rendezvous.h
@@ -23,8 +23,9 @@
                                             std::vector<common::NodeId> nodes, std::size_t count);
 /// \return the node with the highest rank; empty if `nodes` is empty
 common::NodeId rendezvousNode(std::string_view name, const std::vector<common::NodeId>& nodes);
-/// \return the bit width of the node's link bandwidth in Mbit/s, zero if unknown. Tasks with much
-///   traffic go to the highest class and are shared by the nodes of that class.
+/// Classes of link bandwidth are powers of two. Tasks with much traffic go to the nodes of the
+/// highest class, which share them.
+/// \return the bit width of the node's link bandwidth in Mbit/s; zero if the bandwidth is unknown
 std::uint64_t linkBandwidthClass(const MembershipView& membership, const common::NodeId& node);
 
 }  // namespace cypresswall::membership
--- a/src/cypresswall/membership/zone_gossip.cpp
+++ b/src/cypresswall/membership/zone_gossip.cpp
@@ -68,7 +68,7 @@
 }
 
 bool ZoneGossip::representative() const {
-  // While joining, this node may know no other and lacks the zone's gossip state.
+  // While joining, this node may know no other node and lacks the zone's gossip state.
   if (membership_.joining()) {
     return false;
   }
@@ -262,7 +262,8 @@
     sender_behind = sender_behind || versionOf({entry.zone, entry.topic}) > entry.version;
     store(entry, message.sender_zone, message.sender_zone != context_.zone);
   }
-  // A zone that restarted counts versions from one again and must learn its last version.
+  // A zone whose nodes all restarted counts its versions from one again, and must first learn the
+  // last version that it used before.
   if (sender_behind) {
     context_.sendTo(sender, ownVersions(true));
   }
--- a/src/cypresswall/membership/zone_gossip.h
+++ b/src/cypresswall/membership/zone_gossip.h
@@ -19,7 +19,7 @@
 
 namespace cypresswall::membership {
 
-/// Kind of a payload. At any time one node of a zone publishes a topic.
+/// Kind of a payload. At any time, only one node of a zone publishes the zone's payload of a topic.
 enum class GossipTopic : std::uint16_t {
   kContacts = 1,  ///< ZoneContacts; published by ZoneGossip itself
   kConfiguration = 2,
@@ -46,7 +46,8 @@
   void start();
   /// Publishes `payload` as the own zone's value of `topic` until withdraw(). An unchanged payload
   /// is not sent again.
-  /// \return false, and counts it, if the payload exceeds the size limit
+  /// A payload larger than MembershipSettings::maximum_gossip_payload is refused and counted.
+  /// \return false if the payload was refused
   bool publish(GossipTopic topic, std::string payload);
   /// Stops publishing the topic from this node; the last value remains.
   void withdraw(GossipTopic topic);
@@ -86,7 +87,7 @@
   /// Schedules flush() after `delay`; entries added until then are sent in the same batch.
   void scheduleFlush(Outbox& outbox, common::Duration delay);
   void flush(Outbox& outbox);
-  /// Sends the values of `keys`, without payloads if `outbox` is the one for refreshes.
+  /// Sends the values of `keys`, without payloads if `outbox` is `refreshes_`.
   void sendKeys(const common::Address& address, const Outbox& outbox,
                 const std::vector<Key>& keys) const;
   void sendEntries(const common::Address& address, const std::vector<GossipEntry>& entries) const;
--- a/src/cypresswall/membership/zone_links.h
+++ b/src/cypresswall/membership/zone_links.h
@@ -14,8 +14,8 @@
 /// A zone as a possible endpoint of a link.
 struct LinkCandidate {
   RegionName region;
-  /// False if no recent update of the zone is known; it then gets no link between regions unless
-  /// this holds for all zones of its region.
+  /// False if the zone was not heard of recently. The zone then gets no link to another region,
+  /// unless no zone of its own region was heard of recently.
   bool recently_updated = true;
 };
 
