--- a/src/cypresswall/lease/authority_record.h
+++ b/src/cypresswall/lease/authority_record.h
@@ -1,4 +1,6 @@
-/// The record of one zone's authority in the platform's store: generation and voters, as JSON.
+/// The authority record of a zone in the platform's store, as JSON. It names the nodes that vote on
+/// the zone's lease and the generation of these voters: a number that increases when voters that
+/// lost their quorum are replaced.
 #pragma once
 
 #include <optional>
--- a/src/cypresswall/lease/generation_manager.cpp
+++ b/src/cypresswall/lease/generation_manager.cpp
@@ -232,7 +232,7 @@
 GenerationManager::RecordingStep GenerationManager::recordVoters(const VoterSet& committed) {
   const bool recorded = committed.anchors == std::vector<NodeList>{committed.members};
   RecordingStep step;
-  // A failed read reports nothing, so it is started again.
+  // A failed read leaves the state at kReading, so a read is started again in that state, too.
   const bool to_read =
       recording_ == RecordingState::kIdle || recording_ == RecordingState::kReading;
   if (to_read && !recorded && context_.clock.now() >= next_recording_) {
--- a/src/cypresswall/lease/generation_manager.h
+++ b/src/cypresswall/lease/generation_manager.h
@@ -1,6 +1,7 @@
 /// Manages the authority record in the platform's store, which names the current generation of
-/// voters. Creates the first generation, records the holder's voters, and begins a new generation
-/// once every voter that the store names has ended or is sealed.
+/// voters. Creates the first generation and records the lease holder's current voters. If the
+/// voters have lost their quorum, begins a new generation once every voter that the store names has
+/// ended or is sealed, that is, has agreed to take no further part in the old generation.
 #pragma once
 
 #include <cstdint>
@@ -44,14 +45,16 @@
   /// Records that a voter no longer takes part in generations before `generation`.
   void recordSealed(const common::NodeId& voter, std::uint32_t generation);
 
-  /// Progress of the holder in recording its voters in the store.
+  /// What the holder must do next to get its voters recorded in the store.
   struct RecordingStep {
-    /// If set, the anchors that the holder must commit next.
+    /// The anchors (see VoterSet) that the holder must commit next; nothing if there are none to
+    /// commit.
     std::optional<std::vector<NodeList>> anchors;
   };
-  /// Updates the store's record to the holder's committed set, one step per call.
+  /// Updates the record in the store to the holder's committed voter set. To be called repeatedly,
+  /// as each call does one step only.
   RecordingStep recordVoters(const VoterSet& committed);
-  /// Discards an unfinished update of an earlier tenure as holder.
+  /// Discards an update of the record that was not finished when this node last lost the lease.
   void resetRecording();
 
  private:
--- a/src/cypresswall/lease/messages.h
+++ b/src/cypresswall/lease/messages.h
@@ -11,18 +11,21 @@
 
 namespace cypresswall::lease {
 
-/// Requests a grant from a voter, as a candidate or for renewal.
+/// Requests a grant from a voter. Sent by candidates for the lease, and by the holder to renew it.
 struct LeaseRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 0);
   std::uint64_t request = 0;
   common::Epoch epoch;
-  /// The voter set that the grant is for; `set` is empty if the voter is expected to know it.
+  /// Version of the voter set that the grant is for.
   VoterSetVersion set_version;
+  /// The voter set itself; empty if the voter is expected to know it.
   std::vector<VoterSet> set;
-  /// Members of the previous set, whose grants are also required during a change.
+  /// Members of the sets that were in use before, whose grants are also required while the voter
+  /// set is being changed.
   NodeList previous_members;
   std::uint64_t duration_us = 0;
-  /// Asks only whether a grant would be given; the voter makes no promise.
+  /// If true, the voter only answers whether it would give the grant; it gives none and promises
+  /// nothing.
   bool probe = false;
   MSGPACK_DEFINE(request, epoch, set_version, set, previous_members, duration_us, probe)
 };
@@ -32,7 +35,7 @@
   kNotMember,   ///< the voter is in none of the named sets
   kOlderSet,    ///< the voter knows a newer set
   kUnknownSet,  ///< the request must include the set
-  kSealed,      ///< the voter is sealed against this generation
+  kSealed,      ///< the voter takes no further part in this generation (see SealRequest)
   kPromised,    ///< the voter promised an equal or higher epoch to another node
   kHeld,        ///< another node's grant has not expired
 };
@@ -71,7 +74,7 @@
   MSGPACK_DEFINE(epoch)
 };
 
-/// Requests the records of a voter with keys after `after`.
+/// Requests the records that a voter stores, in key order, starting after the key `after`.
 struct FetchRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 4);
   std::uint64_t request = 0;
@@ -116,19 +119,22 @@
 struct VoterSetNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 9);
   VoterSet set;
-  /// The holder committed the set; a node that is not a member drops its records.
+  /// True if the holder committed the set; a receiver that is not a member then drops its records.
   bool committed = false;
-  /// The sender no longer gives grants for generations before this one; zero if it is not sealed.
+  /// Number of the lowest generation that the sender still takes part in (see SealRequest); zero if
+  /// the sender is not sealed.
   std::uint32_t sealed_before = 0;
   MSGPACK_DEFINE(set, committed, sealed_before)
 };
 
-/// Seals a voter of a lost quorum: it must no longer take part in generations before `generation`.
+/// Asks a voter to seal itself, that is, to take no further part in generations before
+/// `generation`. Sent when the voters have lost their quorum, so that a new generation can begin
+/// safely.
 struct SealRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 10);
   std::uint32_t generation = 0;
-  /// The newest set that the sender knows and whose quorum it considers lost; a voter that knows a
-  /// newer set refuses.
+  /// Version of the newest voter set that the sender knows, whose quorum the sender considers lost.
+  /// A voter that knows a newer set refuses to be sealed.
   VoterSetVersion lost_set;
   MSGPACK_DEFINE(generation, lost_set)
 };
--- a/src/cypresswall/lease/record_store.h
+++ b/src/cypresswall/lease/record_store.h
@@ -29,8 +29,8 @@
   MSGPACK_DEFINE(module, key)
 };
 
-/// Orders the values of one key: by the epoch of the holder that wrote them, then by its sequence
-/// number.
+/// Orders the values of one key: by the epoch of the holder that wrote them, then by the sequence
+/// number that this holder gave them.
 struct RecordVersion {
   common::Epoch epoch;
   std::uint64_t sequence = 0;
@@ -56,7 +56,8 @@
   void apply(const Record& record);
   void clear() { records_.clear(); }
   const Records& records() const { return records_; }
-  /// \return records after `after` in key order, up to `bytes`, but at least one if there is one.
+  /// \return the records with keys after `after`, in key order, up to a total size of `bytes`; at
+  ///   least one record if there is any.
   std::vector<Record> page(const RecordKey& after, std::size_t bytes) const;
 
  private:
--- a/src/cypresswall/lease/replicator.cpp
+++ b/src/cypresswall/lease/replicator.cpp
@@ -6,7 +6,8 @@
 namespace cypresswall::lease {
 namespace {
 
-/// Replies to older requests are ignored; the records that they acknowledge are sent again.
+/// Number of the latest requests whose replies are still accepted. Replies to older requests are
+/// ignored, so the records that they acknowledge are sent again.
 constexpr std::uint64_t kRememberedRequests = 4096;
 
 }  // namespace
--- a/src/cypresswall/lease/replicator.h
+++ b/src/cypresswall/lease/replicator.h
@@ -41,13 +41,14 @@
   void track(const common::NodeId& node);
   /// Stops replication to all nodes but `nodes`.
   void retain(const NodeSet& nodes);
-  /// Starts over with a node if it has dropped its records since the last fetch.
-  /// \return true if it has
+  /// Fetches the records of a node again if the node has dropped them since the last fetch.
+  /// \return true if the node has dropped them
   bool checkRecordsIncarnation(const common::NodeId& node, std::uint32_t records_incarnation);
   /// Sends unacknowledged records again; to be called periodically.
   void tick();
 
-  /// \return true once the records of a majority were collected and are stored by a majority.
+  /// \return true once the records that a majority of the voters held were collected, and all of
+  ///   these records are stored by a majority.
   bool recovered() const { return recovered_ && recovery_records_ == 0; }
   /// \return true if the node holds every committed record.
   bool synced(const common::NodeId& node) const;
@@ -69,9 +70,9 @@
     std::uint32_t records_incarnation = 0;
     std::uint64_t fetch_request = 0;
     common::MonotonicTime last_sent;
-    /// Versions that it held when its records were fetched.
+    /// Versions of the records that the node held when they were fetched.
     Content content;
-    /// Records that it has not acknowledged yet.
+    /// Versions of the records that the node has not acknowledged yet.
     Content missing;
   };
   /// One message of records in flight.
@@ -108,7 +109,7 @@
   RecordStore::Records records_;
   std::map<common::NodeId, Follower> followers_;
   std::map<std::uint64_t, Batch> batches_;
-  /// By sequence number under the current epoch.
+  /// Records that are not committed yet, by sequence number under the current epoch.
   std::map<std::uint64_t, Pending> pending_;
 };
 
--- a/src/cypresswall/lease/store_lease.cpp
+++ b/src/cypresswall/lease/store_lease.cpp
@@ -88,8 +88,8 @@
 }
 
 bool StoreLease::mayTakeOver() const {
-  // The last holder's lease ends `duration` after it sent the write that created this version. The
-  // version was first seen after that write was sent, so waiting `duration` from then is enough.
+  // The last holder's lease ends `duration` after that node sent the write that created the stored
+  // version, so at the latest `duration` after this node first saw that version.
   const common::Duration wait = settings_.duration + settings_.handover_gap;
   return seen_->version == 0 || seen_->record.holder == context_.self ||
          context_.clock.now() - seen_->since >= wait;
@@ -155,7 +155,8 @@
       seen.since = context_.clock.now();
     }
   } catch (const LeaseRecordError& error) {
-    // Must not be overwritten: the new term could be lower than one that was already used.
+    // An unreadable lease must not be overwritten: the new term could be lower than one that was
+    // already used.
     seen_outdated_ = true;
     scheduleNextCall(settings_.duration + settings_.handover_gap);
     unreadable_.add();
--- a/src/cypresswall/lease/store_lease.h
+++ b/src/cypresswall/lease/store_lease.h
@@ -1,7 +1,7 @@
 /// The lease of a zone, or of a fleet-wide duty, as one object of the platform's store, for
-/// platforms whose store survives the loss of any number of nodes. It is acquired and renewed by
-/// compare-and-set, and only while the node has orders to give: an idle zone makes no store calls.
-/// docs/design/authority.md states the rules.
+/// platforms whose store survives the loss of any number of nodes. A node acquires and renews the
+/// lease by compare-and-set, and only while it has orders to give: an idle zone makes no store
+/// calls. docs/design/authority.md states the rules.
 #pragma once
 
 #include <cstdint>
@@ -93,7 +93,8 @@
   bool call_in_flight_ = false;
   common::MonotonicTime next_call_at_{};
   std::optional<SeenLease> seen_;
-  /// The stored object may have changed; it is read again before the next write.
+  /// True if the stored object may have changed since this node last saw it; the object is then
+  /// read again before the next write.
   bool seen_outdated_ = true;
   /// Send times of this node's writes by change identifier. A write may take effect long after the
   /// wait for its answer timed out.
@@ -101,9 +102,11 @@
   std::uint64_t next_change_ = 0;
   common::MonotonicTime last_sent_{};
   common::MonotonicTime lease_until_{};
-  /// Terms up to this one must not be used any more.
+  /// This node must not use terms up to this one any more, since an engine has refused an order of
+  /// this term; zero if no order was refused.
   std::uint32_t spent_term_ = 0;
-  /// Held epoch as last reported to the listeners.
+  /// The epoch that this node holds according to the last call of the listeners; nothing if it
+  /// holds none.
   std::optional<common::Epoch> held_;
   std::vector<std::function<void(std::optional<common::Epoch>)>> listeners_;
   common::Counter& acquired_;
--- a/src/cypresswall/lease/voter.cpp
+++ b/src/cypresswall/lease/voter.cpp
@@ -34,7 +34,7 @@
   if (renewal && request.epoch == promised_) {
     return GrantVerdict::kGranted;
   }
-  // Records from the holder may arrive before its first grant request and have raised the promise.
+  // The holder's requests about records may arrive before its first request for a grant.
   const bool from_holder = request.epoch == promised_ && sender == promised_holder_;
   const bool released = request.epoch == promised_ && promise_released_;
   if (request.epoch <= promised_ && !released && !from_holder) {
--- a/src/cypresswall/lease/voter.h
+++ b/src/cypresswall/lease/voter.h
@@ -23,19 +23,20 @@
   void handle(const common::NodeId& sender, const ReleaseNotice& notice);
   FetchReply handle(const common::NodeId& sender, const FetchRequest& request);
   ReplicateReply handle(const common::NodeId& sender, const ReplicateRequest& request);
-  /// Seals this voter, so that it refuses all requests of generations before the requested one,
-  /// unless it knows a newer set than the sender.
+  /// Seals this voter: from then on it refuses all requests of generations before the requested
+  /// one. A voter that knows a newer voter set than the sender refuses to be sealed.
   SealReply handle(const SealRequest& request);
 
   /// Adopts a voter set that a holder proposed or that was read from the store, if it is newer.
   void learn(const VoterSet& set);
-  /// Adopts a voter set that is known to be committed. A node that is not a member drops its
+  /// Adopts a voter set that is known to be committed. If this node is not a member, it drops its
   /// records, since no quorum depends on them any more.
   void learnCommitted(const VoterSet& set);
   std::uint32_t sealedBefore() const { return lowest_generation_; }
   const VoterSet& newestSet() const { return newest_set_; }
   const common::Epoch& promised() const { return promised_; }
-  /// \return the node whose grant has not expired, if any.
+  /// \return the node to which this voter has given a grant that has not expired; nothing if there
+  ///   is none.
   std::optional<common::NodeId> grantedTo() const;
   /// \return false for one lease duration after a new generation became known, since a lease of the
   ///   previous generation may be valid that long.
@@ -60,10 +61,11 @@
   const common::Clock& clock_;
   VoterSet newest_set_;
   common::Epoch promised_;
-  /// The holder of the promised epoch if its records arrived before its request for a grant, which
-  /// may follow.
+  /// The holder of the promised epoch, if its requests about records arrived before its first
+  /// request for a grant. That request must not be refused because of the promise. Empty otherwise.
   common::NodeId promised_holder_;
-  /// The promised epoch was released by a candidate that never held the lease under it.
+  /// True if the promised epoch was released by a candidate that never held the lease under it;
+  /// another node may then use the epoch.
   bool promise_released_ = false;
   std::optional<Grant> grant_;
   std::uint32_t lowest_generation_ = 0;
--- a/src/cypresswall/lease/voter_set.h
+++ b/src/cypresswall/lease/voter_set.h
@@ -30,7 +30,7 @@
   NodeList members;
   /// Lists of voters that the platform's store may hold for this generation. A lease needs a grant
   /// from at least one node of each list, so that no node can hold the lease once every node that
-  /// the store names has ended or is sealed.
+  /// the store names has ended or is sealed (see SealRequest).
   std::vector<NodeList> anchors;
 
   bool operator==(const VoterSet&) const = default;
--- a/src/cypresswall/lease/zone_authority.cpp
+++ b/src/cypresswall/lease/zone_authority.cpp
@@ -6,7 +6,7 @@
 namespace cypresswall::lease {
 namespace {
 
-/// Number of latest rounds whose replies are still accepted.
+/// Number of the latest rounds of requests to the voters whose replies are still accepted.
 constexpr std::size_t kRememberedRounds = 8;
 
 }  // namespace
--- a/src/cypresswall/lease/zone_authority.h
+++ b/src/cypresswall/lease/zone_authority.h
@@ -33,8 +33,8 @@
   void start();
   /// For a planned stop: hands the lease, if held, over to another voter and stops campaigning.
   void resign();
-  /// \return true if stopping this process removes no voter and no holder that could be replaced
-  ///   first: it is in no voter set in use, or no other node is alive.
+  /// \return true if a planned stop need not wait any longer: this node neither holds the lease nor
+  ///   is a voter, or no other node is alive that could replace it.
   bool mayStop() const;
 
   std::optional<common::Epoch> heldEpoch() const override;
--- a/src/cypresswall/lease/zone_authority_campaign.cpp
+++ b/src/cypresswall/lease/zone_authority_campaign.cpp
@@ -91,8 +91,8 @@
   next_index_ = 0;
   generations_.resetRecording();
   replicator_.begin(epoch_);
-  // Recommits the newest set under this epoch before any change to it, so that no set proposed by
-  // an earlier holder can be committed later.
+  // Commits the newest voter set again under this epoch before changing it, so that no set proposed
+  // by an earlier holder can be adopted later.
   propose(current_.members, current_.anchors);
   for (const auto& member : current_.members) {
     replicator_.track(member);
