--- a/src/cypresswall/idempotency/claim_table.cpp
+++ b/src/cypresswall/idempotency/claim_table.cpp
@@ -10,10 +10,12 @@
 using lease::RecordModule;
 
 constexpr const char* kClaimPrefix = "claim/";
-/// Marks a generation in which the retention of every claim of earlier generations has ended.
+/// Prefix of the key of a record that exists for a generation once the retention of every claim of
+/// earlier generations has ended.
 constexpr const char* kCertainPrefix = "certain/";
 
-/// Holds the version of the zone set before which the retention of every claim has ended.
+/// Key of the record that holds the version of a zone set. The retention of every claim made under
+/// an earlier set has ended.
 constexpr const char* kSettledZonesKey = "settled-zones";
 
 std::string certainKey(std::uint32_t generation) {
@@ -112,8 +114,9 @@
   settleOwnership();
 }
 
-/// Records on the voters that a zone set has been in force so long that the retention of every
-/// claim of an earlier set has ended. A change of holder restarts this time.
+/// Once the current zone set has been in force for so long that the retention of every claim made
+/// under an earlier set has ended, records this on the voters. The time starts anew when another
+/// node becomes the holder.
 void ClaimTable::settleOwnership() {
   const auto now = context_.clock.now();
   if (zones_version_ != ownership_.version()) {
--- a/src/cypresswall/idempotency/claim_table.h
+++ b/src/cypresswall/idempotency/claim_table.h
@@ -1,5 +1,5 @@
-/// The lease holder's table of claims. Each change is stored by a majority of the voters before it
-/// is answered.
+/// The lease holder's table of claims. The holder answers the sender of a claim or report only
+/// after the change that it caused is stored by a majority of the voters.
 #pragma once
 
 #include <cstdint>
@@ -55,7 +55,7 @@
  private:
   struct Entry {
     ClaimRecord record;
-    /// The current state is not yet stored by a majority of the voters.
+    /// True while `record` is not yet stored by a majority of the voters.
     bool committing = false;
     common::MonotonicTime expires;
   };
@@ -81,14 +81,17 @@
   const KeyOwnership& ownership_;
   std::map<std::string, Entry> entries_;
   std::size_t answer_bytes_ = 0;
-  /// While set and in the future, unknown keys may have been claimed in an earlier generation.
+  /// Until this time, a key that is not in the table may have been claimed in an earlier generation
+  /// of voters, whose records may be lost. Claims on such keys are answered as uncertain. Empty if
+  /// there is no such doubt.
   std::optional<common::MonotonicTime> uncertain_until_;
   std::uint32_t generation_ = 0;
   /// The retention of all claims made under zone sets before this version has ended. Replicated to
   /// the voters.
   std::uint64_t settled_zones_version_ = 0;
-  /// Version of the current zone set, and when this holder learnt of it.
+  /// Version of the current zone set, as last seen by this holder.
   std::uint64_t zones_version_ = 0;
+  /// Time since which this holder has seen this version.
   common::MonotonicTime zones_version_since_;
   common::Counter& granted_count_;
   common::Counter& full_count_;
--- a/src/cypresswall/idempotency/key_ownership.cpp
+++ b/src/cypresswall/idempotency/key_ownership.cpp
@@ -42,8 +42,8 @@
   });
 }
 
-/// While no zone is declared, no back end is declared either. No request can have run, so no other
-/// zone can hold a claim on the key.
+/// While no zone is declared, no back end is declared either, so no request can have run under an
+/// empty zone set. Such a set therefore counts as one under which this node's zone owned the key.
 bool KeyOwnership::owns(const std::string& key, const std::vector<common::ZoneName>& zones) const {
   return zones.empty() || owningZone(key, zones) == own_zone_;
 }
--- a/src/cypresswall/idempotency/key_ownership.h
+++ b/src/cypresswall/idempotency/key_ownership.h
@@ -25,7 +25,8 @@
   std::uint64_t version() const;
   /// \return the zone that owns `key`; this node's zone while no zone is declared.
   common::ZoneName owner(const std::string& key) const;
-  /// \return true if this node's zone owned `key` under every zone set since that of `version`.
+  /// \return true if this node's zone owned `key` under every zone set from `version` on; false if
+  ///   the configuration no longer holds all of these sets.
   bool ownedSince(const std::string& key, std::uint64_t version) const;
 
  private:
--- a/src/cypresswall/idempotency/messages.h
+++ b/src/cypresswall/idempotency/messages.h
@@ -1,5 +1,5 @@
 /// Messages between a gateway node and a lease holder about claims on idempotency keys. A node of
-/// the key's zone that does not hold the lease forwards messages of other zones once, to the
+/// the key's zone that does not hold the lease forwards messages from other zones once, to the
 /// holder.
 #pragma once
 
@@ -40,7 +40,7 @@
   kDifferentBody,
   kUncertain,
   kFull,
-  /// The receiver does not hold the lease of the owning zone or cannot be sure that it does.
+  /// The receiver does not hold its zone's lease, or is not sure that its zone owns the key.
   kNotHolder,
 };
 
--- a/src/cypresswall/idempotency/quorum_key_claims.cpp
+++ b/src/cypresswall/idempotency/quorum_key_claims.cpp
@@ -5,8 +5,9 @@
 namespace cypresswall::idempotency {
 namespace {
 
-/// Maximum number of abandoned claims that are remembered. A late grant of an older one is not
-/// released: its key stays in progress until the retention ends.
+/// Maximum number of abandoned claims that are remembered. If an older one is granted late, its
+/// claim is not released, and later claims on the key are answered as in progress until the
+/// retention ends.
 constexpr std::size_t kRememberedAbandoned = 4096;
 
 ClaimVerdict toVerdict(HolderVerdict verdict) {
@@ -69,8 +70,9 @@
                               [this, message] { handle(context_.self, message); });
 }
 
-/// Sends to the lease holder if this node's zone is the owner, else to a node of the owning zone,
-/// which forwards the message to its holder; each attempt uses the next known node there.
+/// Sends the message to the lease holder if this node's zone is the owner, otherwise to a node of
+/// the owning zone, which forwards it to the holder there. Each attempt uses the next known node of
+/// the owning zone.
 template <typename Message>
 void QuorumKeyClaims::sendToOwner(const common::ZoneName& owner, const Message& message,
                                   std::size_t attempt) {
--- a/src/cypresswall/idempotency/quorum_key_claims.h
+++ b/src/cypresswall/idempotency/quorum_key_claims.h
@@ -46,7 +46,8 @@
   /// A claim without an answer yet.
   struct Waiting {
     ClaimRequest request;
-    /// Zone that owned the key when it was claimed; not affected by later configuration changes.
+    /// Zone that owned the key when the key was claimed. Later configuration changes do not affect
+    /// it.
     common::ZoneName owner;
     common::MonotonicTime deadline;
     std::function<void(ClaimAnswer)> callback;
@@ -58,7 +59,7 @@
     std::uint64_t digest = 0;
     common::ZoneName owner;
   };
-  /// A claim that timed out or was released; a late grant of it is released.
+  /// A claim that timed out or was released. If it is granted late, this node releases it.
   struct Abandoned {
     ClaimRequest request;
     common::ZoneName owner;
