--- a/src/cypresswall/fleet_limits/account_keepers.h
+++ b/src/cypresswall/fleet_limits/account_keepers.h
@@ -15,8 +15,8 @@
 
 namespace cypresswall::fleet_limits {
 
-/// \return the owner of a server: the node that already makes other decisions about it, as for an
-///   engine; empty if the server has no owner
+/// \return the node that already makes other decisions about the server, as the owner of an engine
+///   does; empty if there is no such node
 using OwnerLookup = std::function<common::NodeId(const std::string& server)>;
 
 struct AccountKeeperSettings {
--- a/src/cypresswall/fleet_limits/local_share.h
+++ b/src/cypresswall/fleet_limits/local_share.h
@@ -27,8 +27,8 @@
   bool withhold_after_start = false;
 };
 
-/// One divided by the number of nodes in the fleet, which is estimated as the members of this
-/// node's region times the number of regions. If LocalShareSettings::withhold_after_start is set,
+/// One divided by the number of nodes in the fleet, which is taken to be the number of members that
+/// this node sees times the number of regions. If LocalShareSettings::withhold_after_start is set,
 /// the shares used in any window add up to at most one, even while member lists differ, because of
 /// three rules:
 ///
--- a/src/cypresswall/idempotency/claim_settings.h
+++ b/src/cypresswall/idempotency/claim_settings.h
@@ -10,7 +10,7 @@
 struct ClaimSettings {
   /// How long a claim is kept after its last change, by the lease holder's clock.
   common::Duration retention = std::chrono::minutes(10);
-  /// Retention of a released claim, so that late duplicates of its request find it.
+  /// How long a released claim is kept, so that late duplicates of its request find the claim.
   common::Duration released_retention = std::chrono::seconds(30);
   common::Duration sweep_interval = std::chrono::seconds(5);
   /// A claim without an answer is sent again at this interval.
--- a/src/cypresswall/idempotency/claim_table.h
+++ b/src/cypresswall/idempotency/claim_table.h
@@ -1,5 +1,5 @@
-/// The lease holder's table of claims. The holder answers the sender of a claim or report only
-/// after the change that it caused is stored by a majority of the voters.
+/// The lease holder's table of claims. The holder changes the table on a claim or report, and
+/// answers the sender only after a majority of the voters has stored the change.
 #pragma once
 
 #include <cstdint>
@@ -86,8 +86,8 @@
   /// there is no such doubt.
   std::optional<common::MonotonicTime> uncertain_until_;
   std::uint32_t generation_ = 0;
-  /// The retention of all claims made under zone sets before this version has ended. Replicated to
-  /// the voters.
+  /// Version of a zone set. The retention of all claims made under earlier zone sets has ended.
+  /// Replicated to the voters.
   std::uint64_t settled_zones_version_ = 0;
   /// Version of the current zone set, as last seen by this holder.
   std::uint64_t zones_version_ = 0;
--- a/src/cypresswall/idempotency/key_claims.h
+++ b/src/cypresswall/idempotency/key_claims.h
@@ -32,8 +32,9 @@
  public:
   virtual ~KeyClaims() = default;
   /// Claims `key` for a request whose content has `digest`. The callback is called exactly once,
-  /// never before the call returns. After kUnavailable a claim that was sent may remain without
-  /// being granted to any caller: later claims of the key get kInProgress, then kUncertain.
+  /// never before the call returns. After kUnavailable, the lease holder may have stored the claim
+  /// nonetheless, without any caller being allowed to run the request. Later claims on the key get
+  /// kInProgress, or kUncertain if the claiming node has ended.
   virtual void claim(const std::string& key, std::uint64_t digest,
                      std::function<void(ClaimAnswer)> callback) = 0;
   /// Records the answer of a granted claim, for later requests with the same key.
--- a/src/cypresswall/idempotency/quorum_key_claims.h
+++ b/src/cypresswall/idempotency/quorum_key_claims.h
@@ -18,7 +18,8 @@
 
 namespace cypresswall::idempotency {
 
-/// Modules of the same node that QuorumKeyClaims depends on. All must outlive it.
+/// Modules of the same node that QuorumKeyClaims depends on. All of these modules must outlive the
+/// QuorumKeyClaims object.
 struct ClaimInterfaces {
   lease::AuthorityView& authority;
   lease::QuorumLog& log;
--- a/src/cypresswall/lease/messages.h
+++ b/src/cypresswall/lease/messages.h
@@ -32,7 +32,7 @@
 
 enum class GrantVerdict : std::uint8_t {
   kGranted,
-  kNotMember,   ///< the voter is in none of the named sets
+  kNotMember,   ///< the voter is neither in the requested set nor in `previous_members`
   kOlderSet,    ///< the voter knows a newer set
   kUnknownSet,  ///< the request must include the set
   kSealed,      ///< the voter takes no further part in this generation (see SealRequest)
@@ -62,7 +62,8 @@
 struct ReleaseNotice {
   static constexpr auto kType = api::messageType(api::MessageType::kLeaseFirst, 2);
   common::Epoch epoch;
-  /// The sender never held the lease under this epoch and never will; another node may use it.
+  /// True if the sender never held the lease under this epoch and never will; another node may then
+  /// use the epoch.
   bool never_held = false;
   MSGPACK_DEFINE(epoch, never_held)
 };
--- a/src/cypresswall/lease/quorum_log.h
+++ b/src/cypresswall/lease/quorum_log.h
@@ -17,9 +17,9 @@
 
   virtual ~QuorumLog() = default;
   /// Sets the value of a key under the current epoch. The callback is called exactly once, never
-  /// before this call returns: with true once a majority of the voters stores the value, so that
-  /// every later holder recovers it or a newer one; with false if the lease was lost first (the
-  /// value may still have been stored).
+  /// before this call returns. It is called with true once a majority of the voters stores the
+  /// value, so that every later holder recovers this value or a newer one. It is called with false
+  /// if the lease was lost first; the value may still have been stored.
   virtual void replicate(RecordModule module, const std::string& key, std::string payload,
                          Committed committed) = 0;
   /// Removes a key. Best effort: a later holder may still recover it.
--- a/src/cypresswall/lease/voter.h
+++ b/src/cypresswall/lease/voter.h
@@ -27,7 +27,8 @@
   /// one. A voter that knows a newer voter set than the sender refuses to be sealed.
   SealReply handle(const SealRequest& request);
 
-  /// Adopts a voter set that a holder proposed or that was read from the store, if it is newer.
+  /// Adopts a voter set that a holder proposed or that was read from the store, if the set is newer
+  /// than the newest one known to this voter.
   void learn(const VoterSet& set);
   /// Adopts a voter set that is known to be committed. If this node is not a member, it drops its
   /// records, since no quorum depends on them any more.
--- a/src/cypresswall/membership/membership.h
+++ b/src/cypresswall/membership/membership.h
@@ -43,7 +43,8 @@
   void announceLeaving();
   /// Tells peers that this process stops now, so that they need not wait for the failure detector.
   void announceStopped();
-  /// \return true once announceLeaving() was called or the own machine is listed as leaving or gone
+  /// \return true once announceLeaving() was called or the machine list shows this node's machine
+  ///   as leaving or gone
   bool leaving() const;
 
   void setDigest(DigestTopic topic, std::uint64_t value) override;
--- a/src/cypresswall/membership/membership_settings.h
+++ b/src/cypresswall/membership/membership_settings.h
@@ -29,7 +29,7 @@
   RegionName region;
   /// Bandwidth of this machine's network link in Mbit/s; zero if unknown.
   double link_megabits = 0;
-  /// Peer addresses of nodes of the own zone; may include the own address.
+  /// Peer addresses of nodes of this node's zone; may include this node's address.
   std::vector<common::Address> seeds;
   std::vector<ZoneSeed> other_zones;
 
@@ -69,9 +69,9 @@
   common::Duration readmission_delay = std::chrono::seconds(5);
 
   common::Duration machine_poll_interval = std::chrono::milliseconds(500);
-  /// A node polls the machine list itself if it has not heard of a read for this long, multiplied
-  /// by its rank: its position, from 0, among the zone's alive nodes. Normally only the first node
-  /// polls.
+  /// A node polls the machine list itself if it has not heard of a read for this time multiplied by
+  /// its rank. The rank is the node's position, from 0, among the zone's alive nodes, so normally
+  /// only the first node polls.
   common::Duration machine_read_timeout = std::chrono::milliseconds(1000);
 
   /// Changed gossip entries are batched for this long before they are sent.
--- a/src/cypresswall/membership/membership_view.h
+++ b/src/cypresswall/membership/membership_view.h
@@ -1,4 +1,4 @@
-/// Read access to the members of the own zone and to the machines that are leaving.
+/// Read access to the members of this node's zone and to the machines that are leaving.
 #pragma once
 
 #include <cstdint>
@@ -42,8 +42,8 @@
   virtual ~MembershipView() = default;
   virtual const common::NodeId& self() const = 0;
   virtual const common::ZoneName& zone() const = 0;
-  /// \return members of the own zone that are not dead, including this node, ordered by node. The
-  ///   reference is valid until the next change.
+  /// \return the members of this node's zone that are not dead, including this node, ordered by
+  ///   node. The reference is valid until the next change.
   virtual const std::vector<Member>& members() const = 0;
   /// \return true if the platform's machine list shows the machine as leaving or gone
   virtual bool machineLeaving(const common::MachineName& machine) const = 0;
--- a/src/cypresswall/membership/messages.h
+++ b/src/cypresswall/membership/messages.h
@@ -46,7 +46,8 @@
 struct Introduction {
   static constexpr auto kType = api::messageType(api::MessageType::kMembershipFirst, 1);
   NodeDetails details;
-  /// The sender does not know the receiver yet and requests its member list.
+  /// True if the sender asks for the receiver's member list, because the sender is joining or does
+  /// not know the receiver yet.
   bool wants_members = false;
   MSGPACK_DEFINE(details, wants_members)
 };
--- a/src/cypresswall/membership/peer_table.h
+++ b/src/cypresswall/membership/peer_table.h
@@ -21,7 +21,7 @@
   common::NodeId node;
   NodeDetails details;
   MemberState state = MemberState::kAlive;
-  /// This node monitors the peer's heartbeats and declares it dead if they stop.
+  /// True if this node monitors the peer's heartbeats and declares the peer dead if they stop.
   bool watched = false;
   common::MonotonicTime last_contact;
 };
@@ -41,9 +41,9 @@
   /// Result of applying a node's details.
   enum class DetailsResult {
     kUnchanged,       ///< already known
-    kOutdated,        ///< they belong to an older incarnation
+    kOutdated,        ///< the details belong to an older incarnation
     kDeparted,        ///< the node was recently declared dead with this version of its details
-    kDigestsChanged,  ///< only its digests changed
+    kDigestsChanged,  ///< only the node's digests changed
     kDetailsChanged,  ///< other details changed
     kAdded,           ///< the node became a peer
   };
--- a/src/cypresswall/membership/zone_gossip.h
+++ b/src/cypresswall/membership/zone_gossip.h
@@ -44,14 +44,14 @@
   ZoneGossip& operator=(const ZoneGossip&) = delete;
 
   void start();
-  /// Publishes `payload` as the own zone's value of `topic` until withdraw(). An unchanged payload
-  /// is not sent again.
-  /// A payload larger than MembershipSettings::maximum_gossip_payload is refused and counted.
-  /// \return false if the payload was refused
+  /// Publishes `payload` as the value of `topic` for this node's zone until withdraw(). An
+  /// unchanged payload is not sent again. A payload larger than
+  /// MembershipSettings::maximum_gossip_payload is refused and counted. \return false if the
+  /// payload was refused
   bool publish(GossipTopic topic, std::string payload);
   /// Stops publishing the topic from this node; the last value remains.
   void withdraw(GossipTopic topic);
-  /// Calls `listener` when the payload of any zone changes, including the own one.
+  /// Calls `listener` when the payload of any zone changes, including this node's zone.
   void onUpdate(GossipTopic topic, UpdateListener listener);
   /// \return the newest value of each zone
   std::map<common::ZoneName, std::string> values(GossipTopic topic) const;
--- a/src/cypresswall/membership/zone_links.h
+++ b/src/cypresswall/membership/zone_links.h
@@ -19,7 +19,7 @@
   bool recently_updated = true;
 };
 
-/// \param zones every known zone, including the own one
+/// \param zones every known zone, including `own`
 /// \return the zones that `own` has a link to, sorted
 std::vector<common::ZoneName> linkedZones(const common::ZoneName& own,
                                           const std::map<common::ZoneName, LinkCandidate>& zones,
--- a/src/cypresswall/quarantine/crash_history.h
+++ b/src/cypresswall/quarantine/crash_history.h
@@ -19,8 +19,8 @@
  public:
   explicit CrashHistory(const QuarantineSettings& settings) : settings_(settings) {}
 
-  /// Records that an engine crashed at `at` while it ran the request. Reports of one engine less
-  /// than QuarantineSettings::crash_merge_window apart count as one crash.
+  /// Records that an engine crashed at `at` while it ran the request. Reports of one engine for one
+  /// request count as one crash if they are less than QuarantineSettings::crash_merge_window apart.
   /// \param engine hash of the engine's name
   void add(common::RequestFingerprint request, std::uint64_t engine, common::MonotonicTime at,
            common::MonotonicTime now);
--- a/src/cypresswall/quarantine/fleet_quarantine.h
+++ b/src/cypresswall/quarantine/fleet_quarantine.h
@@ -30,8 +30,8 @@
 /// node for each quarantined request. docs/design/quarantine.md discusses the alternatives.
 class FleetQuarantine final : public RequestQuarantine {
  public:
-  /// Registers the handlers of CrashReport and QuarantineNotice. \pre all references outlive this
-  /// object
+  /// Registers the handlers of CrashReport and QuarantineNotice.
+  /// \pre all references outlive this object
   FleetQuarantine(const QuarantineSettings& settings,
                   const membership::NeighbourSettings& neighbours,
                   const api::ProcessContext& context, membership::MembershipView& membership,
@@ -64,8 +64,9 @@
   /// Quarantines a request on all nodes of the zone, unless this node knows that it was answered
   /// recently.
   void quarantineForZone(common::RequestFingerprint request, const char* source);
-  /// Ends the quarantine of a request that was answered. \return false if nothing changed: this
-  /// node already knew of the answer, and the request was not quarantined here
+  /// Ends the quarantine of a request that was answered.
+  /// \return false if nothing changed: this node already knew of the answer, and the request was
+  ///   not quarantined here
   bool release(common::RequestFingerprint request);
   /// Sends an update to all other nodes in a small zone, and to four in a large one. Each node to
   /// which the update is new forwards it in the same way. A node is thus reached on several paths,
--- a/src/cypresswall/quarantine/quarantine_settings.h
+++ b/src/cypresswall/quarantine/quarantine_settings.h
@@ -10,9 +10,9 @@
 struct QuarantineSettings {
   /// False disables the quarantine.
   bool quarantines = true;
-  /// Number of engine crashes under a request after which the request is quarantined. When one
-  /// request crashed 23 engines in ten seconds, a fifth of the harmless requests on these engines
-  /// were hit by two crashes, and none by three.
+  /// Number of engine crashes while running a request after which the request is quarantined. When
+  /// one request crashed 23 engines in ten seconds, a fifth of the harmless requests on these
+  /// engines were hit by two crashes, and none by three.
   std::size_t crashes = 3;
   /// How long a crash counts against a request. Also how long a request stays quarantined after it
   /// was quarantined or last received, since callers that retry automatically do so within minutes.
--- a/src/cypresswall/quarantine/quarantine_store.h
+++ b/src/cypresswall/quarantine/quarantine_store.h
@@ -27,7 +27,7 @@
 class QuarantineStore {
  public:
   struct Callbacks {
-    /// \return the nodes of which one owns the object
+    /// \return the nodes from which the owner of the object is chosen
     std::function<std::vector<common::NodeId>()> members;
     /// \return the requests that are quarantined now, ordered
     std::function<std::vector<common::RequestFingerprint>()> present;
