--- a/src/cypresswall/membership/zone_gossip.h
+++ b/src/cypresswall/membership/zone_gossip.h
@@ -46,8 +46,8 @@
   void start();
   /// Publishes `payload` as the value of `topic` for this node's zone until withdraw(). An
   /// unchanged payload is not sent again. A payload larger than
-  /// MembershipSettings::maximum_gossip_payload is refused and counted. \return false if the
-  /// payload was refused
+  /// MembershipSettings::maximum_gossip_payload is refused and counted.
+  /// \return false if the payload was refused
   bool publish(GossipTopic topic, std::string payload);
   /// Stops publishing the topic from this node; the last value remains.
   void withdraw(GossipTopic topic);
