--- a/src/cypresswall/orders/desired_state.h
+++ b/src/cypresswall/orders/desired_state.h
@@ -1,4 +1,4 @@
-/// Computes the change that brings an engine to the declared configuration.
+/// Computes the changes that bring an engine to the declared configuration.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,9 @@
 namespace cypresswall::orders {
 
 /// Compares an engine's last report with the configuration.
-/// \return the first change needed, in the order model and version, adapters, pinned role; nothing
-///   if the engine is as declared
+/// \return the first change that the engine needs; nothing if it matches the configuration. The
+///   model and its version are compared first, then the adapters, then a role pinned by an
+///   operator.
 std::optional<PlannedChange> declaredChange(const configuration::FleetConfiguration& fleet,
                                             const routing::EngineRecord& record);
 
--- a/src/cypresswall/orders/drain_follower.h
+++ b/src/cypresswall/orders/drain_follower.h
@@ -1,5 +1,5 @@
-/// Applies the lease holder's drain table on one node: the node sends no new work to the engines in
-/// the table.
+/// Applies the lease holder's drain table (the list of engines to be drained) on one node: the node
+/// sends no new work to these engines.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,8 @@
   DrainFollower(const DrainSettings& settings, const api::ProcessContext& context,
                 routing::EngineDirectory& directory);
 
-  /// Applies an announcement, including this node's own.
+  /// Applies an announced table unless a newer one is in force. Also called by the DrainTable of
+  /// this node, if it holds the lease.
   /// \return true if the announced table is now in force on this node
   bool apply(const DrainAnnouncement& announcement);
   const std::set<common::EngineName>& engines() const { return engines_; }
--- a/src/cypresswall/orders/drain_table.h
+++ b/src/cypresswall/orders/drain_table.h
@@ -23,12 +23,14 @@
              const membership::MembershipView& membership, const routing::EngineGroups& groups,
              DrainFollower& own_follower);
 
-  /// Announces an empty table under a new epoch, which ends the drains of all earlier holders.
+  /// Starts an empty table under the epoch of a newly acquired lease and announces it. The
+  /// announcement ends the drains of all earlier lease holders.
   void begin(const common::Epoch& epoch);
   void add(const common::EngineName& engine);
   void remove(const common::EngineName& engine);
   bool contains(const common::EngineName& engine) const { return added_at_.count(engine) != 0; }
-  /// \return true if every live node that dispatches work has acknowledged the drain of the engine.
+  /// \return true if the engine is in the table and every live node that sends work to engines has
+  ///   acknowledged this
   bool acknowledged(const common::EngineName& engine) const;
   /// Announces the table again once DrainSettings::renewal_period has passed; called periodically
   /// while the lease is held.
@@ -36,10 +38,10 @@
 
  private:
   void announce();
-  /// \return the members that dispatch work to engines
+  /// \return the members, in any state, that send work to engines
   std::vector<membership::Member> dispatchingMembers() const;
-  /// \return true if the table is empty and the node has acknowledged this version. An empty table
-  ///   does not expire, so it needs no renewal.
+  /// \return true if the table is empty and the node has acknowledged its current version. The
+  ///   table is then not announced to the node again, because an empty table does not expire.
   bool holdsEmptyTable(const common::NodeId& node) const;
 
   DrainSettings settings_;
@@ -49,7 +51,7 @@
   DrainFollower& own_follower_;
   std::optional<common::Epoch> epoch_;
   std::uint64_t version_ = 0;
-  /// Version of the table in which the engine was added.
+  /// The engines in the table, each with the version of the table that first contained it.
   std::map<common::EngineName, std::uint64_t> added_at_;
   std::map<common::NodeId, std::uint64_t> acknowledged_;
   common::MonotonicTime announced_at_{};
--- a/src/cypresswall/orders/engine_control.cpp
+++ b/src/cypresswall/orders/engine_control.cpp
@@ -235,7 +235,7 @@
     return;
   }
   if (!settings_.order.engines_finish_streams && !drains_.acknowledged(endpoint().name)) {
-    // A node has joined that does not know the drain yet.
+    // A node that has joined in the meantime has not acknowledged the drain yet.
     drain_acknowledged_ = false;
     return;
   }
@@ -312,8 +312,8 @@
 void EngineControl::withdraw() {
   phase_ = ControlPhase::kWithdrawing;
   outcome_if_done_ = ChangeOutcome::kDrainCancelled;
-  // An earlier copy of the order may have been accepted meanwhile; once the withdrawal is complete,
-  // the load report shows whether it was.
+  // The engine may have accepted an earlier copy of the order in the meantime. Once the engine has
+  // accepted the withdrawal, checkDone() waits until a load report shows the engine ready.
   channel_.withdraw([this](OrderResult result) { onOrder(result); });
 }
 
@@ -329,7 +329,8 @@
     return;
   }
   if (!reflectsOrder(load)) {
-    // Load reports lag by an unknown time: this one may describe the state before the order.
+    // Load reports lag by an unknown time, so this report may still describe the state before the
+    // order.
     if (described - taken_at_ > settings_.order.effect_timeout) {
       endChange(ChangeOutcome::kRefused, ControlPhase::kUnknown);
     }
--- a/src/cypresswall/orders/engine_control.h
+++ b/src/cypresswall/orders/engine_control.h
@@ -1,6 +1,7 @@
-/// Controls one engine on behalf of the lease holder: raises its fence, then executes planned
-/// changes one at a time. A change drains the engine, sends the order, and waits until the engine
-/// reports completion.
+/// Controls one engine on behalf of the lease holder. First raises the engine's fence, so that the
+/// engine rejects orders of earlier lease holders; then executes planned changes one at a time. A
+/// change drains the engine if necessary, sends the order, and waits until the engine reports
+/// completion.
 #pragma once
 
 #include <cstdint>
@@ -16,32 +17,32 @@
 namespace cypresswall::orders {
 
 enum class ControlPhase : std::uint8_t {
-  kUnknown,      ///< the engine's current incarnation has to be read and fenced
+  kUnknown,      ///< the incarnation must be read and its fence raised
   kFencing,      ///< the fence order is in flight
   kIdle,         ///< fenced; a change may start
-  kDraining,     ///< nodes send no new work; running streams are left to finish
-  kOrdering,     ///< the order is in flight, or the engine answered that it is busy
-  kConfirming,   ///< the engine accepted the order and is changing
+  kDraining,     ///< waits for nodes to stop sending work and for streams to end
+  kOrdering,     ///< the order is in flight, or was answered with "busy"
+  kConfirming,   ///< the engine accepted the order and is executing it
   kWithdrawing,  ///< an order answered with "busy" is being superseded by a fence order
-  kFencedOut,    ///< the engine obeys a later lease holder
+  kFencedOut,    ///< the engine has accepted orders of a later lease holder
 };
 
-/// \return the name of the phase in tables and logs, such as "draining".
+/// \return the name of the phase in tables and logs, such as "draining"
 const char* toString(ControlPhase phase);
 
 struct PlannedChange {
   engines::OrderContent content;
-  /// False for changes that leave running streams alone.
+  /// False if the change does not affect running streams, so that the engine need not be drained.
   bool drain = true;
-  /// Human-readable: the declaration or plan that requires the change.
+  /// The declaration or plan that requires the change, in words for operators.
   std::string reason;
 };
 
 enum class ChangeOutcome : std::uint8_t {
   kUnderWay,
   kDone,
-  kDrainCancelled,  ///< streams did not finish in time; the engine keeps its role
-  kWithdrawn,       ///< became obsolete before the order was sent
+  kDrainCancelled,  ///< streams did not end in time; the order was withheld or withdrawn
+  kWithdrawn,       ///< the change became obsolete before its order was sent
   kEngineRestarted,
   kLostAuthority,
   kRefused,
@@ -62,7 +63,7 @@
 
 class EngineControl {
  public:
-  /// Called at the end of each change.
+  /// Called at the end of each change, with its outcome.
   using ChangeListener = std::function<void(const ChangeRecord&)>;
 
   EngineControl(const ControllerSettings& settings, const api::ProcessContext& context,
@@ -77,9 +78,10 @@
   void tick();
   /// Starts a change. \pre phase() == kIdle
   void start(PlannedChange change);
-  /// Cancels a change whose order was not sent yet; otherwise does nothing.
+  /// Ends the change with this outcome if its order was not sent yet; otherwise does nothing.
   void cancel(ChangeOutcome outcome);
-  /// Passes on the incarnation last seen by the directory, so that restarts are detected.
+  /// Tells this object which incarnation the engine directory last saw, so that it detects restarts
+  /// of an idle engine.
   void observeIncarnation(std::uint64_t incarnation, common::MonotonicTime observed_at);
 
   ControlPhase phase() const { return phase_; }
@@ -88,9 +90,9 @@
   bool changing() const;
   /// \return the change under way. \pre changing()
   const ChangeRecord& change() const { return record_; }
-  /// \return true once the fence was raised or the engine failed to answer.
+  /// \return true once a fence order was tried or the engine failed to answer a load request
   bool fenceAttempted() const { return fence_attempted_; }
-  /// Earliest time of the next planned change after a cancelled drain.
+  /// \return the time before which no change may start, because a drain was cancelled
   common::MonotonicTime pausedUntil() const { return paused_until_; }
 
  private:
@@ -102,13 +104,14 @@
   bool readyForOrder(const engines::EngineLoad& load) const;
   void updateDrainAcknowledgement();
   void tickOrder();
-  /// Determines from a load report what became of an order that was answered with "busy".
+  /// Determines from a load report whether an order that was answered with "busy" has since been
+  /// executed or rejected, and ends, withdraws or resends it accordingly.
   void resolveBusyOrder(const engines::EngineLoad& load);
   void sendOrder();
   void startConfirming();
   void onOrder(OrderResult result);
   void checkDone(const engines::EngineLoad& load);
-  /// \return false while the report still shows the role from before the order
+  /// \return false if a change of role was ordered and the report does not show the new role
   bool reflectsOrder(const engines::EngineLoad& load) const;
   void withdraw();
   void endChange(ChangeOutcome outcome, ControlPhase next);
@@ -126,14 +129,15 @@
   std::uint64_t incarnation_ = 0;
   /// The engine's own count of accepted orders, as last read.
   std::uint64_t orders_taken_ = 0;
-  /// Value of orders_taken_ when the open order was submitted.
+  /// Value of orders_taken_ when the change's order was first sent.
   std::uint64_t orders_taken_at_submit_ = 0;
   common::MonotonicTime fenced_at_{};
   bool fence_attempted_ = false;
   bool load_pending_ = false;
   common::MonotonicTime load_read_at_{};
   ChangeRecord record_;
-  /// When all nodes had acknowledged the drain; valid if drain_acknowledged_.
+  /// Time at which all nodes had acknowledged the drain, or the wait for them ended. Valid only if
+  /// drain_acknowledged_ is true.
   common::MonotonicTime acknowledged_at_{};
   bool drain_acknowledged_ = false;
   common::MonotonicTime taken_at_{};
--- a/src/cypresswall/orders/messages.h
+++ b/src/cypresswall/orders/messages.h
@@ -11,8 +11,9 @@
 
 namespace cypresswall::orders {
 
-/// Complete drain table of one lease holder. Replaces tables of the same epoch with a lower
-/// version, and all tables of a lower epoch.
+/// The lease holder's complete drain table: the engines to which nodes must send no new work. The
+/// receiver applies the table unless it already has one of a higher epoch, or of the same epoch
+/// with a higher version.
 struct DrainAnnouncement {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kOrdersFirst, 0);
 
@@ -23,7 +24,7 @@
   MSGPACK_DEFINE(epoch, version, engines)
 };
 
-/// Confirms that the sender no longer sends new work to the engines in the table.
+/// Confirms that the sender has applied the drain table with this epoch and version.
 struct DrainAck {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kOrdersFirst, 1);
 
@@ -33,7 +34,7 @@
   MSGPACK_DEFINE(epoch, version)
 };
 
-/// Demand that callers placed on one node since its last report.
+/// Demand of the requests that callers sent to one node since the node's previous report.
 struct DemandReport {
   static constexpr api::MessageType kType = api::messageType(api::MessageType::kOrdersFirst, 2);
 
--- a/src/cypresswall/orders/order_channel.cpp
+++ b/src/cypresswall/orders/order_channel.cpp
@@ -57,8 +57,8 @@
 
 void OrderChannel::send() {
   busy_ = false;
-  // The process may have been paused since the caller last looked: ask the clock here, at the last
-  // moment before the order goes out.
+  // The process may have been paused since the caller last checked the lease, so its expiry is
+  // checked again immediately before the order is sent.
   if (authority_.heldEpoch() != epoch_) {
     without_authority_.add();
     close(OrderResult::kAuthorityLost);
@@ -86,7 +86,8 @@
     return;
   }
   if (!result.ok()) {
-    // The outcome is unknown: only the identical order may be sent next.
+    // The engine may or may not have accepted the order, so only the identical order may be sent
+    // next.
     scheduleResend();
     return;
   }
--- a/src/cypresswall/orders/order_channel.h
+++ b/src/cypresswall/orders/order_channel.h
@@ -1,5 +1,5 @@
-/// Sends orders from one lease holder to one engine: one at a time, with sequence numbers, and
-/// retried unchanged until the engine answers.
+/// Sends orders from one lease holder to one engine, one at a time and with sequence numbers. An
+/// order without an answer is sent again unchanged until the engine answers.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
 /// How an order ended.
 enum class OrderResult : std::uint8_t {
   kTaken,             ///< the engine accepted this or an earlier copy of the order
-  kBusy,              ///< streams or another change are running; the order stays open, see resend()
-  kStaleEpoch,        ///< the engine obeys a later holder; this one must send no more orders
+  kBusy,              ///< the engine is busy; the order stays open, see resend()
+  kStaleEpoch,        ///< the engine accepted a later holder's order; send it no more
   kWrongIncarnation,  ///< the engine restarted; nothing was done
-  kConflict,          ///< the engine accepted a later order of this epoch; nothing was done
-  kAuthorityLost,     ///< the order was not sent: the lease is no longer held
+  kConflict,          ///< the order's sequence or count was outdated; nothing was done
+  kAuthorityLost,     ///< the order was not sent: this node no longer holds the lease
 };
 
 class OrderChannel {
@@ -38,18 +38,21 @@
   /// Sends a new order to one incarnation of the engine.
   /// \pre !open()
   /// \param orders_taken the engine's own count of accepted orders
-  /// \param callback called for each result; after any but kBusy the order is closed
+  /// \param callback called with each result. After kBusy the order stays open and a further result
+  ///   may follow; any other result closes the order.
   void submit(std::uint64_t engine_incarnation, std::uint64_t orders_taken,
               const engines::OrderContent& content, Callback callback);
   /// Sends the open order again, unchanged.
   /// \pre open() and the last result was kBusy
   void resend();
-  /// Withdraws an order that was answered with kBusy by sending a fence order with the next
-  /// sequence number, so that the engine rejects copies that are still in flight.
+  /// Withdraws an order that was answered with kBusy by submitting a fence order, which changes
+  /// nothing, with the next sequence number. The engine then rejects copies of the withdrawn order
+  /// that are still in flight. `callback` receives the results of the fence order.
   /// \pre open() and the last result was kBusy
   void withdraw(Callback callback);
-  /// Closes an order that was answered with kBusy without calling the callback, after the engine's
-  /// load report has shown the outcome. \pre open() and the last result was kBusy
+  /// Closes an order that was answered with kBusy, without calling its callback. To be called once
+  /// the engine's load report has shown the order's outcome. \pre open() and the last result was
+  /// kBusy
   void closeBusyOrder();
 
   bool open() const { return open_.has_value(); }
--- a/src/cypresswall/orders/planning_input.cpp
+++ b/src/cypresswall/orders/planning_input.cpp
@@ -9,7 +9,8 @@
 
 using engines::EngineRole;
 
-/// \return the prefill speed that the engine would have in the role "prefill".
+/// \return the prefill speed, in tokens per second, that the engine would have in the role
+///   "prefill"
 double fullPrefillSpeed(const engines::EngineLoad& load,
                         const planning::CapacitySettings& capacity) {
   switch (load.role) {
@@ -55,8 +56,8 @@
   return engine;
 }
 
-/// Applies the latency limits of the services that use the model; limits that no service declares
-/// keep their defaults.
+/// Sets the latency limits in `demand` from the services that use the model. A limit that none of
+/// these services declares keeps its default.
 void applyLimits(const configuration::FleetConfiguration& fleet, const common::ModelName& model,
                  planning::ModelDemand& demand) {
   std::vector<common::Duration> between_tokens;
--- a/src/cypresswall/orders/planning_input.h
+++ b/src/cypresswall/orders/planning_input.h
@@ -19,12 +19,13 @@
   const std::map<common::EngineName, std::unique_ptr<EngineControl>>& controls;
   const planning::DemandEstimator& demand;
   common::MonotonicTime now;
-  /// True before the lease is held: no engine has an EngineControl yet, so that every available
-  /// engine counts as changeable.
+  /// True if this node plans without holding the lease. There are no EngineControls then, so every
+  /// available engine whose role is not pinned counts as changeable.
   bool without_lease = false;
 };
 
-/// Engines whose role is being changed count in their new role.
+/// \return the planner's input; an engine whose role is being changed counts as available in its
+///   new role
 planning::PlanningInput makePlanningInput(const PlanningSources& sources,
                                           const planning::CapacitySettings& capacity);
 
--- a/src/cypresswall/orders/zone_controller.cpp
+++ b/src/cypresswall/orders/zone_controller.cpp
@@ -11,9 +11,9 @@
 namespace cypresswall::orders {
 namespace {
 
-/// Completed changes kept for operators.
+/// Maximum number of ended changes that are kept to be shown to operators.
 constexpr std::size_t kRememberedChanges = 256;
-/// Weight of the newest change in the moving average of the time that an engine is unavailable.
+/// Weight of the newest change in the moving average of the duration of changes of role.
 constexpr double kUnavailableTimeWeight = 0.3;
 
 }  // namespace
@@ -214,7 +214,8 @@
   if (control.phase() != ControlPhase::kDraining) {
     return;
   }
-  // A drain by an operator or a leaving machine takes precedence: the engine gets no order.
+  // If an operator drains the engine or its machine is leaving, the change is withdrawn before an
+  // order is sent to the engine.
   const bool withdrawn = record.availability == routing::EngineAvailability::kDrainedByOperator ||
                          record.availability == routing::EngineAvailability::kMachineLeaving;
   const auto& content = control.change().change.content;
--- a/src/cypresswall/orders/zone_controller.h
+++ b/src/cypresswall/orders/zone_controller.h
@@ -1,6 +1,6 @@
-/// Zone controller. Every node runs one; it sends orders to engines only while its node holds the
-/// zone's lease, which is checked immediately before each order. On every node it applies the
-/// holder's drain table and reports demand.
+/// Zone controller. Every node runs one. It sends orders to engines only while its node holds the
+/// zone's lease, which is checked immediately before each order is sent. On every node, it applies
+/// the lease holder's drain table and reports the node's demand to the lease holder.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +28,7 @@
 
 class ZoneController {
  public:
-  /// \param planner null selects the cost-based planner
+  /// \param planner the planner of roles; null selects planning::RolePlanner with default settings
   ZoneController(const ControllerSettings& settings, const api::ProcessContext& context,
                  lease::AuthorityView& authority, routing::EngineDirectory& directory,
                  engines::EngineClient& client, configuration::ConfigurationView& configuration,
@@ -38,17 +38,18 @@
   /// Starts the control loop; called once.
   void start();
 
-  /// \return the epoch of the lease; nothing if this node does not hold it.
+  /// \return the epoch under which this node holds the lease; nothing if it does not hold the lease
   std::optional<common::Epoch> activeEpoch() const { return active_ ? epoch_ : std::nullopt; }
   /// \return the control of one engine; null if this node does not hold the lease or does not know
   ///   the engine.
   const EngineControl* control(const common::EngineName& engine) const;
-  /// \return changes in progress, then the latest completed ones, newest first. Only on the holder.
+  /// \return the changes in progress, which only the lease holder has, then the latest changes that
+  ///   ended under this node's control, newest first
   std::vector<ChangeRecord> changes() const;
-  /// \return the planner's reasons, for each model, for changing or keeping roles in its last run.
+  /// \return for each model, why the planner changed or kept roles when it last ran on this node
   const std::vector<planning::ModelExplanation>& explanations() const { return explanations_; }
   /// \return the demand for each model; nothing unless this node plans the zone's roles and has
-  ///   collected demand for the short window.
+  ///   collected demand for at least DemandSettings::short_window
   std::optional<std::map<common::ModelName, planning::ModelDemand>> demand() const;
   /// \return the drain table in force on this node.
   const DrainFollower& drains() const { return follower_; }
@@ -62,17 +63,19 @@
   /// \return true if this node plans the zone's roles.
   bool isPlanner() const;
   void controlRound();
-  /// Plans without the lease, and requests it once the plan contains changes.
+  /// Plans while this node does not hold the lease, and requests the lease if the plan contains
+  /// changes.
   void planWithoutLease();
   bool planningDue() const;
   bool changesInProgress() const;
-  /// Requests, keeps or releases the lease depending on whether there are changes.
+  /// Requests or keeps the lease if it is needed, and releases it once it has not been needed for
+  /// ControllerSettings::lease_idle_time.
   void updateLeaseNeed(bool needed);
   void updateControls(const std::vector<routing::EngineRecord>& records);
   void tickControls();
   bool allFencesAttempted() const;
   void startDeclaredChanges(const std::vector<routing::EngineRecord>& records);
-  /// \return the planner's changes; none if automatic roles are disabled.
+  /// \return the planner's changes; none if the configuration disables automatic roles
   planning::Plan makePlan(const std::vector<routing::EngineRecord>& records,
                           const Controls& controls, bool without_lease);
   void logPlan() const;
@@ -94,18 +97,20 @@
   std::unique_ptr<planning::Planner> planner_;
   DrainFollower follower_;
   DrainTable drains_;
-  /// Last epoch of the lease. Kept while the lease lapses, so that a node that regains the same
-  /// epoch does not reuse sequence numbers of its orders.
+  /// Epoch under which this node last held the lease. Kept with the engine controls while the lease
+  /// is lost, so that a node that regains the lease under the same epoch does not reuse sequence
+  /// numbers of orders.
   std::optional<common::Epoch> epoch_;
   bool active_ = false;
   Controls controls_;
-  /// Set while this node plans the zone's roles.
+  /// Demand reported by the zone's nodes; set while this node plans the zone's roles.
   std::optional<planning::DemandEstimator> demand_;
   common::MonotonicTime planned_at_{};
   common::MonotonicTime needed_at_{};
   std::vector<planning::ModelExplanation> explanations_;
   std::deque<ChangeRecord> ended_;
-  /// Moving average of the duration of drain and change together.
+  /// Moving average of the duration of a completed change of role, from the start of the drain to
+  /// its end; zero before the first such change.
   common::Duration unavailable_time_{0};
   common::Counter& epochs_;
   common::Counter& demand_dropped_;
