--- a/src/cypresswall/orders/order_channel.h
+++ b/src/cypresswall/orders/order_channel.h
@@ -17,10 +17,10 @@
 /// How an order ended.
 enum class OrderResult : std::uint8_t {
   kTaken,             ///< the engine accepted this or an earlier copy of the order
-  kBusy,              ///< the engine is busy; the order stays open, see resend()
+  kBusy,              ///< streams or another order are running; the order stays open, see resend()
   kStaleEpoch,        ///< the engine accepted a later holder's order; send it no more
   kWrongIncarnation,  ///< the engine restarted; nothing was done
-  kConflict,          ///< the order's sequence or count was outdated; nothing was done
+  kConflict,          ///< the engine accepted a later or different order; nothing was done
   kAuthorityLost,     ///< the order was not sent: this node no longer holds the lease
 };
 
