--- a/src/cypresswall/autoscaling/controller.cpp
+++ b/src/cypresswall/autoscaling/controller.cpp
@@ -9,14 +9,17 @@
 using configuration::AutoscalingDeclaration;
 using configuration::FleetConfiguration;
 
-/// Interval at which orders are sent and demand is forwarded.
+/// Interval at which the leader sends its next order to the platform and nodes send their demand to
+/// the leader.
 constexpr common::Duration kTickInterval = std::chrono::milliseconds(250);
-/// Minimum number of lasting engines released per order while preemptible engines replace them.
+/// Minimum number of lasting engines that an order releases while preemptible engines replace them
+/// one by one; the last order may release fewer.
 constexpr std::uint32_t kMinimumShrinkStep = 4;
-/// Discovery of running engines counts as complete once the platform's list has been unchanged for
-/// this long.
+/// Discovery of running engines counts as complete once the list of declared engines is not empty
+/// and has been unchanged for this long.
 constexpr common::Duration kDiscoveryTime = std::chrono::milliseconds(1500);
-/// Share of the target latency that is planned for the first token.
+/// Share of a service's first-token target within which the first token is planned; the rest is a
+/// margin.
 constexpr double kFirstTokenBudgetShare = 0.85;
 
 ModelLoad loadOf(const planning::ModelDemand& demand) {
@@ -45,8 +48,8 @@
                      [](const auto& entry) { return entry.second > 0; });
 }
 
-/// \return true if more engines are present than the bounds allow, so that an order within the
-///   bounds would release engines
+/// \return true if a location has more engines than `maximum_engines`, so that any order within
+///   this bound would release engines
 bool exceedsMaximum(const PoolCounts& present, const AutoscalingDeclaration& declaration) {
   return std::any_of(present.begin(), present.end(), [&](const auto& entry) {
     return entry.second.total() > declaration.maximum_engines;
@@ -252,8 +255,10 @@
     const auto found = present.find(location);
     const EngineCounts actual = found == present.end() ? EngineCounts{} : found->second;
     orderIfNeeded(pool, {declaration.pool, location, wanted.preemptible, true}, actual.preemptible);
-    // Release a lasting engine only once a preemptible one serves in its place. Both kinds share
-    // maximum_engines, so the last preemptible engines can start only after lasting ones have gone.
+    // Release a lasting engine only once a preemptible one is present in its place. Lasting engines
+    // are released in steps while the replacement continues, because both kinds count towards
+    // maximum_engines: the last preemptible engines can start only after lasting ones were
+    // released.
     const auto initial = pool.initial->find(location);
     const std::uint32_t needed =
         std::min(wanted.total(), initial == pool.initial->end() ? 0 : initial->second.total());
@@ -324,7 +329,8 @@
   if (failure == duties::DutyFailure::kNoneAvailable) {
     pool->second.unavailable_until[order.zone] = now + settings_.none_available_pause;
   }
-  // A call that failed or has an unknown outcome is repeated after `repeat_delay`.
+  // Also recorded if the call failed or its outcome is unknown, so that it is repeated only after
+  // `repeat_delay`.
   pool->second.ordered[{order.zone, order.preemptible}] = {order.engines, now};
   sendNext();
 }
--- a/src/cypresswall/autoscaling/controller.h
+++ b/src/cypresswall/autoscaling/controller.h
@@ -1,4 +1,5 @@
-/// Autoscaling controller: one node of the fleet orders engines from the platform.
+/// Autoscaling controller. Every node runs one; the one on the first duty collector (see
+/// duties::Collectors) orders engines from the platform for the whole fleet.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +23,12 @@
 
 namespace cypresswall::autoscaling {
 
-/// Demand for each model, as known to the node that plans the zone's roles; nothing on other nodes.
+/// Returns the demand for each model on the node that plans the zone's roles, and nothing on other
+/// nodes or while not enough demand has been collected.
 using DemandSource =
     std::function<std::optional<std::map<common::ModelName, planning::ModelDemand>>()>;
 
-/// Status of a pool for operators.
+/// Status of a pool of engines, shown to operators.
 struct PoolState {
   std::string pool;
   PoolCounts present;
@@ -35,9 +37,10 @@
   std::uint32_t token = 0;
 };
 
-/// Plans on the first duty collector; all other nodes only forward the demand that they know. Keeps
-/// no record of earlier holders' orders: plans are based on the engines present, and each order
-/// contains the total number of engines.
+/// Plans and sends orders if this node is the first duty collector (the leader). On every other
+/// node it only sends the leader the demand from its DemandSource. A new leader needs no record of
+/// earlier leaders' orders: it plans from the engines present, and each order contains the total
+/// number of engines.
 class Controller {
  public:
   /// \pre all references outlive this object
@@ -49,7 +52,7 @@
   Controller& operator=(const Controller&) = delete;
 
   void start();
-  /// \return the pools that this node plans; empty on other nodes
+  /// \return the status of the pools that this node plans; empty if it is not the leader
   std::vector<PoolState> pools() const;
 
  private:
@@ -60,15 +63,17 @@
   struct Pool {
     std::deque<std::pair<common::MonotonicTime, PoolLoad>> loads;
     PoolPlan plan;
-    /// Since when this node is the leader; it orders only once running engines were discovered.
+    /// Time at which this node first looked for the pool's running engines as the leader. It sends
+    /// no orders before `initial` is set.
     std::optional<common::MonotonicTime> leader_since;
     PoolCounts last_present;
     common::MonotonicTime unchanged_since{};
-    /// Engines present when this node started to plan.
+    /// Engines present when this node started to plan; empty until the running engines have been
+    /// discovered.
     std::optional<PoolCounts> initial;
-    /// Last order for each (location, preemptible).
+    /// Last order for each location and kind; the key is (location, preemptible).
     std::map<std::pair<std::string, bool>, Ordered> ordered;
-    /// Until when a location counts as having no preemptible engines available.
+    /// By location, the time until which it counts as having no preemptible engines available.
     std::map<std::string, common::MonotonicTime> unavailable_until;
     std::optional<common::MonotonicTime> demand_since;
     bool unusable_logged = false;
@@ -78,7 +83,7 @@
   void forwardDemand();
   void onDemand(const DemandUpdate& update);
   void planAll();
-  /// Logs once that nothing is ordered for the pool.
+  /// Logs why nothing is ordered for the pool; only the first call for a pool writes a log event.
   void logUnusable(const std::string& name, Pool& pool, const char* reason);
   /// \return false while some running engines may not have been discovered yet
   bool initialEnginesKnown(const configuration::AutoscalingDeclaration& declaration,
--- a/src/cypresswall/autoscaling/messages.h
+++ b/src/cypresswall/autoscaling/messages.h
@@ -10,14 +10,16 @@
 
 /// Current load of a model.
 struct ModelLoad {
-  /// Engine time per second that the requests need, i.e. the mean number of busy engines.
+  /// Mean number of engines that the model's requests keep busy.
   double busy_engines = 0;
-  /// Mean engine time of a long prompt, in seconds.
+  /// Mean time in seconds that a prefill engine takes to compute a prompt; zero if prefill engines
+  /// receive no prompts.
   double long_prompt_seconds = 0;
   MSGPACK_DEFINE(busy_engines, long_prompt_seconds)
 };
 
-/// Sent by the node that aggregates the demand of the zone.
+/// Sent to the node that orders engines by the node that plans the zone's roles, which aggregates
+/// the zone's demand.
 struct DemandUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kAutoscalingFirst, 0);
   std::map<common::ModelName, ModelLoad> loads;
--- a/src/cypresswall/autoscaling/planner.cpp
+++ b/src/cypresswall/autoscaling/planner.cpp
@@ -11,7 +11,7 @@
 
 using configuration::AutoscalingDeclaration;
 
-/// Utilisation above which queues grow without bound.
+/// Maximum utilisation used in the queueing formula, which is not valid from 1 on.
 constexpr double kFullUtilisation = 0.98;
 
 bool offersPreemptible(const PoolInput& input) {
@@ -36,7 +36,7 @@
   return largest;
 }
 
-/// Splits the engines of a location by kind.
+/// Splits the `total` engines of a location into lasting and preemptible ones.
 EngineCounts splitByKind(const AutoscalingSettings& settings, const PoolInput& input,
                          std::uint32_t total) {
   if (!offersPreemptible(input)) {
@@ -47,7 +47,9 @@
   return {std::min(lasting, total), total - std::min(lasting, total)};
 }
 
-/// Adds engines to the locations in `counts` as evenly as their maximum allows, cheapest first.
+/// Adds `engines` engines one by one, each to the location in `counts` that has the fewest, or the
+/// cheapest of several such locations. Locations that have reached `maximum_engines` receive none;
+/// engines that no location can receive are not added.
 void addEvenly(std::map<std::string, std::uint32_t>& counts, const AutoscalingDeclaration& declared,
                std::uint32_t engines) {
   const auto price = [&](const std::string& location) {
@@ -71,9 +73,9 @@
   }
 }
 
-/// Spreads `total` engines over the locations. Engines that a location cannot provide now are added
-/// to the other locations; the location's own count is not reduced, so that it is refilled as soon
-/// as engines are available there.
+/// Spreads `total` engines over the locations. Engines that a location in `without_preemptible`
+/// lacks are added to the other locations. The location's own count is not reduced, so that engines
+/// are ordered there as soon as they are available again.
 PoolCounts spread(const AutoscalingSettings& settings, const PoolInput& input,
                   std::uint32_t total) {
   const AutoscalingDeclaration& declared = input.declaration;
@@ -102,7 +104,8 @@
   return wanted;
 }
 
-/// Base of planners that choose a total number of engines, which is then spread over the locations.
+/// Base class of planners that choose only the total number of engines; this class spreads the
+/// total over the locations.
 class TotalPlanner : public Planner {
  public:
   TotalPlanner(const AutoscalingSettings& settings, const char* name)
@@ -120,7 +123,8 @@
   }
 
  private:
-  /// \return the number of preemptible engines that `first_bill_share` of the initial cost pays for
+  /// \return the number of preemptible engines whose price is `first_bill_share` of the price of
+  ///   the initial engines as lasting ones; zero if preemptible engines are not cheaper
   std::uint32_t affordable(const PoolInput& input) const {
     if (!offersPreemptible(input)) {
       return 0;
@@ -149,8 +153,8 @@
   }
 };
 
-/// Minimises engine prices plus the value of late work, so that engines are added as long as the
-/// work that they save is worth more than their price.
+/// Chooses the number of engines that minimises the price of the engines plus the value of the work
+/// on answers that arrive too late.
 class MarginalValuePlanner final : public TotalPlanner {
  public:
   explicit MarginalValuePlanner(const AutoscalingSettings& settings)
@@ -173,7 +177,8 @@
     return best;
   }
 
-  /// \return the mean price per second of one more engine
+  /// \return the price per second of one more engine, averaged over the locations and over the
+  ///   planned shares of both kinds
   double marginalPrice(const PoolInput& input) const {
     double sum = 0;
     for (const auto& [location, price] : input.declaration.location_prices) {
@@ -184,18 +189,20 @@
     return locations > 0 ? sum / locations : 0;
   }
 
-  /// \return the cost per second of `engines` engines and of the work that is late with them
+  /// \return the price per second of `engines` engines plus the value per second of the work on
+  ///   answers that are late with that many engines
   double cost(const PoolInput& input, std::uint32_t engines, double price) const {
     const auto locations = static_cast<double>(input.declaration.location_prices.size());
     const double all = engines;
-    // All preemptible engines of one location are reclaimed together.
+    // Assumes that the platform reclaims all preemptible engines of one location together.
     const double after_loss = all - all / locations * (1 - settings_.lasting_share);
     const double lost = (1 - settings_.loss_share) * lateWork(input, all) +
                         settings_.loss_share * lateWork(input, after_loss);
     return all * price + settings_.worth_of_work * lost;
   }
 
-  /// \return engine time per second spent on late answers, averaged over the recent loads
+  /// \return the mean number of engines that are busy with late answers, averaged over the recent
+  ///   loads
   double lateWork(const PoolInput& input, double engines) const {
     double lost = 0;
     for (const PoolLoad& load : input.loads) {
