--- a/src/cypresswall/duties/collectors.h
+++ b/src/cypresswall/duties/collectors.h
@@ -1,4 +1,5 @@
-/// Choice of the nodes that collect the usage counts of the fleet and perform its duties.
+/// Choice of the collectors: the nodes that collect the usage counts of the fleet. The first
+/// collector also performs the fleet's duties, i.e. it reports usage and orders engines.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +10,14 @@
 
 namespace cypresswall::duties {
 
-/// \return the live nodes with the fastest links, in order; the first one reports. Computed from
-///   the member list alone, so that all nodes agree without exchanging messages.
+/// \return up to `count` live nodes that can collect usage counts, those with the fastest links
+///   first. Computed from the member list alone, so that all nodes choose the same collectors
+///   without exchanging messages.
 std::vector<common::NodeId> collectorsOf(const membership::MembershipView& membership,
                                          std::size_t count);
 
-/// Caches the ranking until the next membership change, since it is queried many times a second.
+/// Caches the result of collectorsOf() until the next membership change, since the collectors are
+/// queried many times a second.
 class Collectors {
  public:
   /// \pre `membership` outlives this object
@@ -25,7 +28,8 @@
   Collectors(const Collectors&) = delete;
   Collectors& operator=(const Collectors&) = delete;
 
-  /// \return the collectors by rank; valid until the next membership change
+  /// \return the collectors in order of rank; the reference is valid until the next membership
+  ///   change
   const std::vector<common::NodeId>& all() const {
     if (outdated_) {
       collectors_ = collectorsOf(membership_, count_);
@@ -33,7 +37,7 @@
     }
     return collectors_;
   }
-  /// \return the node that performs the duties while it is alive; empty if there is none
+  /// \return the node that performs the fleet's duties; empty if there are no collectors
   common::NodeId first() const { return all().empty() ? common::NodeId{} : all().front(); }
 
  private:
--- a/src/cypresswall/duties/fleet_duties.h
+++ b/src/cypresswall/duties/fleet_duties.h
@@ -1,5 +1,5 @@
-/// Duties that one node performs for the whole fleet: the lease that selects the node, the
-/// collection of usage counts and their reports.
+/// Duties that one node performs for the whole fleet. Contains the lease that selects the node, the
+/// collection of usage counts on the collectors, and the reports of these counts to the platform.
 #pragma once
 
 #include <functional>
@@ -21,14 +21,16 @@
 
 struct DutySettings {
   UsageSettings usage;
-  /// The hand-over gap must exceed the platform's own limit for alternating calls of two holders.
+  /// `lease.handover_gap` must be longer than the platform's limit on how soon calls of one holder
+  /// may follow calls of another.
   lease::StoreLeaseSettings lease;
 };
 
 /// Store key of the lease that all duties of the fleet share.
 inline constexpr const char* kDutiesLeaseKey = "duties/lease";
 
-/// Fails every call with kUnavailable. For platforms without such duties.
+/// Fails every call with DutyFailure::kUnavailable. Used if the platform accepts neither usage
+/// reports nor capacity orders.
 class NullDutyPlatform final : public DutyPlatform {
  public:
   explicit NullDutyPlatform(common::Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -49,12 +51,14 @@
   common::Scheduler& scheduler_;
 };
 
-/// Requests the lease only while there is work, so that an idle fleet makes no calls.
+/// Requests the lease only while this node has a usage report to send or work added by addWork(),
+/// so that an idle fleet makes no calls to the object store.
 class FleetDuties {
  public:
   /// \pre all references outlive this object
-  /// \param platform null if the platform has no such duties
-  /// \param time_of_day may be empty if no usage is reported
+  /// \param platform null if the platform accepts neither usage reports nor capacity orders
+  /// \param time_of_day wall-clock time since the Unix epoch; may be empty if
+  ///   `settings.usage.reports` is false
   FleetDuties(const DutySettings& settings, const api::ProcessContext& context,
               membership::MembershipView& membership, common::MachineName machine,
               object_store::ObjectStore& store, DutyPlatform* platform,
@@ -63,8 +67,8 @@
   FleetDuties& operator=(const FleetDuties&) = delete;
 
   void start();
-  /// Stops acquiring and renewing the lease, for a planned stop. Unsent counts are sent by
-  /// flushUsage().
+  /// Stops acquiring and renewing the lease, before a planned stop of this node. Does not send
+  /// unsent usage counts; see flushUsage().
   void resign();
   void flushUsage() { counter_.flushUsage(); }
 
@@ -74,8 +78,10 @@
   DutyPlatform& platform() { return platform_; }
   const Collectors& collectors() const { return collectors_; }
   const common::MachineName& machine() const { return machine_; }
-  /// Adds work that requires the lease. \param needed called at each tick, returns true if the
-  ///   lease is needed
+  /// Registers a component that does work under the lease, such as ordering engines. The component
+  /// itself does the work while authority() holds the lease; this object only requests the lease
+  /// for it. To be called before start().
+  /// \param needed called periodically; returns true while the component needs the lease
   void addWork(std::function<bool()> needed) { additional_work_.push_back(std::move(needed)); }
 
  private:
--- a/src/cypresswall/duties/messages.h
+++ b/src/cypresswall/duties/messages.h
@@ -1,4 +1,4 @@
-/// Messages by which nodes send usage counts to collectors, and collectors confirm reports.
+/// Messages between the nodes that count usage and the collectors, and among the collectors.
 #pragma once
 
 #include <cstdint>
@@ -10,48 +10,54 @@
 
 namespace cypresswall::duties {
 
-/// Counts of one node for one window so far.
+/// Number of requests of each tenant that one node has counted in one window so far.
 struct WindowCounts {
   std::uint64_t window = 0;
   std::map<common::TenantName, std::uint64_t> counts;
   MSGPACK_DEFINE(window, counts)
 };
 
-/// Sent to each collector. Counts are cumulative from the beginning of the window, so that
-/// duplicate messages are harmless.
+/// Usage counts of one node, sent to each collector. Counts are cumulative from the beginning of
+/// their window, so that duplicate messages are harmless.
 struct UsageUpdate {
   static constexpr auto kType = api::messageType(api::MessageType::kDutiesFirst, 0);
-  /// The node that served the requests. Differs from the sender if a collector forwards the counts
-  /// of a node, which may have ended.
+  /// The node that counted the requests. Not the sender if a collector forwards the counts of
+  /// another node, which may have ended, to a new collector.
   common::NodeId node;
-  /// Number of the message among those of the node to this collector, from 1.
+  /// Sequence number of the message among those from `node` to this collector, starting at 1; zero
+  /// in messages that another collector forwards.
   std::uint64_t sequence = 0;
-  /// True if the message contains all windows that the node retains, instead of only those that
-  /// changed since its last message.
+  /// True if `windows` contains all windows that the node retains; false if it contains only those
+  /// that changed since the node's last message.
   bool complete = false;
-  /// The counts of windows up to this one are final.
+  /// The node's counts of all windows up to and including this number are final.
   std::uint64_t closed_through = 0;
-  /// The node's estimate of the fleet's time, in microseconds since the Unix epoch.
+  /// The node's time (FleetTime) when it sent the message, in microseconds since the Unix epoch;
+  /// zero in forwarded messages.
   std::int64_t time = 0;
   std::vector<WindowCounts> windows;
   MSGPACK_DEFINE(node, sequence, complete, closed_through, time, windows)
 };
 
-/// Sent by a collector that missed a message of the receiver, or knows none of its counts yet.
+/// Asks a node to include all windows that it retains in its next UsageUpdate. Sent by a collector
+/// that missed a UsageUpdate from the node, or has not received a complete one yet.
 struct UsageResyncRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kDutiesFirst, 1);
   std::uint64_t last_sequence = 0;
   MSGPACK_DEFINE(last_sequence)
 };
 
-/// Tells the receiver how far its time is ahead of the fleet's, in microseconds.
+/// Sent by the first collector to a node whose time must be corrected. `clock_offset` is how far
+/// the node's time is ahead of the fleet's time, in microseconds; negative if it is behind.
 struct ClockCorrection {
   static constexpr auto kType = api::messageType(api::MessageType::kDutiesFirst, 2);
   std::int64_t clock_offset = 0;
   MSGPACK_DEFINE(clock_offset)
 };
 
-/// The platform has accepted the reports of all windows up to this one.
+/// Sent to all collectors: the reports of all windows up to and including `window` are completed
+/// (accepted or rejected as malformed by the platform, or given up as too old), so that collectors
+/// may discard the counts.
 struct UsageReportedThrough {
   static constexpr auto kType = api::messageType(api::MessageType::kDutiesFirst, 3);
   std::uint64_t window = 0;
--- a/src/cypresswall/duties/usage_collector.cpp
+++ b/src/cypresswall/duties/usage_collector.cpp
@@ -6,9 +6,11 @@
 namespace cypresswall::duties {
 namespace {
 
-/// Messages per estimate of a node's clock offset; the one with the least network delay is used.
+/// Number of messages from which a node's clock offset is estimated; the message with the least
+/// network delay determines the estimate.
 constexpr std::uint32_t kClockSamples = 4;
-/// Minimum number of nodes whose median clock counts as the fleet's time.
+/// Minimum number of nodes with a known clock offset; with fewer, no clock is corrected, since
+/// their median is not a reliable estimate of the fleet's time.
 constexpr std::size_t kMinimumClocks = 3;
 
 }  // namespace
--- a/src/cypresswall/duties/usage_collector.h
+++ b/src/cypresswall/duties/usage_collector.h
@@ -1,4 +1,4 @@
-/// Sums up the usage counts of all nodes.
+/// Collects the usage counts of all nodes and sums them up for each window.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,9 @@
 
 namespace cypresswall::duties {
 
-/// Runs on each collector, whether or not it reports, so that no counts are lost as long as one
-/// collector survives. The counts of a node are kept after it has ended.
+/// Every collector receives all counts, not only the one that reports them, so that no received
+/// counts are lost as long as one collector survives. The counts of a node are kept after the node
+/// has ended, until they have been reported.
 class UsageCollector {
  public:
   /// Registers the handlers of UsageUpdate and ClockCorrection. \pre all references outlive this
@@ -28,27 +29,32 @@
   UsageCollector& operator=(const UsageCollector&) = delete;
 
   void onUpdate(const common::NodeId& sender, const UsageUpdate& update);
-  /// Forwards the counts of all nodes to new collectors: a node that has ended, possibly without
-  /// having been detected as dead yet, cannot send them again.
+  /// Forwards the counts of all nodes to collectors that were added since the last call. A node
+  /// that has ended cannot send its counts to a new collector itself, and it may not have been
+  /// detected as dead yet.
   void transferToNewCollectors();
 
-  /// \return true once the counts of every member for the window are final
+  /// \return true once this collector has the final counts for the window from every member that
+  ///   counts usage
   bool complete(std::uint64_t window) const;
-  /// \return the number of members whose counts for the window are not final yet
+  /// \return the number of members that count usage and whose final counts for the window have not
+  ///   arrived
   std::size_t missingNodes(std::uint64_t window) const;
-  /// \return the sums of the counts received for a window
+  /// \return the counts received for the window, summed over all nodes
   TenantCounts sum(std::uint64_t window) const;
-  /// Discards windows up to this one.
+  /// Discards the counts of all windows up to and including `window`.
   void discardThrough(std::uint64_t window);
 
  private:
   struct NodeCounts {
     std::uint64_t last_sequence = 0;
-    /// True if no message was missed since the last complete one.
+    /// True if a complete update was received and no later message was missed.
     bool gap_free = false;
     std::uint64_t closed_through = 0;
     std::map<std::uint64_t, TenantCounts> windows;
-    /// How far the node's time was ahead of this node's in its last messages, less network delay.
+    /// Estimate of how far the node's time is ahead of this node's time: the largest difference
+    /// between the time in a message and its time of arrival, since network delay only makes it
+    /// smaller.
     std::optional<common::Duration> clock_offset;
     std::uint32_t clock_samples = 0;
   };
--- a/src/cypresswall/duties/usage_counter.h
+++ b/src/cypresswall/duties/usage_counter.h
@@ -1,4 +1,5 @@
-/// Counts the requests of this node and sends the counts to the collectors.
+/// Counts the requests that start to run on behalf of this node's callers, by tenant, and sends the
+/// counts to the collectors.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +18,8 @@
 
 namespace cypresswall::duties {
 
-/// Sends one message to each collector per interval in which counts changed, and one at the end of
-/// each window; the number of messages of a node is independent of the size of the fleet.
+/// Sends one message to each collector for each interval in which counts changed or a window ended.
+/// The number of messages that a node sends does not grow with the size of the fleet.
 class UsageCounter final : public UsageRecorder {
  public:
   /// Registers the handler of UsageResyncRequest. \pre all references outlive this object
@@ -31,16 +32,16 @@
 
   void start();
   void requestBegan(const common::TenantName& tenant) override;
-  /// Sends unsent counts at once; for a node that is about to stop.
+  /// Sends unsent counts at once. To be called before a planned stop of this node.
   void flushUsage();
 
-  /// \return the current window
+  /// \return the number of the window that contains the current time
   std::uint64_t currentWindow() const;
 
  private:
   struct CollectorState {
     std::uint64_t sequence = 0;
-    /// True if the collector has requested all windows.
+    /// True if the collector has sent a UsageResyncRequest since the last update to it.
     bool resync_requested = false;
   };
 
@@ -57,9 +58,10 @@
   const FleetTime& time_;
   std::function<void(const UsageUpdate&)> local_collector_;
   std::map<std::uint64_t, TenantCounts> windows_;
-  /// Windows that changed since the last message.
+  /// Numbers of the windows whose counts changed since the last update was sent.
   std::set<std::uint64_t> changed_;
-  /// Windows up to this one are final, even if the fleet's time is set back into them.
+  /// The counts of all windows up to and including this number are final. If a clock correction
+  /// sets the time back into such a window, new requests are counted in the next window.
   std::uint64_t closed_through_ = 0;
   std::map<common::NodeId, CollectorState> collector_states_;
   common::Counter& counted_;
--- a/src/cypresswall/duties/usage_ledger.h
+++ b/src/cypresswall/duties/usage_ledger.h
@@ -1,5 +1,6 @@
-/// Write-ahead record of usage reports in the object store. The counts of a window are stored here
-/// before they are sent, so that two lease holders never report different counts for a window.
+/// Record of usage reports in the object store. The lease holder stores the counts of a window in
+/// this record before it sends them to the platform, so that two lease holders never report
+/// different counts for the same window.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +18,14 @@
 };
 
 struct UsageLedger {
-  /// The platform has accepted the reports of all windows up to this one.
+  /// The reports of all windows up to and including this number are completed: the platform has
+  /// accepted or rejected them, or they were given up as too old.
   std::uint64_t taken_through = 0;
-  /// Reports of the following windows, which are final; consecutive.
+  /// Stored reports that remain to be sent, without gaps: the first one is for window
+  /// `taken_through` + 1. Their counts must not change any more.
   std::vector<UsageReport> fixed;
 
-  /// \return the last window whose report is final
+  /// \return the last window whose counts must not change any more
   std::uint64_t fixedThrough() const { return fixed.empty() ? taken_through : fixed.back().window; }
 };
 
--- a/src/cypresswall/duties/usage_recorder.h
+++ b/src/cypresswall/duties/usage_recorder.h
@@ -8,7 +8,8 @@
 class UsageRecorder {
  public:
   virtual ~UsageRecorder() = default;
-  /// Counts a request of the tenant that started to run on an engine or a back end.
+  /// Counts one request of the tenant. To be called once for each request, when it has started to
+  /// run on an engine or a back end.
   virtual void requestBegan(const common::TenantName& tenant) = 0;
 };
 
--- a/src/cypresswall/duties/usage_reporter.cpp
+++ b/src/cypresswall/duties/usage_reporter.cpp
@@ -10,7 +10,8 @@
 using object_store::StoreFailure;
 using object_store::StoreResult;
 
-/// Recent windows kept for operators.
+/// Maximum number of windows that this node stored or reported and whose status is kept to be shown
+/// to operators.
 constexpr std::size_t kRememberedWindows = 12;
 
 std::uint64_t totalOf(const TenantCounts& counts) {
@@ -99,7 +100,8 @@
   if (!epoch) {
     return;
   }
-  // While the token is unchanged, no other node can have written the ledger.
+  // As long as this node holds the lease under the same token, no other node writes the ledger, so
+  // that it need not be read again.
   if (!ledger_ || ledger_token_ != epoch->term) {
     readLedger();
   } else if (!ledger_->fixed.empty()) {
@@ -120,7 +122,8 @@
   if (result.ok()) {
     observe(result.value());
   } else if (result.failure().kind == StoreFailure::kNotFound) {
-    // First holder of the fleet: there are no earlier windows to report.
+    // No lease holder has reported in this fleet yet. Reporting starts after the last window that
+    // had ended when this node started, or that it knows to be reported.
     ledger_.emplace().taken_through = reported_through_;
     ledger_version_ = 0;
   } else {
@@ -180,8 +183,8 @@
     advance();
     return;
   }
-  // Another holder may have written, or this write may still take effect: read the ledger again
-  // before sending any report.
+  // Another lease holder may have written the ledger, or this write may still take effect, so the
+  // ledger is read again before any report is sent.
   ledger_.reset();
   if (result.failure().kind != StoreFailure::kConflict) {
     retryAfter(settings_.retry_delay);
@@ -193,7 +196,8 @@
     ledger_ = decodeUsageLedger(object.value);
     ledger_version_ = object.version;
   } catch (const UsageLedgerError& error) {
-    // Replacing the ledger could lead to a second report with different counts for a window.
+    // The unreadable ledger is not replaced, because a window could then be reported a second time
+    // with different counts.
     ledger_.reset();
     unreadable_.add();
     retryAfter(settings_.due_after);
--- a/src/cypresswall/duties/usage_reporter.h
+++ b/src/cypresswall/duties/usage_reporter.h
@@ -1,4 +1,4 @@
-/// Reports the usage of the fleet to the platform, once per time window.
+/// Reports the usage of the fleet to the platform, with one report for each time window.
 #pragma once
 
 #include <cstdint>
@@ -20,21 +20,22 @@
 
 namespace cypresswall::duties {
 
-/// Status of a window for operators.
+/// Status of a window's report, shown to operators.
 struct ReportedWindow {
   std::uint64_t window = 0;
   std::uint64_t requests = 0;
   std::size_t tenants = 0;
-  /// Fencing token under which this node reported it; zero if the report is pending.
+  /// Fencing token under which this node sent the report; zero while the report is pending.
   std::uint32_t token = 0;
-  /// Nodes whose counts were not final when the report was stored.
+  /// Number of nodes whose final counts had not arrived when the report was stored.
   std::size_t nodes_missing = 0;
   common::MonotonicTime at{};
 };
 
-/// Active on collectors only. The first collector reports; the others take over in order of rank if
-/// a window is late. The counts of a window are stored by a conditional write before they are sent,
-/// and a successor sends the stored counts.
+/// Does nothing on nodes that are not collectors. The first collector reports; if the report of a
+/// window is late, the next collector takes over, and so on in their order. The counts of a window
+/// are stored in the usage ledger by a conditional write before they are sent; a node that takes
+/// over sends the stored counts.
 class UsageReporter {
  public:
   /// \pre all references outlive this object
@@ -47,22 +48,25 @@
   UsageReporter& operator=(const UsageReporter&) = delete;
 
   void start();
-  /// \return true if this node has something to report and should hold the lease
+  /// \return true if it is this node's turn to report a window, for which it needs the lease
   bool needed() const { return needed_; }
   /// \return the windows that this node stored or reported recently, oldest first
   const std::deque<ReportedWindow>& windows() const { return windows_; }
-  /// \return the last window whose report the platform has accepted, as far as this node knows
+  /// \return the last window whose report is completed (see UsageReportedThrough), as far as this
+  ///   node knows
   std::uint64_t reportedThrough() const { return reported_through_; }
 
  private:
   void tick();
-  /// \return this node's rank among the collectors; nothing if it is not a collector
+  /// \return this node's rank among the collectors, zero for the first; nothing if it is not a
+  ///   collector
   std::optional<std::size_t> rank() const;
   bool reportingDue(std::size_t rank) const;
   void advance();
   void readLedger();
   void onRead(const object_store::StoreResult<object_store::StoredObject>& result);
-  /// Stores the reports of all windows that are due. \return true if a write was started
+  /// Stores the reports of all windows that are due in the usage ledger. \return true if a write
+  /// was started
   bool fixDueWindows();
   bool due(std::uint64_t window) const;
   void writeLedger(const UsageLedger& ledger);
@@ -93,12 +97,13 @@
   object_store::ObjectStore& store_;
   DutyPlatform& platform_;
 
-  /// Empty until read under the current fencing token.
+  /// The usage ledger as last read or written by this node. Empty if it must be read before the
+  /// next report.
   std::optional<UsageLedger> ledger_;
   std::uint64_t ledger_version_ = 0;
   std::uint32_t ledger_token_ = 0;
   std::uint64_t reported_through_ = 0;
-  /// Since when this node has been a collector; nothing if it is not one.
+  /// Time at which this node became a collector; nothing if it is not a collector.
   std::optional<common::MonotonicTime> collector_since_;
   bool needed_ = false;
   bool call_in_flight_ = false;
--- a/src/cypresswall/duties/usage_settings.h
+++ b/src/cypresswall/duties/usage_settings.h
@@ -1,4 +1,4 @@
-/// Settings of the counting and reporting of tenants' requests.
+/// Settings for counting the requests of each tenant and reporting the counts to the platform.
 #pragma once
 
 #include <cstddef>
@@ -9,38 +9,44 @@
 namespace cypresswall::duties {
 
 struct UsageSettings {
-  /// False if the platform accepts no reports; then nothing is counted.
+  /// True if the platform accepts usage reports. If false, nothing is counted or reported.
   bool reports = false;
-  /// Length of a window; windows are numbered from the Unix epoch.
+  /// Length of a usage window. Window 0 begins at the Unix epoch.
   common::Duration window = std::chrono::seconds(5);
-  /// Deadline of a report after the end of its window.
+  /// Time after the end of a window by which the platform must have its report.
   common::Duration due_after = std::chrono::seconds(10);
-  /// Part of `due_after` reserved for the calls that a report needs and for a change of the lease
-  /// holder. Once only this much time is left, the report no longer waits for missing nodes.
+  /// Part of `due_after` reserved for the calls to the object store and the platform, and for a
+  /// change of the lease holder. Once only this much of `due_after` is left, the report is made
+  /// without the counts that have not arrived.
   common::Duration reporting_reserve = std::chrono::seconds(4);
-  /// Minimum delay between the end of a window and its report, for messages in flight.
+  /// Minimum delay between the end of a window and its report, so that nodes' messages with final
+  /// counts can arrive.
   common::Duration settling_time = std::chrono::milliseconds(150);
-  /// Number of nodes that collect all counts redundantly, since any node may fail at any time.
+  /// Number of collectors. Each of them collects all counts, so that the counts survive the failure
+  /// of the others.
   std::size_t collectors = 3;
-  /// Minimum interval between messages of a node to the collectors. Counts since the last message
-  /// are lost if the node fails.
+  /// Minimum interval between two updates that a node sends to each collector. If the node fails,
+  /// the requests counted since its last update are lost.
   common::Duration update_interval = std::chrono::milliseconds(300);
-  /// Target maximum of messages per second to a collector: in a larger fleet, each node sends less
-  /// often.
+  /// Maximum number of updates per second that a collector should receive from all nodes together.
+  /// In a large fleet, each node therefore sends updates less often than `update_interval` allows.
   double maximum_updates_per_second = 250;
-  /// Windows that a node retains for new collectors.
+  /// Number of windows whose counts a node retains, so that it can send them to a new collector.
   std::size_t retained_windows = 12;
-  /// Windows that are reported late after an outage; older ones are dropped.
+  /// Maximum number of past windows that are still reported after an outage; older windows are
+  /// given up.
   std::uint64_t maximum_backlog_windows = 120;
-  /// A collector takes over if a window is late by this time multiplied by the collector's rank.
+  /// A collector takes over the reporting if the report of a window is late by this time multiplied
+  /// by the collector's rank, which is zero for the first collector.
   common::Duration takeover_delay = std::chrono::seconds(2);
-  /// Time that a new collector waits for state from the others: which windows were reported, and
-  /// the counts of nodes that have ended.
+  /// Time that a new collector waits before it reports, so that the other collectors can tell it
+  /// which windows were reported and send it the counts of nodes that have ended.
   common::Duration handover_time = std::chrono::milliseconds(500);
-  /// Delay before the next call after a failed one.
+  /// Delay after a failed call to the object store or the platform before the next call.
   common::Duration retry_delay = std::chrono::milliseconds(250);
   common::Duration tick_interval = std::chrono::milliseconds(100);
-  /// A node whose clock differs by more than this from the fleet's median is corrected.
+  /// A node's time is corrected if it differs by more than this from the median of the nodes'
+  /// times.
   common::Duration clock_tolerance = std::chrono::milliseconds(200);
 };
 
