--- a/src/cypresswall/execution/backend_choice.h
+++ b/src/cypresswall/execution/backend_choice.h
@@ -10,8 +10,9 @@
 
 namespace cypresswall::execution {
 
-/// Picks a random back end in the local zone or, if there is none, in another zone. Never picks
-/// excluded addresses or machines that are leaving or drained.
+/// Picks a random eligible back end in the local zone or, if the local zone has none, in another
+/// zone. Back ends in `excluded` and back ends on machines that are leaving or drained are not
+/// eligible.
 /// \return empty if no back end is eligible
 std::optional<common::Address> chooseBackend(const configuration::HttpServiceDeclaration& service,
                                              const configuration::FleetConfiguration& fleet,
--- a/src/cypresswall/execution/backoff.cpp
+++ b/src/cypresswall/execution/backoff.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Bounds the shift below; after this many doublings the delay exceeds any practical maximum.
+/// Maximum number of times that the delay is doubled. Prevents an overflow of the shift; the delay
+/// reaches any practical `backoff_maximum` before that.
 constexpr std::uint32_t kMaximumDoublings = 16;
 
 }  // namespace
--- a/src/cypresswall/execution/deferred_destruction.h
+++ b/src/cypresswall/execution/deferred_destruction.h
@@ -1,4 +1,4 @@
-/// Deferred destruction of objects in a scheduler callback.
+/// Destruction of objects in the next scheduler callback.
 #pragma once
 
 #include <memory>
--- a/src/cypresswall/execution/engine_attempt.h
+++ b/src/cypresswall/execution/engine_attempt.h
@@ -1,4 +1,5 @@
-/// One attempt at a model request on one engine, with filtering of its stream events.
+/// One attempt at a model request on one engine. Checks the events of the engine's stream before it
+/// forwards them.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +22,9 @@
 };
 
 /// Forwards the response head, the tokens (in order, each once) and the final status of one attempt
-/// to its listener. Drops and counts events with another attempt number, duplicate heads or tokens
-/// and events after the end. Fails the attempt if a token is missing or the stream ends early.
+/// to its listener. Events that carry another attempt's number, duplicate heads or tokens, and
+/// events after the end are dropped and counted. The attempt fails if a token index is skipped or
+/// the stream ends early.
 class EngineAttempt final : public engines::StreamHandler {
  public:
   class Listener {
@@ -40,7 +42,7 @@
   /// Starts the stream. Must be called once. Never calls the listener synchronously.
   void begin(engines::EngineClient& client, const engines::EngineEndpoint& engine,
              engines::StreamRequest request);
-  /// Drops all further events. The stream itself is closed by the destructor.
+  /// Drops all further events. The stream stays open until this object is destroyed.
   void detach() { listener_ = nullptr; }
   void pause();
   void resume();
--- a/src/cypresswall/execution/engine_model_executor.cpp
+++ b/src/cypresswall/execution/engine_model_executor.cpp
@@ -7,7 +7,7 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Caller's handle of a running request; cancels the request when destroyed.
+/// The caller's handle of a running request. Its destructor cancels the request.
 class RequestHandle final : public ModelExecution {
  public:
   explicit RequestHandle(std::shared_ptr<ModelRequest> request) : request_(std::move(request)) {}
--- a/src/cypresswall/execution/engine_model_executor.h
+++ b/src/cypresswall/execution/engine_model_executor.h
@@ -9,8 +9,9 @@
 
 namespace cypresswall::execution {
 
-/// Runs each request on an engine chosen by the router and fails over to another engine on error.
-/// All referenced objects must outlive the executor.
+/// Runs each request on an engine chosen by the router. If an attempt fails, the request is retried
+/// or its answer resumed on another engine, as far as its limits and retry budget allow. All
+/// referenced objects must outlive the executor.
 class EngineModelExecutor final : public ModelExecutor {
  public:
   EngineModelExecutor(const api::ProcessContext& process,
--- a/src/cypresswall/execution/execution_settings.h
+++ b/src/cypresswall/execution/execution_settings.h
@@ -10,51 +10,65 @@
 
 /// Retry, time-out and admission parameters of model and service requests.
 struct ExecutionSettings {
-  /// Maximum attempts of one request that may have run on a back end.
+  /// Maximum number of attempts of one request that ran or may have run on a back end. A service or
+  /// operation can declare another maximum.
   std::uint32_t maximum_runs = 4;
-  /// Maximum attempts of one request that provably did not run (refused or not sent).
+  /// Maximum number of attempts of one request that provably did not run, because they were refused
+  /// or not sent.
   std::uint32_t maximum_unrun_attempts = 8;
-  /// Counts refused attempts as runs and charges the following attempt to the retry budget, for
-  /// platforms that count every request that reaches a back end.
+  /// True for platforms that count every request that reaches a back end, even if the back end
+  /// refuses it. A refused attempt then counts as a run, and the attempt that follows it is charged
+  /// to the retry budget.
   bool charge_refused_attempts = false;
-  /// Delay before the second retry; the first is sent immediately. The delay doubles with each
-  /// further retry, and jitter reduces it by up to one half.
+  /// Delay before the second retry of a request; the first retry is sent immediately. The delay
+  /// doubles with each further retry up to `backoff_maximum`, and jitter reduces it by up to one
+  /// half.
   common::Duration backoff_base = std::chrono::milliseconds(10);
   common::Duration backoff_maximum = std::chrono::milliseconds(200);
-  /// If false, requests are admitted by the first-token time limit alone and the first-token target
-  /// set by operators is ignored.
+  /// If true, a model request is admitted only if its first token is predicted within
+  /// `planned_target_share` of the first-token target that operators declared for the service. If
+  /// false, the target is ignored and only the first-token limit applies.
   bool admits_within_target = true;
-  /// Fraction of the first-token target within which the first token must be predicted for a
-  /// request to be admitted; the remainder covers network time and estimation error. Under
-  /// overload, queueing up to the first-token limit makes nearly every answer miss the target;
-  /// admitting against the target delivers 1.5 times as many answers on time.
+  /// Fraction of the first-token target within which the first token must be predicted if
+  /// `admits_within_target` is set; the remainder covers network time and estimation errors. Under
+  /// overload, admitting requests up to the first-token limit makes nearly every answer miss the
+  /// target; admitting them against the target delivers 1.5 times as many answers on time.
   double planned_target_share = 0.85;
-  /// An attempt without a first token is abandoned, if the retry budget allows a retry, after this
-  /// multiple of the predicted first-token time plus the margin, but not before this fraction of
-  /// the first-token limit.
+  /// An attempt that has not delivered a first token is abandoned, if a retry is possible, after
+  /// `first_token_stall_factor` times the predicted first-token time plus
+  /// `first_token_stall_margin`, but not before `first_token_stall_share` (a fraction) of the
+  /// service's first-token limit.
   double first_token_stall_factor = 4;
   common::Duration first_token_stall_margin = std::chrono::milliseconds(200);
   double first_token_stall_share = 0.5;
-  /// Stall timeout between tokens: a multiple of the inter-token limit, but at least the floor.
+  /// An attempt that delivers no further token is abandoned, if a retry is possible, after
+  /// `between_tokens_stall_factor` times the service's limit between tokens, but not before
+  /// `between_tokens_stall_floor`.
   double between_tokens_stall_factor = 20;
   common::Duration between_tokens_stall_floor = std::chrono::seconds(2);
-  /// Time without progress after which an attempt is abandoned even without budget for a retry.
+  /// Time without progress after which an attempt is abandoned even if no retry is possible, unless
+  /// the request has a deadline. If twice the stall limit described above is longer, that time
+  /// applies instead.
   common::Duration stall_maximum = std::chrono::seconds(10);
-  /// A timer that fires later than this indicates that this process was paused, so that received
-  /// data may still be unread.
+  /// If a stall timer fires more than this long after it was due, this process was probably paused.
+  /// Received data may then still be unread, so the attempt is not considered stalled.
   common::Duration pause_detection = std::chrono::milliseconds(250);
-  /// How long a partially delivered answer waits for another engine after its engine failed.
+  /// After an engine failed while it delivered an answer, how long the request keeps trying to find
+  /// another engine that can resume the answer.
   common::Duration resume_time_limit = std::chrono::seconds(5);
-  /// Minimum Retry-After of an overload refusal.
+  /// Minimum Retry-After in the answer to a request that is refused because of overload.
   common::Duration minimum_retry_after = std::chrono::milliseconds(100);
   /// Retry-After if no estimate is available.
   common::Duration default_retry_after = std::chrono::seconds(1);
-  /// Maximum age, counted from the claim request, at which a granted idempotency-key claim is still
-  /// used. Must be far below the retention time of claims.
+  /// If the claim of an idempotency key is granted later than this after it was requested, it is
+  /// not used. Must be far shorter than the time for which claims are retained, so that a claim in
+  /// use cannot expire.
   common::Duration claim_use_limit = std::chrono::seconds(10);
-  /// Finished requests kept for operator queries, separately for models and for services.
+  /// Maximum number of ended requests whose records are kept for operator queries; applies
+  /// separately to model requests and to service requests.
   std::size_t retained_request_records = 1000;
-  /// Maximum size of the recorded answer of an operation with an idempotency key.
+  /// Maximum size, in bytes, of an answer that is recorded under an idempotency key. A longer
+  /// answer is recorded as empty; a repeated request then receives an error instead of the answer.
   std::size_t maximum_recorded_bytes = 16U << 10;
 };
 
--- a/src/cypresswall/execution/http_service_executor.cpp
+++ b/src/cypresswall/execution/http_service_executor.cpp
@@ -7,7 +7,8 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Caller's handle of a running request; the core owns the request itself.
+/// The caller's handle of a running request. Its destructor tells the request that the caller has
+/// disconnected; the request itself is owned by the core.
 class RunHandle final : public ServiceExecution {
  public:
   explicit RunHandle(std::weak_ptr<ServiceRun> run) : run_(std::move(run)) {}
--- a/src/cypresswall/execution/http_service_executor.h
+++ b/src/cypresswall/execution/http_service_executor.h
@@ -15,8 +15,8 @@
                       const ExecutionSettings& settings = {});
   std::unique_ptr<ServiceExecution> start(ServiceCallRequest request,
                                           ServiceCallCallback callback) override;
-  /// \return requests in progress, including those whose caller has disconnected; a graceful
-  ///   shutdown waits until this is zero
+  /// \return the number of requests in progress, including those whose caller has disconnected; a
+  ///   graceful shutdown waits until it is zero
   std::size_t running() const { return core_.running(); }
   const RequestJournal& journal() const { return core_.journal; }
 
--- a/src/cypresswall/execution/model_execution_core.cpp
+++ b/src/cypresswall/execution/model_execution_core.cpp
@@ -9,8 +9,8 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Upper bound of the random first attempt number. The random start makes it unlikely that a
-/// restarted process reuses the attempt numbers of its previous incarnation.
+/// Upper bound of the first attempt number, which is chosen at random. The random choice makes it
+/// unlikely that a restarted process reuses attempt numbers that it used before the restart.
 constexpr std::uint64_t kFirstAttemptNumberBound = 1U << 30;
 
 common::Counter& outcomeCounter(common::CounterRegistry& registry, const char* outcome) {
--- a/src/cypresswall/execution/model_execution_core.h
+++ b/src/cypresswall/execution/model_execution_core.h
@@ -56,8 +56,8 @@
   std::string nextStreamId();
   /// \return an attempt number that is unique within this process
   std::uint32_t nextAttemptNumber() { return next_attempt_++; }
-  /// Detaches a finished attempt and destroys it in the next scheduler callback, because its stream
-  /// may be calling it right now.
+  /// Detaches a finished attempt from its listener and destroys it in the next scheduler callback,
+  /// because this function may be called from within a callback of the attempt's stream.
   void retire(std::unique_ptr<EngineAttempt> attempt);
 
   const api::ProcessContext& process;
--- a/src/cypresswall/execution/model_executor.h
+++ b/src/cypresswall/execution/model_executor.h
@@ -20,21 +20,22 @@
 /// A caller's model request.
 struct ModelCall {
   std::string request_id;
-  /// Identifies the same request when the caller sends it again; zero if not computed.
+  /// Hash by which a request is recognised when a caller sends it again; zero if it was not
+  /// computed.
   common::RequestFingerprint fingerprint = 0;
   common::TenantName tenant;
-  /// The tenant's urgency; overrides that of the service.
+  /// Urgency set for the tenant, which overrides the urgency of the service; empty if none is set.
   std::optional<configuration::Urgency> urgency;
-  /// Called before each attempt; returns false once the caller's API key was revoked. If empty,
-  /// attempts are always allowed.
+  /// Called before each attempt; returns false once the caller's API key has been revoked. If no
+  /// function is set, attempts are always allowed.
   std::function<bool()> still_allowed;
   /// Name of a declared model service or of a model.
   common::ServiceName service;
   std::string prompt;
-  /// Zero requests the service's maximum.
+  /// Maximum number of output tokens; zero selects the service's maximum.
   std::uint32_t maximum_tokens = 0;
-  /// Prompt size given by the simulator, which has no prompt text. Used instead of `prompt` if the
-  /// token count is not zero.
+  /// Properties of the prompt, set by the simulator, which has no prompt text. Used instead of
+  /// `prompt` if `shape.tokens` is not zero.
   common::PromptShape shape;
   /// Set if the caller's request is forwarded unchanged (see engines::StreamRequest).
   std::shared_ptr<const engines::PassThroughRequest> pass_through;
@@ -46,10 +47,10 @@
 class ModelCallObserver {
  public:
   virtual ~ModelCallObserver() = default;
-  /// Called once, before the first token, with the response head of a passed-through answer. A
-  /// resumed answer keeps the head from its first engine.
+  /// Called at most once, before the first token, with the response head if the answer is passed
+  /// through. If the answer is resumed on another engine, that engine's head is not reported.
   virtual void onHead(const engines::AnswerHead& /*head*/) {}
-  /// Called in index order, once for each index.
+  /// Called once for each token, in the order of their indices.
   virtual void onToken(std::uint32_t index, const std::string& text) = 0;
   virtual void onFinished(const engines::StreamUsage& usage) = 0;
   virtual void onError(const ExecutionError& error) = 0;
--- a/src/cypresswall/execution/model_request.cpp
+++ b/src/cypresswall/execution/model_request.cpp
@@ -41,9 +41,10 @@
   starting_ = false;
 }
 
-/// Without quarantine, a request that crashes every engine, sent a few times a second, caused 46
-/// engine crashes in a fleet of 18. With it, only the three crashes that identify the request
-/// occur, plus those of attempts already in progress.
+/// Quarantine limits the damage of a request that crashes every engine that runs it. Sent a few
+/// times a second to a fleet of 18 engines, such a request caused 46 engine crashes without
+/// quarantine. With quarantine, only the three crashes that identify the request occur, plus those
+/// of attempts already in progress.
 bool ModelRequest::checkPermitted() {
   if (call_.still_allowed && !call_.still_allowed()) {
     releaseRoute();
@@ -144,7 +145,8 @@
 void ModelRequest::onRefused(const routing::RouteRefusal& refusal) {
   logRefusal(refusal);
   if (resuming() && core_.process.clock.now() < resume_until_) {
-    // The caller already has part of the answer: retry, including engines that failed before.
+    // The caller already has part of the answer, so try again and also allow engines on which
+    // attempts failed.
     excluded_.clear();
     scheduleAttempt(core_.settings.backoff_maximum);
     return;
@@ -269,8 +271,8 @@
   scheduleStep(common::Duration{0}, [this] { beginDecode(); });
 }
 
-/// Checks everything again: prefill may have taken seconds, during which the decode engine may have
-/// started draining.
+/// Repeats the checks of the deadline, the permission and the decode engine, because computing the
+/// prompt may have taken seconds. The decode engine may have started draining in that time.
 void ModelRequest::beginDecode() {
   if (deadlinePassed()) {
     onDeadline();
--- a/src/cypresswall/execution/model_request.h
+++ b/src/cypresswall/execution/model_request.h
@@ -20,8 +20,9 @@
 
 namespace cypresswall::execution {
 
-/// Owned by the caller's handle, and additionally by each event callback for its duration, so that
-/// the observer may destroy the handle from within any call.
+/// The caller's handle owns the request. Each event callback also holds a reference to the request
+/// while the callback runs, so that the observer may destroy the handle from within any of its
+/// functions.
 class ModelRequest final : public std::enable_shared_from_this<ModelRequest>,
                            private EngineAttempt::Listener {
  public:
@@ -40,25 +41,29 @@
   void onAttemptFinished(const engines::StreamUsage& usage) override;
   void onAttemptFailed(engines::StreamFailure failure, const std::string& message) override;
 
-  /// Fails the request if it is quarantined or its API key was revoked.
-  /// \return false if the request was failed
+  /// Ends the request with an error if it is quarantined (because engines crash on it) or the
+  /// caller's API key was revoked.
+  /// \return false if the request was ended
   bool checkPermitted();
   bool admit();
   void nextAttempt();
   void onPlaced(routing::RouteChoice choice);
   routing::RouteRequest routeRequest() const;
-  /// \return the time left for the first token, or for the next token of a resumed answer
+  /// \return the time left for the first token or, if the answer is being resumed, the service's
+  ///   full first-token limit for the next token; never more than the time left until the deadline
   common::Duration timeToFirstToken() const;
-  /// \return the limit for the first-token prediction of an engine. A request without attempts must
-  ///   be predicted to meet the target, because it would only delay other requests otherwise; one
-  ///   that has already lost an attempt is worth finishing even if it is late.
+  /// \return the longest predicted first-token time with which the router may choose an engine.
+  ///   Before the first attempt, this is derived from the service's first-token target, because a
+  ///   request that misses the target would only delay others. After a failed attempt, it is the
+  ///   time left, because the request is worth finishing even if it misses the target.
   common::Duration plannedFirstTokenLimit() const;
   void setDeadline();
   bool deadlinePassed() const;
   void onDeadline();
   void onRefused(const routing::RouteRefusal& refusal);
   void beginAttempt();
-  /// \return the request's total repeats if it is sent along the chosen route
+  /// \return the total number of repeats of the request (see RepeatCounter) once it has been sent
+  ///   to the engine or engines of the chosen route
   std::uint32_t repeatsForRoute() const;
   void beginStream(const engines::EngineEndpoint& engine, engines::StreamPhase phase);
   void handOverToDecode();
@@ -69,15 +74,18 @@
   void onAttemptLost(engines::StreamFailure failure, const std::string& message);
   void retryAfterRun(const std::string& message);
   void retryAfterNoRun(engines::StreamFailure failure, const std::string& message);
-  /// Counts a refused attempt as a run of the request.
-  /// \return false if no further attempt is allowed and the request was failed
+  /// Counts an attempt that an engine refused as a run, and charges the next attempt to the retry
+  /// budget.
+  /// \return false if no further attempt is allowed; the request has then been ended with an error
   bool chargeRefusal(const std::string& message);
-  /// Charges the retry budget for the difference between `repeats` and the repeats charged so far.
-  /// \return false if the budget is exhausted and the request was failed
+  /// Charges the repeats that have not been charged yet to the retry budget, so that `repeats` are
+  /// charged in total.
+  /// \return false if the budget is exhausted; the request has then been ended with an error
   bool chargeRepeats(std::uint32_t repeats, ErrorKind kind, const std::string& message);
-  /// Removes the current attempt from the repeat count because it did not reach its engine.
+  /// Removes the current attempt from the repeat count. To be called if it does not count as
+  /// delivered to its engine.
   void recordNotDelivered();
-  /// \return true if an attempt with this failure counts as delivered to its engine
+  /// \return true if an attempt that ended with this failure counts as delivered to its engine
   bool countsAsDelivered(engines::StreamFailure failure) const;
   fleet_limits::RetryBudget& retryBudget() const;
   void scheduleAttempt(common::Duration delay);
@@ -91,15 +99,17 @@
   bool attemptCountsAsRun() const;
   std::uint32_t maximumRuns() const;
   bool resuming() const { return tokens_given_ > 0; }
-  /// \return true if another engine can be given the position to resume from. Without a position
-  ///   the answer would start over after the tokens that the caller already has.
+  /// \return true if the request can continue on another engine: no tokens were delivered yet, or
+  ///   the position to resume from is known. Without the position, the caller would receive the
+  ///   beginning of the answer a second time.
   bool canResume() const { return !resuming() || !call_.pass_through || !last_token_.empty(); }
 
   void giveUp(ErrorKind kind, const std::string& message, common::Duration retry_after);
-  /// Releases all resources. Does not call the observer.
+  /// Releases all resources and records `state` as the request's final state. Does not call the
+  /// observer.
   void close(const std::string& state);
   void retireAttempt();
-  /// Returns the reserved place to the router.
+  /// Tells the router that the request no longer uses its route, if it has one.
   void releaseRoute();
   void openRecord();
   void recordAttempt();
@@ -130,14 +140,15 @@
   StallDetector stall_detector_;
   common::TimerId step_timer_ = 0;
   std::uint32_t tokens_given_ = 0;
-  /// Last token that marks a resume position; set only for passed-through answers.
+  /// Last delivered token from whose text an engine can determine where to resume; set only for
+  /// passed-through answers.
   std::string last_token_;
   RepeatCounter repeat_counter_;
-  /// Repeats already charged to the retry budget.
+  /// Number of repeats already charged to the retry budget.
   std::uint32_t charged_repeats_ = 0;
   std::uint32_t runs_ = 0;
   std::uint32_t unrun_attempts_ = 0;
-  /// True while the router has not answered the placement request.
+  /// True while the router has been asked for a route and has not answered.
   bool awaiting_placement_ = false;
   bool head_forwarded_ = false;
   bool may_have_run_ = false;
--- a/src/cypresswall/execution/model_request_log.cpp
+++ b/src/cypresswall/execution/model_request_log.cpp
@@ -1,4 +1,4 @@
-/// Log events of routing decisions and progress of a model request.
+/// Log events about the routing and the progress of a model request.
 #include <chrono>
 
 #include "cypresswall/execution/model_request.h"
--- a/src/cypresswall/execution/model_request_recovery.cpp
+++ b/src/cypresswall/execution/model_request_recovery.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Minimum ratio of the hard stall limit to the soft one.
+/// Minimum ratio of the hard stall limit to the soft stall limit (see StallDetector::Limits).
 constexpr int kSoftLimitsPerHardLimit = 2;
 
 bool provenNotRun(engines::StreamFailure failure) {
@@ -47,7 +47,8 @@
   return limits;
 }
 
-/// A request that has a deadline and cannot be retried keeps its stalled attempt until then.
+/// If the request cannot be retried, its stalled attempt continues: until its deadline if it has
+/// one, otherwise until the hard limit.
 void ModelRequest::onStall(bool hard_limit_exceeded) {
   if (!retryAffordable() && (!hard_limit_exceeded || deadline_)) {
     if (hard_limit_exceeded) {
@@ -215,7 +216,8 @@
   return deadline_ && core_.process.clock.now() >= *deadline_;
 }
 
-/// The current attempt may keep running on its engine until the cancellation arrives there.
+/// Ends the request. If the current attempt counts as a run, the request is reported as possibly
+/// run, because the engine works on it until the cancellation arrives.
 void ModelRequest::onDeadline() {
   may_have_run_ = may_have_run_ || (attempt_ != nullptr && attemptCountsAsRun());
   if (route_) {
--- a/src/cypresswall/execution/model_target.h
+++ b/src/cypresswall/execution/model_target.h
@@ -19,9 +19,9 @@
   common::PromptShape shape;
 };
 
-/// Looks up the declared model service that `call` names, or else the model of that name with the
-/// default limits of an undeclared service, and measures the prompt.
-/// \return empty if the configuration has neither
+/// Looks up the declared model service that `call` names. If there is none, uses the model of that
+/// name with the default limits of an undeclared service. Also determines the shape of the prompt.
+/// \return the target; empty if the configuration has no such service or model
 std::optional<ModelTarget> resolveTarget(const configuration::FleetConfiguration& fleet,
                                          const ModelCall& call);
 
--- a/src/cypresswall/execution/outcome.h
+++ b/src/cypresswall/execution/outcome.h
@@ -1,4 +1,5 @@
-/// Request outcomes reported to callers. "Not run" is reported only if it is proven.
+/// Request outcomes reported to callers. "Not run" is reported only if it is certain that no back
+/// end ran any part of the request.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +30,7 @@
   kInProgress,  ///< an earlier request with the same idempotency key is still running
   kKeyReused,   ///< the idempotency key was already used for a different request
   kDraining,
-  kQuarantined,  ///< back ends crash on this request
+  kQuarantined,  ///< the request is refused because back ends crashed on it
   kKeyRevoked,   ///< the caller's API key was revoked while the request was waiting
 };
 
@@ -38,7 +39,8 @@
   ErrorKind kind = ErrorKind::kBackendFailed;
   Outcome outcome = Outcome::kUnknown;
   std::string message;
-  /// Positive on every overload refusal.
+  /// Time after which the caller may try again; always positive if the request was refused because
+  /// of overload, zero if none is suggested.
   common::Duration retry_after{0};
 };
 
--- a/src/cypresswall/execution/recorded_answer.cpp
+++ b/src/cypresswall/execution/recorded_answer.cpp
@@ -10,8 +10,9 @@
 namespace cypresswall::execution {
 namespace {
 
-/// Decoding rejects records that declare more headers, to bound allocations. No back end sends that
-/// many.
+/// Maximum number of headers in a recorded answer. Records that declare more are rejected when
+/// decoded, so that a corrupt record cannot cause a large allocation; no back end sends that many
+/// headers.
 constexpr std::size_t kMaximumHeaders = 1024;
 
 struct WireHeader {
@@ -43,7 +44,7 @@
 
 ServiceCallAnswer fromWire(WireAnswer wire) {
   ServiceCallAnswer answer;
-  // Only "done" is trusted; with any other recorded outcome the request may have run.
+  // Any recorded outcome other than "done" becomes "unknown", because the request may have run.
   const bool done = wire.outcome == static_cast<std::uint8_t>(Outcome::kDone);
   answer.outcome = done ? Outcome::kDone : Outcome::kUnknown;
   answer.status = wire.status;
--- a/src/cypresswall/execution/repeat_counter.h
+++ b/src/cypresswall/execution/repeat_counter.h
@@ -1,26 +1,31 @@
-/// Counts how often one request was sent to back ends beyond the first time.
+/// Counts how often a model request was sent to engines again after the first time.
 #pragma once
 
 #include <cstdint>
 
 namespace cypresswall::execution {
 
-/// Each request delivered to an engine after the first is a repeat, whether it ran or not. A
-/// prefill-only request counts too, except for the first computed prompt. Otherwise a request whose
-/// prompt is computed a second time would be charged for one repeat but make two.
+/// Every delivery of the request to an engine after the first is a repeat, whether the engine ran
+/// it or not. A prefill-only delivery (one that asks only for computing the prompt) counts as well.
+/// If the prompt is computed by one engine and the answer by another, the first prefill-only
+/// delivery that computed the prompt is not a repeat. If prefill-only deliveries did not count, a
+/// request whose prompt is computed a second time would be charged for one repeat but make two.
 class RepeatCounter {
  public:
   void promptSent() { ++prompts_; }
   void promptComputed() { computed_ = true; }
   void outputSent() { ++outputs_; }
-  /// The last prefill-only request did not reach its engine.
+  /// Removes the last prefill-only delivery from the count because it did not reach its engine.
   void promptNotDelivered() { --prompts_; }
-  /// The last request for output did not reach its engine.
+  /// Removes the last delivery that asked for output from the count because it did not reach its
+  /// engine.
   void outputNotDelivered() { --outputs_; }
 
-  /// \return total repeats if one more engine is asked for the complete answer
+  /// \return the total number of repeats if the request is sent to one more engine, which is asked
+  ///   for output
   std::uint32_t repeatsWithSingleEngine() const { return computed_ ? all() - 1 : all(); }
-  /// \return total repeats if one more engine computes the prompt and another one the answer
+  /// \return the total number of repeats if the request is sent to two more engines: one that
+  ///   computes the prompt and one that generates the output
   std::uint32_t repeatsWithSeparatePrefill() const { return all(); }
 
  private:
--- a/src/cypresswall/execution/request_journal.cpp
+++ b/src/cypresswall/execution/request_journal.cpp
@@ -22,7 +22,7 @@
   const auto oldest = std::move(ended_.front());
   ended_.pop_front();
   const auto entry = records_.find(oldest->request_id);
-  // A later request may have used the same identifier.
+  // If a later request used the same identifier, `records_` contains its record, which must stay.
   if (entry != records_.end() && entry->second == oldest) {
     records_.erase(entry);
   }
--- a/src/cypresswall/execution/request_journal.h
+++ b/src/cypresswall/execution/request_journal.h
@@ -14,7 +14,8 @@
 
 namespace cypresswall::execution {
 
-/// One attempt, with the router's predictions at the time it was chosen.
+/// One attempt at a request. For a model request, includes the router's predictions when it chose
+/// the engine.
 struct AttemptRecord {
   common::MonotonicTime started{};
   /// Engine name, or address of the service's back end.
@@ -24,15 +25,15 @@
   common::Duration expected_first_token{0};
   common::Duration expected_between_tokens{0};
   std::uint32_t expected_cached_tokens = 0;
-  /// Number of tokens that the caller already had.
+  /// Number of tokens that the caller had already received when the attempt began.
   std::uint32_t resume_from = 0;
-  /// Empty while the attempt runs.
+  /// How the attempt ended; empty while it runs.
   std::string result;
 };
 
 struct RequestRecord {
   std::string request_id;
-  /// Empty for services.
+  /// Identifier of the stream on the engine; empty for service requests.
   std::string stream_id;
   common::TenantName tenant;
   common::ServiceName service;
@@ -43,24 +44,24 @@
   common::MonotonicTime started{};
   common::MonotonicTime ended{};
   bool running = true;
-  /// "running", later the outcome with its reason.
+  /// "running" while the request runs; afterwards how it ended, such as the outcome and the reason.
   std::string state = "running";
   std::vector<AttemptRecord> attempts;
 };
 
-/// Keeps all running requests and the most recently ended ones.
+/// Keeps the records of all running requests and of the most recently ended ones.
 class RequestJournal {
  public:
-  /// \param maximum_ended number of ended requests to keep
+  /// \param kept_ended maximum number of ended requests whose records are kept
   explicit RequestJournal(std::size_t maximum_ended) : maximum_ended_(maximum_ended) {}
 
-  /// \return the record, which the caller updates until end()
+  /// \return the record of a request that has started; the caller updates it until it calls end()
   std::shared_ptr<RequestRecord> begin(RequestRecord record);
   void end(const std::shared_ptr<RequestRecord>& record, std::string state,
            common::MonotonicTime now);
-  /// \return the newest request with that identifier, null if there is none
+  /// \return the record of the newest request with this identifier; null if there is none
   std::shared_ptr<const RequestRecord> find(const std::string& request_id) const;
-  /// \return running requests, ordered by identifier
+  /// \return the records of the running requests, ordered by request identifier
   std::vector<std::shared_ptr<const RequestRecord>> running() const;
 
  private:
--- a/src/cypresswall/execution/service_execution_core.h
+++ b/src/cypresswall/execution/service_execution_core.h
@@ -24,7 +24,7 @@
 
 class ServiceRun;
 
-/// Dependencies of service requests. All must outlive the executor.
+/// Dependencies of service requests. All referenced objects must outlive the executor.
 struct ServiceInterfaces {
   const configuration::ConfigurationView& configuration;
   const membership::MembershipView& membership;
@@ -49,13 +49,13 @@
   common::Counter& retries_after_run;
   common::Counter& retries_after_no_run;
   common::Counter& retry_budget_exhausted;
-  common::Counter& late_answers;            ///< answers dropped because their attempt had ended
-  common::Counter& late_grants;             ///< claims not used because they were granted too late
+  common::Counter& late_answers;            ///< answers ignored because their attempt had ended
+  common::Counter& late_grants;             ///< key claims not used: granted after claim_use_limit
   common::Counter& finished_after_abandon;  ///< operations completed after the caller disconnected
 };
 
-/// Owns the running requests, because a non-repeatable request continues after its caller
-/// disconnects.
+/// Owns the running requests. The callers' handles do not, because a non-repeatable request
+/// continues after its caller has disconnected.
 class ServiceExecutionCore {
  public:
   ServiceExecutionCore(const api::ProcessContext& process_context,
@@ -74,7 +74,8 @@
   DeferredDestruction<services::ServiceCall> ended_calls;
 
  private:
-  /// Only used for lookup; iteration order would not be deterministic.
+  /// Used only for lookup: the order of the addresses differs between runs, so iterating would not
+  /// be deterministic.
   std::map<const ServiceRun*, std::shared_ptr<ServiceRun>> runs_;
 };
 
--- a/src/cypresswall/execution/service_executor.h
+++ b/src/cypresswall/execution/service_executor.h
@@ -1,5 +1,5 @@
-/// Interface for running plain HTTP service requests: repeatable ones with retries, others at most
-/// once.
+/// Interface for running requests to plain HTTP services. Repeatable requests may be retried after
+/// they ran; all others run at most once.
 #pragma once
 
 #include <functional>
@@ -19,17 +19,18 @@
 /// A caller's service request.
 struct ServiceCallRequest {
   std::string request_id;
-  /// Identifies the same request when the caller sends it again; zero if not computed.
+  /// Hash by which a request is recognised when a caller sends it again; zero if it was not
+  /// computed.
   common::RequestFingerprint fingerprint = 0;
   common::TenantName tenant;
-  /// The tenant's urgency; overrides that of the service.
+  /// Urgency set for the tenant, which overrides the urgency of the service; empty if none is set.
   std::optional<configuration::Urgency> urgency;
-  /// Called before each attempt; returns false once the caller's API key was revoked. If empty,
-  /// attempts are always allowed.
+  /// Called before each attempt; returns false once the caller's API key has been revoked. If no
+  /// function is set, attempts are always allowed.
   std::function<bool()> still_allowed;
   common::ServiceName service;
   std::string method;
-  /// Path below /services/<name>, with query, beginning with a slash.
+  /// Path below /services/<name>, including the query; begins with a slash.
   std::string target;
   std::vector<services::HttpHeader> headers;
   std::string body;
@@ -45,7 +46,7 @@
   int status = 0;
   std::vector<services::HttpHeader> headers;
   std::string body;
-  /// Meaningful if `status` is zero.
+  /// Valid only if `status` is zero, i.e. no response of a back end is returned.
   ExecutionError error;
 };
 
@@ -60,8 +61,8 @@
 class ServiceExecutor {
  public:
   virtual ~ServiceExecutor() = default;
-  /// \param callback called exactly once and never synchronously, unless the returned object is
-  ///   destroyed first
+  /// \param callback called exactly once, but not after the returned object was destroyed; never
+  ///   called synchronously
   virtual std::unique_ptr<ServiceExecution> start(ServiceCallRequest request,
                                                   ServiceCallCallback callback) = 0;
 };
--- a/src/cypresswall/execution/service_headers.cpp
+++ b/src/cypresswall/execution/service_headers.cpp
@@ -11,7 +11,7 @@
 constexpr const char* kRequestIdHeader = "X-Request-Id";
 constexpr const char* kIdempotencyKeyHeader = "Idempotency-Key";
 constexpr const char* kRetryAfterHeader = "Retry-After";
-/// Upper bound applied to a back end's Retry-After.
+/// Upper bound, in seconds, applied to the time in a back end's Retry-After header.
 constexpr long kMaximumRetrySeconds = 3600;
 
 }  // namespace
--- a/src/cypresswall/execution/service_headers.h
+++ b/src/cypresswall/execution/service_headers.h
@@ -1,4 +1,4 @@
-/// HTTP headers written and read by the service request executor.
+/// HTTP headers that the service executor adds to requests and reads from responses.
 #pragma once
 
 #include <vector>
@@ -9,12 +9,13 @@
 
 namespace cypresswall::execution {
 
-/// \return the caller's headers plus the request identifier and, if the request is not repeatable,
-///   the idempotency key: the caller's key or, without one, the request identifier
+/// \return the headers to send: the caller's headers plus the request identifier. A request that is
+///   not repeatable also gets an idempotency key: the caller's key or, if the caller gave none, the
+///   request identifier.
 std::vector<services::HttpHeader> headersForBackend(const ServiceCallRequest& request,
                                                     bool repeatable);
 
-/// \return the back end's Retry-After, but at least `minimum`
+/// \return the time in the back end's Retry-After header, but at least `minimum`
 common::Duration retryAfterOf(const services::ServiceResponse& response, common::Duration minimum);
 
 }  // namespace cypresswall::execution
--- a/src/cypresswall/execution/service_operation.h
+++ b/src/cypresswall/execution/service_operation.h
@@ -7,9 +7,10 @@
 
 namespace cypresswall::execution {
 
-/// Finds the operation declared for that method or for any method with the longest matching path
-/// prefix. Among equal prefixes, one declared for the method takes precedence.
-/// \param target path with query
+/// Finds the declared operation with the longest path prefix that matches the call. Operations
+/// declared for `method` or for any method are considered; among those with equal prefixes, one
+/// declared for `method` takes precedence.
+/// \param target path, optionally with a query, which is ignored
 /// \return the operation; if none is declared, a default that is repeatable for GET and HEAD only
 configuration::OperationDeclaration findOperation(
     const configuration::HttpServiceDeclaration& service, const std::string& method,
--- a/src/cypresswall/execution/service_run.cpp
+++ b/src/cypresswall/execution/service_run.cpp
@@ -14,11 +14,12 @@
 
 constexpr int kFirstServerError = 500;
 constexpr int kInternalError = 500;
-/// Range of statuses that do not depend on the request itself, so that another back end may
-/// succeed.
+/// First and last status of the range 502 to 504. These statuses do not depend on the request
+/// itself, so that a retry at another back end may succeed.
 constexpr int kBadGateway = 502;
 constexpr int kGatewayTimeout = 504;
-/// While a retry is possible, an attempt may use the remaining time divided by this.
+/// If a retry is possible, the time limit of an attempt is the request's remaining time divided by
+/// this number, so that time is left for the retry.
 constexpr int kAttemptsPerRemainingTime = 2;
 
 std::string resultOf(const services::ServiceResponse& response) {
@@ -179,7 +180,8 @@
         if (!self || self->closed_) {
           return;
         }
-        // If another node had to be asked, the caller may have left or the deadline passed.
+        // If the rate limiter had to ask another node, the caller may have disconnected or the
+        // deadline may have passed in the meantime.
         const bool immediate = self->core_.process.clock.now() == asked_at;
         if (!granted) {
           self->onPermitRefused(backend);
@@ -304,7 +306,8 @@
 void ServiceRun::onBroken(const services::ServiceResponse& response) {
   may_have_run_ = true;
   recordUsageOnce();
-  // A back end that merely did not answer before the attempt's time-out has not crashed.
+  // Only a call that broke before the attempt's time-out is reported to the quarantine as a
+  // possible crash: a back end that merely answers too late has not crashed.
   if (core_.process.clock.now() < attempt_deadline_) {
     core_.interfaces.quarantine.callBroken(request_.fingerprint, record_->attempts.back().target);
   }
--- a/src/cypresswall/execution/service_run.h
+++ b/src/cypresswall/execution/service_run.h
@@ -14,21 +14,24 @@
 namespace cypresswall::execution {
 
 /// Runs one request. A repeatable operation is retried within the retry budget and time limit. A
-/// non-repeatable operation is retried only if the previous attempt provably did not run; with an
-/// idempotency key it runs only while the request holds a claim of that key.
+/// non-repeatable operation is retried only if the previous attempt provably did not run. If the
+/// caller gave an idempotency key, a non-repeatable operation is sent to a back end only while this
+/// request holds the claim of that key.
 class ServiceRun final : public std::enable_shared_from_this<ServiceRun> {
  public:
   ServiceRun(ServiceExecutionCore& core, ServiceCallRequest request, ServiceCallCallback callback);
   /// Must be called once, after the run was added to the core. Never calls the callback
   /// synchronously.
   void start();
-  /// Called when the caller disconnects. A repeatable operation is cancelled; a non-repeatable one
-  /// continues to its end, so that its answer is recorded under its idempotency key.
+  /// Called when the caller disconnects. A repeatable operation is cancelled. A non-repeatable
+  /// operation is ended if it was not sent yet; otherwise it continues to its end, so that its
+  /// answer is recorded under the idempotency key, if the caller gave one.
   void abandon();
 
  private:
-  /// Fails the request if it is quarantined or its API key was revoked.
-  /// \return false if the request was failed
+  /// Ends the request with an error if it is quarantined (because back ends crash on it) or the
+  /// caller's API key was revoked.
+  /// \return false if the request was ended
   bool checkPermitted();
   bool admit(const configuration::HttpServiceDeclaration& service);
   void beginIfAdmitted();
@@ -38,36 +41,41 @@
   void answerFromRecord(const idempotency::ClaimAnswer& answer);
 
   void nextAttempt();
-  /// Fails the request if the caller disconnected, its deadline has passed or it is not permitted.
-  /// \return false if the request was failed
+  /// Ends the request with an error if its caller has disconnected, if the request's deadline has
+  /// passed, or if checkPermitted() fails.
+  /// \return false if the request was ended
   bool checkSendable();
-  /// \param exhausted back ends whose rate limit is currently exhausted
+  /// \param exhausted back ends that must not be chosen because their rate limit is exhausted
   std::optional<common::Address> nextBackend(const std::set<common::Address>& exhausted);
-  /// Requests a rate-limit permit for the back end and sends the request once it is granted.
+  /// Asks the rate limiter for a permit to send one request to the back end, and sends the request
+  /// once the permit is granted.
   void acquirePermit(const common::Address& backend);
-  /// The back end's rate limit is exhausted; schedules an attempt at another back end.
+  /// Schedules an attempt at another back end, because the rate limiter refused a permit for this
+  /// one.
   void onPermitRefused(const common::Address& backend);
-  /// Fails the request because no back end is eligible.
+  /// Ends the request with an error because no back end is eligible.
+  /// \param exhausted back ends whose rate limit is exhausted
   void failWithoutBackend(const std::set<common::Address>& exhausted);
   void beginCall(const common::Address& backend);
   common::Duration attemptTimeLimit(common::Duration remaining) const;
-  /// Reports the rate limit announced by the last attempt's back end to the rate limiter.
+  /// Passes the rate limit in the response, if there is one, to the rate limiter.
   void reportRateLimit(const services::ServiceResponse& response);
   void onResponse(std::uint32_t attempt, services::ServiceResponse response);
   void onAnswered(services::ServiceResponse response);
   void onProvenNotRun(const services::ServiceResponse& response);
-  /// Records the request in the tenant's usage, once, when a back end has answered or may have run
-  /// it.
+  /// Counts the request in the tenant's usage unless it was counted already. To be called when a
+  /// back end has answered the request or may have run it.
   void recordUsageOnce();
   void onBroken(const services::ServiceResponse& response);
-  /// \return the retry budget that repeats are charged to
+  /// \return the retry budget that this request's retries are charged to
   fleet_limits::RetryBudget& retryBudget() const;
   bool chargeRetry();
-  /// Counts a run and charges the next one to the retry budget.
+  /// Counts one run of the request and charges a further run to the retry budget.
   /// \return false if no further run is allowed
   bool chargeRun();
   std::uint32_t maximumRuns() const;
-  /// Sets the deadline: the operation's time limit counts from now, the caller's from arrival.
+  /// Sets the deadline to the earlier of two times: the operation's time limit counted from now,
+  /// and the caller's time limit, if given, counted from the arrival of the request.
   void setDeadline();
   void scheduleAttempt(common::Duration delay);
 
@@ -86,7 +94,7 @@
 
   ServiceExecutionCore& core_;
   ServiceCallRequest request_;
-  /// Empty once the caller disconnected or was answered.
+  /// Empty once the caller has disconnected or has received the answer.
   ServiceCallCallback callback_;
   configuration::HttpServiceDeclaration service_;
   configuration::OperationDeclaration operation_;
--- a/src/cypresswall/execution/service_run_claim.cpp
+++ b/src/cypresswall/execution/service_run_claim.cpp
@@ -49,13 +49,14 @@
   }
 }
 
-/// The operation runs at most once even if this process pauses between grant and send. A claim is
-/// granted to one attempt and never again while its holders keep it; if they lose it, the key
-/// becomes uncertain and no further claim is granted. Holders expire claims only long after
-/// `claim_use_limit`. A grant processed later than that is therefore not used, and not released
-/// either, because the claim may no longer belong to this attempt. If the process pauses between
-/// this check and the send, the claim retention time and the key in the request header still
-/// protect against a second run.
+/// Ensures that the operation runs at most once, even if this process pauses between the grant and
+/// the sending of the request. The nodes that store a claim grant it to one request and to no other
+/// while they retain it. If they lose it, they can no longer tell whether the key was used (the key
+/// is uncertain) and grant no further claim. They discard claims only long after `claim_use_limit`.
+/// A grant that is processed more than `claim_use_limit` after it was requested is not used, and
+/// the claim is not released either, because it may no longer belong to this request. If the
+/// process pauses between this check and the sending of the request, the retention time of claims
+/// and the idempotency key in the request's headers still protect against a second run.
 void ServiceRun::onGranted() {
   const auto age = core_.process.clock.now() - claim_sent_;
   if (age > core_.settings.claim_use_limit) {
@@ -88,8 +89,9 @@
   return common::hash64(request_.body, target);
 }
 
-/// Releases the claim only if the operation provably did not run. An unknown outcome is recorded
-/// like an answer, so that a repeated request receives it and nothing is run again.
+/// Releases the claim if the operation provably did not run; otherwise records the answer under the
+/// key. An unknown outcome is recorded as well, so that a repeated request receives this outcome
+/// and the operation is not run again.
 void ServiceRun::settleClaim(const ServiceCallAnswer& answer) {
   if (!std::exchange(claim_held_, false)) {
     return;
--- a/src/cypresswall/execution/stall_detector.h
+++ b/src/cypresswall/execution/stall_detector.h
@@ -1,4 +1,5 @@
-/// Detects streams that make no progress, using one timer per limit instead of one per token.
+/// Detects streams that make no progress. The timer is restarted only when it fires, not at each
+/// token, so that tokens cost no timer operations.
 #pragma once
 
 #include <functional>
@@ -7,9 +8,9 @@
 
 namespace cypresswall::execution {
 
-/// Monitors one attempt. A timer that fires late shows that this process was paused or starved of
-/// CPU. Received data may then still be unread, so the interval restarts instead of reporting a
-/// stall.
+/// Monitors the stream of one attempt. If the timer fires late, this process was paused or starved
+/// of CPU and received data may still be unread; the detector then restarts the interval without
+/// progress instead of reporting a stall.
 class StallDetector {
  public:
   struct Limits {
@@ -19,17 +20,18 @@
     common::Duration hard{0};
   };
 
-  /// \param pause_detection timer delay from which the process is considered to have been paused
+  /// \param pause_detection lateness of the timer above which this process is considered to have
+  ///   been paused
   StallDetector(const common::Clock& clock, common::Scheduler& scheduler,
                 common::Duration pause_detection);
   ~StallDetector() { stop(); }
   StallDetector(const StallDetector&) = delete;
   StallDetector& operator=(const StallDetector&) = delete;
 
-  /// \param on_stall called with false each time the soft limit elapses and with true at the hard
-  ///   limit; it may stop or restart the detector
+  /// \param on_stall called with false each time the soft limit elapses without progress, and with
+  ///   true once the hard limit has elapsed without progress; may stop or restart the detector
   void start(Limits limits, std::function<void(bool hard_limit_exceeded)> on_stall);
-  /// Records progress and restarts the interval with these limits.
+  /// Records progress and replaces the limits; the new limits count from now.
   void progress(Limits limits);
   void progress() { last_progress_ = clock_.now(); }
   void stop();
--- a/src/cypresswall/execution/weighted_round_robin.h
+++ b/src/cypresswall/execution/weighted_round_robin.h
@@ -8,13 +8,15 @@
 
 namespace cypresswall::execution {
 
-/// Smooth weighted round robin. Over any sequence of requests the count of each target stays within
-/// one of its share, so that the weights also hold on a node with few requests.
+/// Smooth weighted round robin. After any number of requests, the number of requests that each
+/// target received differs from its share by weight by at most one. The weights are therefore also
+/// respected on a node with few requests.
 class WeightedRoundRobin {
  public:
   /// Selects the target of the next request.
-  /// \param name identifies the group of targets; its state is reset if the number of targets
-  /// changes \param weights non-negative; at least one \return index of the selected target
+  /// \param name name of the group of targets; its state is reset if its number of targets changes
+  /// \param weights weights of the targets; at least one target, no negative weights
+  /// \return the index of the selected target
   std::size_t next(const std::string& name, const std::vector<double>& weights);
 
  private:
