--- a/src/cypresswall/autoscaling/controller.cpp
+++ b/src/cypresswall/autoscaling/controller.cpp
@@ -12,8 +12,8 @@
 /// Interval at which the leader sends its next order to the platform and nodes send their demand to
 /// the leader.
 constexpr common::Duration kTickInterval = std::chrono::milliseconds(250);
-/// Minimum number of lasting engines that an order releases while preemptible engines replace them
-/// one by one; the last order may release fewer.
+/// Minimum number of lasting engines that an order releases while preemptible engines replace them;
+/// the last order may release fewer.
 constexpr std::uint32_t kMinimumShrinkStep = 4;
 /// Discovery of running engines counts as complete once the list of declared engines is not empty
 /// and has been unchanged for this long.
--- a/src/cypresswall/duties/collectors.h
+++ b/src/cypresswall/duties/collectors.h
@@ -28,8 +28,8 @@
   Collectors(const Collectors&) = delete;
   Collectors& operator=(const Collectors&) = delete;
 
-  /// \return the collectors in order of rank; the reference is valid until the next membership
-  ///   change
+  /// \return the collectors in order of rank, the first collector first; the reference stays valid,
+  ///   but its content is replaced after a membership change
   const std::vector<common::NodeId>& all() const {
     if (outdated_) {
       collectors_ = collectorsOf(membership_, count_);
--- a/src/cypresswall/duties/duty_platform.h
+++ b/src/cypresswall/duties/duty_platform.h
@@ -23,7 +23,7 @@
 /// Reason why a call failed.
 enum class DutyFailure : std::uint8_t {
   kUnavailable,     ///< the platform did nothing; a retry may succeed
-  kUnknownOutcome,  ///< no answer; the call may have taken effect or still take effect
+  kUnknownOutcome,  ///< no answer; the call may have taken effect, or do so seconds later
   kSuperseded,      ///< the platform has seen a higher fencing token
   kNoneAvailable,   ///< no engines of that kind are available in that zone now
   kInvalid,         ///< the platform rejected the call as malformed
--- a/src/cypresswall/orders/drain_table.h
+++ b/src/cypresswall/orders/drain_table.h
@@ -30,7 +30,7 @@
   void remove(const common::EngineName& engine);
   bool contains(const common::EngineName& engine) const { return added_at_.count(engine) != 0; }
   /// \return true if the engine is in the table and every live node that sends work to engines has
-  ///   acknowledged this
+  ///   acknowledged the drain of the engine
   bool acknowledged(const common::EngineName& engine) const;
   /// Announces the table again once DrainSettings::renewal_period has passed; called periodically
   /// while the lease is held.
--- a/src/cypresswall/orders/order_channel.h
+++ b/src/cypresswall/orders/order_channel.h
@@ -18,7 +18,7 @@
 enum class OrderResult : std::uint8_t {
   kTaken,             ///< the engine accepted this or an earlier copy of the order
   kBusy,              ///< streams or another order are running; the order stays open, see resend()
-  kStaleEpoch,        ///< the engine accepted a later holder's order; send it no more
+  kStaleEpoch,        ///< the engine accepted a later holder's order; send no more orders
   kWrongIncarnation,  ///< the engine restarted; nothing was done
   kConflict,          ///< the engine accepted a later or different order; nothing was done
   kAuthorityLost,     ///< the order was not sent: this node no longer holds the lease
