--- a/src/cypresswall/engines/engine_client.h
+++ b/src/cypresswall/engines/engine_client.h
@@ -13,17 +13,19 @@
 
 namespace cypresswall::engines {
 
-/// Receives the events of one attempt's stream. The last call is exactly one of onFinished and
-/// onFailed; nothing is called once the stream is cancelled. Clients forward the attempt number of
-/// each event unchecked: the handler must ignore events of other attempts.
+/// Receives the events of the stream of one attempt (see StreamRequest). The client does not check
+/// the attempt number that the engine put into an event: the handler must ignore events with the
+/// number of another attempt. The last call is either onFailed, or onFinished with the number of
+/// this attempt. Nothing is called once the stream is cancelled.
 class StreamHandler {
  public:
   virtual ~StreamHandler() = default;
-  /// Reports the rate limit announced by the engine's answer, whatever its status. Called once,
-  /// before all other calls; not called if the engine did not answer.
+  /// Reports what the engine's answer says about its rate limit (possibly that there is none),
+  /// whatever the HTTP status of the answer. Called once, before all other calls; not called if the
+  /// engine did not answer.
   virtual void onRateLimit(std::uint32_t /*attempt*/, const common::RateLimitNotice& /*notice*/) {}
-  /// Delivers status and headers of a passed-through answer, before its first token. Only called
-  /// for requests with StreamRequest::pass_through.
+  /// Delivers the HTTP status and headers of an answer that is passed through unchanged, before its
+  /// first token. Called only for requests with StreamRequest::pass_through set.
   virtual void onHead(std::uint32_t /*attempt*/, const AnswerHead& /*head*/) {}
   /// \param attempt attempt number from the event
   /// \param index position of the token in the whole answer, starting at 0
@@ -43,7 +45,7 @@
 
 enum class EngineFailure {
   kUnavailable,     ///< the request did not reach the engine
-  kUnknownOutcome,  ///< the engine may have acted; the same order should be sent again
+  kUnknownOutcome,  ///< the engine may have acted; an order should be sent again unchanged
   kMalformed,
 };
 
@@ -57,10 +59,12 @@
   /// function returns or after the returned object is destroyed.
   virtual std::unique_ptr<Stream> startStream(const EngineEndpoint& engine, StreamRequest request,
                                               StreamHandler& handler) = 0;
-  /// \return true if a later attempt can resume after a token with this text, passed as
-  ///   StreamRequest::last_token. Only called for passed-through requests.
+  /// \return true if a later attempt can continue the answer after a token with this text, which it
+  ///   then sends as StreamRequest::last_token. Called only for requests with
+  ///   StreamRequest::pass_through set.
   virtual bool marksPosition(const std::string& /*token*/) const { return true; }
-  /// Sends a fenced order. The callback is called exactly once, never before this function returns.
+  /// Sends an order, which the engine rejects if its epoch is outdated (see EngineOrder). The
+  /// callback is called exactly once, never before this function returns.
   virtual void sendOrder(const EngineEndpoint& engine, const EngineOrder& order,
                          EngineCallback<OrderReply> callback) = 0;
   virtual void fetchLoad(const EngineEndpoint& engine, EngineCallback<EngineLoad> callback) = 0;
--- a/src/cypresswall/engines/engine_json.cpp
+++ b/src/cypresswall/engines/engine_json.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kHexBase = 16;
 
-/// Limits how much of an unparseable answer is quoted in an error message.
+/// Maximum length of the part of an unparseable answer that is quoted in an error message.
 constexpr std::size_t kMaximumQuotedBytes = 200;
 
 std::string dumpJson(const Json& value) {
--- a/src/cypresswall/engines/engine_json.h
+++ b/src/cypresswall/engines/engine_json.h
@@ -24,7 +24,8 @@
   std::string error;
 };
 
-/// Parses the body of an error answer. If it can't be parsed, the stream may have run.
+/// Parses the body of an error answer. If the body can't be parsed, `not_run` is false in the
+/// result, since the stream may have run.
 StreamRefusal parseStreamRefusal(std::string_view json);
 
 }  // namespace cypresswall::engines
--- a/src/cypresswall/engines/http_stream.cpp
+++ b/src/cypresswall/engines/http_stream.cpp
@@ -45,7 +45,7 @@
   if (handler_ == nullptr) {
     return;
   }
-  // Moved to the stack while it parses, since the handler may destroy this object.
+  // The parser is moved to the stack while it runs, since the handler may destroy this object.
   SseParser parser = std::move(parser_);
   const std::weak_ptr<bool> alive = alive_;
   try {
@@ -73,7 +73,7 @@
 bool HttpStream::handleToken(const TokenEvent& event) {
   counters_.tokens.add();
   const std::weak_ptr<bool> alive = alive_;
-  // Copied, since the handler may destroy this object.
+  // The text is copied, since the handler may destroy this object.
   const std::string text = event.text;
   handler_->onToken(event.attempt, event.index, text);
   return !alive.expired();
@@ -81,7 +81,8 @@
 
 bool HttpStream::handleDone(const DoneEvent& event) {
   if (event.attempt == attempt_) {
-    // Reported only when the HTTP response is complete, so that its connection can be reused.
+    // The end is reported only when the HTTP response is complete, so that its connection can be
+    // reused.
     usage_ = event.usage;
     return false;
   }
--- a/src/cypresswall/engines/http_stream.h
+++ b/src/cypresswall/engines/http_stream.h
@@ -21,8 +21,9 @@
   common::Counter& failed;
 };
 
-/// Delivers each event as it arrives, with the attempt number that it carries; the handler decides
-/// which events belong to its answer. The done event of this attempt ends the stream.
+/// Delivers each event as it arrives, with the attempt number that the engine put into it; the
+/// handler decides which events belong to its answer. The stream ends with the done event that has
+/// the stream's own attempt number.
 class HttpStream final : public Stream, private runtime::CurlTransferHandler {
  public:
   HttpStream(runtime::CurlMulti& curl, runtime::CurlRequest request, std::uint32_t attempt,
@@ -38,7 +39,8 @@
   /// Reports the announced rate limit to the handler once, when the answer's head is first
   /// available.
   void reportRateLimit(const runtime::CurlResponse& head);
-  /// These return false if no more events are to be read: the stream ended or was destroyed.
+  /// The three handle functions return false if no more events are to be read, because the stream
+  /// has ended or the handler has destroyed this object.
   bool handleEvent(std::string_view data);
   bool handleToken(const TokenEvent& event);
   bool handleDone(const DoneEvent& event);
@@ -53,7 +55,8 @@
   TokenEvent token_;
   std::optional<StreamUsage> usage_;
   bool rate_limit_reported_ = false;
-  /// Expires with this object; detects that the handler destroyed it while events are parsed.
+  /// Weak pointers to this flag expire when this object is destroyed; the parsing loop uses them to
+  /// detect that the handler destroyed the object.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   /// Declared last so that it is destroyed first.
   std::unique_ptr<runtime::CurlTransfer> transfer_;
--- a/src/cypresswall/engines/sse_parser.h
+++ b/src/cypresswall/engines/sse_parser.h
@@ -10,20 +10,21 @@
 
 namespace cypresswall::engines {
 
-/// An event exceeds SseParser::kMaximumEventBytes.
+/// Thrown if an event exceeds SseParser::kMaximumEventBytes.
 class SseError : public common::Error {
  public:
   using common::Error::Error;
 };
 
 /// Accepts the bytes of one answer in chunks of any size. Lines end with LF or CR LF. Comments and
-/// fields other than "data" are ignored, as is an event without its terminating blank line.
+/// fields other than "data" are ignored. An event whose terminating blank line never arrives is
+/// ignored, too.
 class SseParser {
  public:
   static constexpr std::size_t kMaximumEventBytes = 1U << 20;
 
-  /// Calls `on_data(std::string_view)` for each event completed by `bytes`. If it returns false,
-  /// parsing stops permanently.
+  /// Calls `on_data(std::string_view)` for each event completed by `bytes`. If `on_data` returns
+  /// false, parsing stops permanently.
   /// \throws SseError, and whatever `on_data` throws
   template <typename OnData>
   void feed(std::string_view bytes, OnData&& on_data) {
--- a/src/cypresswall/engines/stream_event.h
+++ b/src/cypresswall/engines/stream_event.h
@@ -11,7 +11,7 @@
 
 namespace cypresswall::engines {
 
-/// An engine's answer violates the protocol.
+/// Thrown if an engine's answer violates the protocol.
 class EngineProtocolError : public common::Error {
  public:
   using common::Error::Error;
@@ -35,9 +35,9 @@
 /// Parses any stream event. \throws EngineProtocolError
 StreamEvent parseStreamEvent(std::string_view json);
 
-/// Parses the common form of a token event without building a JSON tree: a flat object with
-/// "attempt", "index" and "token" in any order, whose text has no escapes. For all input that it
-/// accepts, the result is the same as that of parseStreamEvent().
+/// Parses the common form of a token event without building a JSON tree. In this form the event is
+/// a flat object with "attempt", "index" and "token" in any order, and the token's text has no
+/// escapes. Where this function succeeds, `event` is what parseStreamEvent() would return.
 /// \return false if `json` has any other form; `event` is then unspecified.
 bool parseTokenEventFast(std::string_view json, TokenEvent& event);
 
