--- a/src/cypresswall/object_store/http_object_store.cpp
+++ b/src/cypresswall/object_store/http_object_store.cpp
@@ -10,7 +10,7 @@
 using runtime::CurlRequest;
 using runtime::CurlResponse;
 
-/// Added to a watch's poll time for the network round trip.
+/// The time limit of a watch request exceeds its poll time by this, for the network round trip.
 constexpr auto kWatchMargin = std::chrono::seconds(2);
 
 }  // namespace
@@ -34,7 +34,7 @@
   sent.connection_use = runtime::ConnectionUse::kFresh;
   curl_.fetch(std::move(sent), [this, write = std::move(write),
                                 callback = std::move(callback)](const CurlResponse& response) {
-    // A version conflict caused by an earlier attempt of the same write counts as success.
+    // A version conflict counts as success if an earlier attempt of the same write caused it.
     const auto own = [&](const StoredObject& stored) {
       return stored.change_id == write.change_id && stored.version == write.expected_version + 1;
     };
--- a/src/cypresswall/object_store/http_object_store.h
+++ b/src/cypresswall/object_store/http_object_store.h
@@ -15,12 +15,12 @@
   common::Duration connect_time_limit = std::chrono::seconds(1);
   common::Duration read_time_limit = std::chrono::seconds(3);
   common::Duration write_time_limit = std::chrono::seconds(3);
-  /// Long-poll time: how long the store may hold a watch without changes.
+  /// Long-poll time: how long the store may hold a watch request while nothing changes.
   common::Duration watch_poll_time = std::chrono::seconds(5);
 };
 
-/// A failed write is kUnavailable only if no byte was sent or the store reported that it did not
-/// carry out the write.
+/// The client reports a failed write as kUnavailable only if no byte was sent or the store reported
+/// that it did not carry out the write.
 /// \pre `curl` and `counters` outlive the client
 class HttpObjectStore final : public ObjectStore {
  public:
--- a/src/cypresswall/object_store/machine_list.h
+++ b/src/cypresswall/object_store/machine_list.h
@@ -1,4 +1,4 @@
-/// The platform's list of live and leaving machines, which may lag behind reality.
+/// The platform's list of live and leaving machines, which may be out of date.
 #pragma once
 
 #include <functional>
--- a/src/cypresswall/object_store/object_store.h
+++ b/src/cypresswall/object_store/object_store.h
@@ -23,11 +23,12 @@
 /// One stored object.
 struct StoredObject {
   std::string key;
-  /// Version of this object, from 1; zero means "does not exist" in compare-and-set.
+  /// Version of this object, starting at 1. As expected version of a compare-and-set, zero means
+  /// that the object must not exist.
   std::uint64_t version = 0;
   std::string value;
-  /// Identifier that the writer chose for its write; shows after a lost answer whether the write
-  /// took effect.
+  /// Identifier that the writer chose for its latest write. After a lost answer it shows the writer
+  /// whether the write took effect.
   std::string change_id;
 };
 
@@ -60,7 +61,7 @@
   virtual void compareAndSet(ObjectWrite write, StoreCallback<StoredObject> callback) = 0;
   virtual void list(const std::string& prefix, StoreCallback<ObjectListing> callback) = 0;
   /// Waits for changes under `prefix` after `revision` (long poll); an empty listing means that
-  /// nothing changed within the poll time. Changes may be missing from the listing.
+  /// nothing changed within the poll time. The store may leave out some changes from the listing.
   virtual void watch(const std::string& prefix, std::uint64_t revision,
                      StoreCallback<ObjectListing> callback) = 0;
 };
--- a/src/cypresswall/object_store/platform_json.h
+++ b/src/cypresswall/object_store/platform_json.h
@@ -17,10 +17,10 @@
   using common::Error::Error;
 };
 
-/// \return the body of a PUT; the key is part of the path.
+/// \return the body of the PUT request; it does not contain the key, which is part of the path.
 std::string objectWriteJson(const ObjectWrite& write);
 
-/// Each parses the body of one answer. \throws PlatformProtocolError
+/// Each function parses the body of one kind of answer. \throws PlatformProtocolError
 StoredObject parseStoredObject(std::string_view json);
 ObjectListing parseObjectListing(std::string_view json);
 std::vector<Machine> parseMachines(std::string_view json);
--- a/src/cypresswall/object_store/store_answer.cpp
+++ b/src/cypresswall/object_store/store_answer.cpp
@@ -20,7 +20,7 @@
   return "status " + std::to_string(response.status);
 }
 
-/// \return true if the status means that a write was not carried out.
+/// \return true if an answer with this status means that the store did not carry out the write.
 bool refusesWrite(int status) {
   return status == kStatusUnavailable ||
          (status >= kStatusBadRequest && status < kStatusServerError);
@@ -33,7 +33,7 @@
     stored = parse(response.body);
     return own(stored);
   } catch (const PlatformProtocolError&) {
-    return false;  // The status alone makes it a conflict.
+    return false;  // An unreadable body does not show that the stored object is our own write.
   }
 }
 
--- a/src/cypresswall/object_store/store_answer.h
+++ b/src/cypresswall/object_store/store_answer.h
@@ -36,8 +36,8 @@
 /// \return the failure of a read, or nothing if the body contains the result.
 std::optional<common::Failure<StoreFailure>> readFailure(const runtime::CurlResponse& response);
 
-/// \return the failure of a write, or nothing if the body contains the object as written.
-///   kUnavailable only if no byte was sent or the store reported that it did nothing.
+/// \return the failure of a write, or nothing if the body contains the object as written. The
+///   failure is kUnavailable only if no byte was sent or the store reported that it did nothing.
 std::optional<common::Failure<StoreFailure>> writeFailure(const runtime::CurlResponse& response);
 
 /// Converts the answer to a read into a result.
@@ -57,7 +57,8 @@
 /// Converts the answer to a write into a result.
 /// \param parse throws PlatformProtocolError if it cannot parse the body
 /// \param own returns true if the stored object that caused a conflict was written by an earlier
-///   attempt of the same write; the write then took effect and is no conflict
+///   attempt of the same write; the write then took effect, and the result is the stored object
+///   instead of a conflict
 StoreResult<StoredObject> writeResult(const runtime::CurlResponse& response,
                                       const std::function<StoredObject(std::string_view)>& parse,
                                       const std::function<bool(const StoredObject&)>& own);
