--- a/src/cypresswall/store_relay/change_history.h
+++ b/src/cypresswall/store_relay/change_history.h
@@ -1,5 +1,5 @@
-/// The latest changes of one topic of the store that a node has read, kept for peers that request
-/// them.
+/// The latest changes that a node has read of one topic of the store (see Topic), kept for peers
+/// that request them.
 #pragma once
 
 #include <cstddef>
@@ -17,19 +17,20 @@
   /// \param maximum_bytes limit on the names and contents kept; older batches are evicted
   explicit ChangeHistory(std::size_t maximum_bytes) : maximum_bytes_(maximum_bytes) {}
 
-  /// Drops the history after the node read all objects again at `revision`.
+  /// Drops all kept changes. Called after the node has read all objects anew, as of `revision`.
   void restart(std::uint64_t revision);
   /// \param changes all changes after revision() and up to `revision`
   void add(std::vector<StoreChange> changes, std::uint64_t revision);
-  /// \return all changes after `revision`, or nothing if they are no longer kept or exceed
-  ///   `maximum_bytes`. May include changes up to `revision`, since batches are returned whole.
+  /// \return all changes after `revision`, or nothing if some of them are no longer kept or the
+  ///   result would exceed `maximum_bytes`. May include some changes that are not after `revision`,
+  ///   since batches are returned whole.
   std::optional<std::vector<StoreChange>> since(std::uint64_t revision,
                                                 std::size_t maximum_bytes) const;
   /// \return revision up to which all changes are known
   std::uint64_t revision() const { return revision_; }
   /// \return revision of the last batch of changes, or of the last restart
   std::uint64_t changed() const { return changed_; }
-  /// \return size of the last batch of changes in bytes; zero if none is kept
+  /// \return size of the last batch of changes in bytes; zero if no batch is kept
   std::uint32_t newestBytes() const {
     return batches_.empty() ? 0 : static_cast<std::uint32_t>(batches_.back().bytes);
   }
@@ -44,7 +45,7 @@
   void dropOldest();
 
   const std::size_t maximum_bytes_;
-  /// Changes after this revision are kept.
+  /// All changes after this revision are still kept.
   std::uint64_t begin_ = 0;
   std::uint64_t changed_ = 0;
   std::uint64_t revision_ = 0;
--- a/src/cypresswall/store_relay/change_packer.cpp
+++ b/src/cypresswall/store_relay/change_packer.cpp
@@ -123,7 +123,7 @@
 Json ChangePacker::patched(const StoreChange& change) const {
   const auto before = large_.find(change.name);
   if (before == large_.end() || before->second.revision >= change.revision) {
-    // A later version is held, so that the caller ignores this change.
+    // There is no base, or this version or a later one is already held; the caller stores nothing.
     return before == large_.end() ? Json() : before->second.content;
   }
   const auto text = inflated(change.content);
--- a/src/cypresswall/store_relay/change_packer.h
+++ b/src/cypresswall/store_relay/change_packer.h
@@ -1,7 +1,7 @@
-/// Encodes changes read from the platform's store for peers: a large object as the compressed
-/// difference to its previous version. A thousand additional routes enlarge the configuration by
-/// some 400 KB, which take ten seconds over a 10 Mbit/s link that is busy with requests; the
-/// difference takes a tenth of that.
+/// Encodes changes that a node has read from the platform's store for transfer to its peers. A
+/// large object is encoded as the compressed difference to its previous version: a thousand
+/// additional routes enlarge the configuration by some 400 KB, which take ten seconds over a 10
+/// Mbit/s link that is busy with requests; the difference takes a tenth of that time.
 #pragma once
 
 #include <cstddef>
@@ -17,31 +17,33 @@
 namespace cypresswall::store_relay {
 
 struct ChangePackerSettings {
-  /// Smaller contents are sent uncompressed.
+  /// Contents smaller than this are sent uncompressed.
   std::size_t packed_from_bytes = std::size_t{2} << 10;
-  /// Maximum size of an unpacked content; above the store's size limit of one object.
+  /// Maximum size of a content after unpacking. Larger than any object that the store accepts.
   std::size_t maximum_bytes = std::size_t{4} << 20;
 };
 
-/// Keeps the last seen version of each object of one topic, as base of differences and as a full
-/// copy for nodes that have none.
+/// Keeps the newest known version of each object of one topic. The versions are the bases of
+/// differences, and are sent in full to nodes that have no copy yet.
 class ChangePacker {
  public:
   using Json = nlohmann::json;
 
   explicit ChangePacker(const ChangePackerSettings& settings = {}) : settings_(settings) {}
 
-  /// Stores the content of an object that was put, without packing it.
+  /// Stores the content of an object that was created or replaced, without packing it.
   void storePlain(const std::string& name, std::uint64_t revision, const Json& content);
-  /// Packs an object that was put, and stores its content.
+  /// Packs an object that was created or replaced, and stores its content.
   StoreChange packPut(const std::string& name, std::uint64_t revision, const Json& content);
   StoreChange packRemoval(const std::string& name, std::uint64_t revision);
-  /// \return all objects, packed without a base
+  /// \return all objects, none of them encoded as a difference
   std::vector<StoreChange> packAll() const;
-  /// \return false if neither the base of the change nor a later version is held
+  /// \return false if the change is a difference and this object holds neither the version that the
+  ///   difference is based on nor the version that it leads to, nor a later one
   bool canUnpack(const StoreChange& change) const;
-  /// Unpacks and stores the content of an object that was put.
-  /// \return the content; null if it cannot be parsed
+  /// Unpacks and stores the content of an object that was created or replaced; forgets an object
+  /// that was removed.
+  /// \return the content; null if it cannot be parsed or the object was removed
   /// \pre canUnpack(), and all earlier changes were unpacked
   Json unpack(const StoreChange& change);
 
@@ -50,7 +52,7 @@
     std::uint64_t revision = 0;
     Json content;
   };
-  /// A small object, as text.
+  /// A version of an object smaller than `packed_from_bytes`, as JSON text.
   struct SmallVersion {
     std::uint64_t revision = 0;
     std::string text;
--- a/src/cypresswall/store_relay/messages.h
+++ b/src/cypresswall/store_relay/messages.h
@@ -22,25 +22,28 @@
   return topic == Topic::kListedEngines ? "listed-engines" : "declared-fleet";
 }
 
-/// Sent by a reader to its zone at each change and each announcement interval, while the store
-/// answers it, to announce the revision up to which it has read. In a large zone each node forwards
-/// it to a few others once it has the announced changes itself.
+/// Announces the revision up to which a reader (a node that polls the store for its zone) has read
+/// the topic. The reader sends it to its zone after each change and at each announcement interval,
+/// as long as the store answers the reader. In a large zone each node forwards the announcement to
+/// a few others once the node has the announced changes itself.
 struct Announcement {
   static constexpr auto kType = api::messageType(api::MessageType::kStoreRelayFirst, 0);
   std::uint8_t topic = 0;
   /// Revision of the store at the last batch of changes.
   std::uint64_t changed = 0;
-  /// Revision up to which the sender has read; there was no change after `changed`.
+  /// Revision up to which the reader has read. Nothing changed after `changed` and up to this
+  /// revision.
   std::uint64_t seen = 0;
   /// Size of the last batch of changes in bytes.
   std::uint32_t bytes = 0;
-  /// The announcing reader, and the sequence number of its announcements of the topic.
+  /// The reader that made the announcement; another node may have forwarded it.
   common::NodeId reader;
+  /// Number of the announcement among those that the reader made of the topic, starting at 1.
   std::uint64_t sequence = 0;
   MSGPACK_DEFINE(topic, changed, seen, bytes, reader, sequence)
 };
 
-/// Requests all changes after `revision` from a peer; all objects if that is zero.
+/// Requests all changes after `revision` from a peer; all objects if `revision` is zero.
 struct ChangesRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kStoreRelayFirst, 1);
   std::uint8_t topic = 0;
@@ -50,13 +53,14 @@
 
 /// Encoding of an object's content.
 enum class ContentEncoding : std::uint8_t {
-  kPlain = 0,   ///< as the platform's adapter encodes it
-  kPacked = 1,  ///< the same, compressed
-  /// A compressed JSON patch (RFC 6902) to the version of StoreChange::base_revision.
+  kPlain = 0,   ///< the content as the platform's adapter encodes it
+  kPacked = 1,  ///< the plain content, compressed
+  /// A compressed JSON patch (RFC 6902) that is applied to the object's version of revision
+  /// StoreChange::base_revision.
   kPackedDifference = 2,
 };
 
-/// One object that was put or removed.
+/// One change of an object, which was either put (created or replaced) or removed.
 struct StoreChange {
   std::string name;
   /// Revision of the store at the object's last change.
@@ -74,12 +78,12 @@
 struct ChangesReply {
   static constexpr auto kType = api::messageType(api::MessageType::kStoreRelayFirst, 2);
   std::uint8_t topic = 0;
-  /// False if the sender no longer has the requested changes or they are too large; the receiver
-  /// then reads them from the store.
+  /// False if the sender does not have all the requested changes or they are too large for a reply;
+  /// the receiver then reads them from the store.
   bool available = false;
   /// Revision up to which `changes` is complete.
   std::uint64_t revision = 0;
-  /// In the order in which they were made.
+  /// The requested changes, in the order in which they were made.
   std::vector<StoreChange> changes;
   MSGPACK_DEFINE(topic, available, revision, changes)
 };
--- a/src/cypresswall/store_relay/store_copy.h
+++ b/src/cypresswall/store_relay/store_copy.h
@@ -1,4 +1,5 @@
-/// A node's copy of one topic of the platform's store, as the platform's adapter keeps it.
+/// A node's copy of the objects of one topic of the platform's store. Implemented by the platform's
+/// adapter.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +16,8 @@
   virtual std::uint64_t revision() const = 0;
   /// \return true while a call to the store is in flight or scheduled
   virtual bool callPending() const = 0;
-  /// Requests the changes from the store immediately, replacing a pending long poll; all objects if
-  /// none are known yet.
+  /// Requests the changes after revision() from the store immediately, or all objects if revision()
+  /// is zero. The request replaces a pending long poll.
   virtual void fetchFromStore() = 0;
   /// \return all objects as of revision(), for a peer that has no copy
   virtual std::vector<StoreChange> allObjects() const = 0;
--- a/src/cypresswall/store_relay/store_relay.cpp
+++ b/src/cypresswall/store_relay/store_relay.cpp
@@ -9,8 +9,8 @@
 namespace cypresswall::store_relay {
 namespace {
 
-/// Number of readers whose sequence numbers are kept. Beyond it all are dropped, including those of
-/// readers that have left the zone.
+/// Once the sequence numbers of more readers than this are kept, all are dropped, so that those of
+/// readers that have left the zone do not accumulate.
 constexpr std::size_t kRememberedReaders = 32;
 
 }  // namespace
@@ -357,7 +357,7 @@
   context_.sendTo(sender, reply);
 }
 
-/// Changes in a reply that arrives after its timeout are still applied.
+/// Applies the changes in a reply even if the reply arrives after the pull has timed out.
 void StoreRelay::onReply(const common::NodeId& sender, const ChangesReply& reply) {
   TopicState* const followed = find(reply.topic);
   if (followed == nullptr) {
--- a/src/cypresswall/store_relay/store_relay.h
+++ b/src/cypresswall/store_relay/store_relay.h
@@ -3,10 +3,10 @@
 /// poll the store frequently and announce the revision that they have read. The other nodes pull
 /// changes from a reader and call the store only if no reader has announced recently or if a reader
 /// cannot provide the changes. A starting node copies all objects from a peer. The number of store
-/// calls therefore does not grow with the number of nodes, and each change is sent to each node
-/// once instead of between all pairs. In a large zone announcements are forwarded along a tree
-/// rooted at the reader, and each node pulls from the node that it got the announcement from, so
-/// that no node serves more than a few.
+/// calls therefore does not grow with the number of nodes, and each node receives each change once
+/// rather than from every other node. In a large zone announcements are forwarded along a tree
+/// rooted at the reader. Each node then pulls changes from the node that forwarded the announcement
+/// to it, so that no node serves more than a few others.
 #pragma once
 
 #include <cstdint>
@@ -26,40 +26,47 @@
 struct StoreRelaySettings {
   /// Number of readers of each topic in a zone.
   std::size_t readers = 3;
-  /// Up to this zone size a reader sends announcements to all nodes itself; in larger zones each
-  /// node forwards them to `fan_out` others.
+  /// In a zone of at most this many nodes a reader sends its announcements to all nodes itself; in
+  /// a larger zone the nodes forward them along a tree.
   std::size_t star_limit = 24;
+  /// Maximum number of nodes to which each node of the tree sends an announcement.
   std::size_t fan_out = 4;
-  /// Long-poll time of a reader, and of another node that receives no announcements.
+  /// Long-poll time of a reader's store calls.
   common::Duration reader_poll_time = std::chrono::milliseconds(1000);
+  /// Long-poll time of the store calls of other nodes, which poll only while they receive no
+  /// announcements.
   common::Duration other_poll_time = std::chrono::seconds(3);
-  /// Interval between announcements while nothing changes. With tree forwarding only the
-  /// highest-ranked reader sends them; the others start after two missed announcements.
+  /// Interval between announcements while nothing changes. In a zone larger than `star_limit` only
+  /// the highest-ranked reader sends them; the other readers start to send them after two intervals
+  /// without an announcement.
   common::Duration announcement_interval = std::chrono::milliseconds(300);
   /// A reader that the store has not answered for this long stops announcing. Must exceed
-  /// reader_poll_time, since the store may hold a poll that long.
+  /// `reader_poll_time`, since the store may hold a poll for that long before it answers.
   common::Duration store_contact_limit = std::chrono::milliseconds(1300);
-  /// A node that received no announcement for this long reads the store itself. This plus the time
-  /// of a store call must stay below the time within which a change must take effect.
+  /// A node that received no announcement for this long reads the store itself. This time plus the
+  /// duration of a store call must stay below the time within which a change must take effect.
   common::Duration announcement_timeout = std::chrono::milliseconds(900);
   /// Time that a node with a pending store call waits for that call to return an announced change
   /// before it pulls the change from the reader.
   common::Duration pending_call_grace = std::chrono::milliseconds(100);
-  /// A node whose pull is not answered within this plus the estimated transfer time reads the store
-  /// instead.
+  /// A node whose pull is not answered within this time plus the estimated transfer time reads the
+  /// store instead.
   common::Duration reply_timeout = std::chrono::milliseconds(200);
-  /// A node without any objects that gets no copy from a peer within this reads the store. Must
-  /// exceed two announcement intervals.
+  /// A node that has no objects yet reads the store if it gets no copy from a peer within this
+  /// time. Must exceed two announcement intervals.
   common::Duration copy_timeout = std::chrono::milliseconds(1200);
-  /// A store call is not replaced by another one before this plus the estimated transfer time. If
-  /// it were replaced each time that a reader cannot provide a change, it would never complete over
-  /// a busy link. Must exceed the 2 s after which a dead connection is detected.
+  /// A node does not replace its pending store call by a new one until this time plus the estimated
+  /// transfer time has passed. If a node replaced its call each time that a reader cannot provide a
+  /// change, no call would complete over a busy link. Must exceed the 2 s after which a dead
+  /// connection is detected.
   common::Duration minimum_call_time = std::chrono::milliseconds(2500);
-  /// Bandwidth that a 10 Mbit/s link busy with requests leaves to one connection.
+  /// Assumed bandwidth for estimates of transfer times: what a 10 Mbit/s link that is busy with
+  /// requests leaves to one connection.
   std::size_t slow_bytes_per_second = std::size_t{64} << 10;
-  /// Maximum size of the changes kept for peers, and of those sent in one reply. The replies go out
-  /// over the links with the highest bandwidth, since these nodes are the readers.
+  /// Maximum size of the changes of a topic that a node keeps for its peers.
   std::size_t history_bytes = std::size_t{512} << 10;
+  /// Maximum size of the changes sent in one reply. Replies go out over the links with the highest
+  /// bandwidth, since the nodes with these links are the readers.
   std::size_t reply_bytes = std::size_t{128} << 10;
 };
 
@@ -77,10 +84,10 @@
 
   /// To be called when all objects were read from the store, as of `revision`.
   void listed(Topic topic, std::uint64_t revision);
-  /// To be called when the store answered this node's call for changes, possibly with none.
+  /// To be called when the store has answered this node's call for changes. `changes` may be empty.
   void read(Topic topic, std::vector<StoreChange> changes, std::uint64_t revision);
-  /// \return how long the copy has lacked a change that a reader announced; nothing if it is up to
-  ///   date
+  /// \return how long the copy has lacked a change that a reader announced; nothing if the copy is
+  ///   up to date
   std::optional<common::Duration> outdatedFor(Topic topic) const;
   /// \return the long-poll time of this node's next store call, or nothing if this node currently
   ///   relies on its zone's readers
@@ -97,7 +104,7 @@
     std::optional<common::MonotonicTime> last_store_answer_time;
     /// Time of this node's last store call for changes that readers could not provide.
     std::optional<common::MonotonicTime> asked_time;
-    /// Since when the copy has lacked an announced change; meaningless if it is up to date.
+    /// Since when the copy has lacked an announced change; meaningless if the copy is up to date.
     common::MonotonicTime behind_since{};
     /// Time of the last announcement of any reader.
     std::optional<common::MonotonicTime> last_announcement_time;
@@ -105,14 +112,15 @@
     std::optional<common::MonotonicTime> higher_reader_time;
     /// Sequence number of the last announcement of each reader.
     std::map<common::NodeId, std::uint64_t> sequences;
-    /// Announcements that are forwarded once this node has the announced changes.
+    /// The latest announcement of each reader, if this node still has to forward it: it does so
+    /// once it has the announced changes.
     std::map<common::NodeId, Announcement> waiting;
     std::uint64_t own_sequence = 0;
     /// Time of the first attempt to get a copy while this node has no objects yet.
     std::optional<common::MonotonicTime> copy_requested_since;
     /// Revision of the newest announced change.
     std::uint64_t announced = 0;
-    /// Size of that change in bytes.
+    /// Size in bytes of the batch of changes that `announced` refers to.
     std::uint32_t announced_bytes = 0;
     /// Timer of a pull that is scheduled or waits for its reply; zero if there is none.
     common::TimerId pull_timer = 0;
@@ -132,14 +140,16 @@
   /// \return true if a higher-ranked reader makes the regular announcements
   bool defersAnnouncing(const TopicState& followed) const;
   bool starTopology() const;
-  /// Forwards an announcement to this node's children in the reader's broadcast tree.
+  /// Sends an announcement to this node's children in the reader's broadcast tree; in a small zone,
+  /// all other nodes are children of the reader.
   void fanOut(const Announcement& announcement);
   void fanOutWaiting(TopicState& followed);
   /// Records the sequence number of an announcement.
   /// \return false if this or a later announcement of the reader was already received
   static bool recordSequence(TopicState& followed, const Announcement& announcement);
   using Rank = std::pair<std::uint64_t, std::uint64_t>;
-  /// \return the node's rank among the candidates for readers of the topic
+  /// \return the node's rank for the choice of the topic's readers; the nodes with the highest
+  ///   ranks are readers
   Rank rankOf(Topic topic, const common::NodeId& node) const;
   bool isReader(Topic topic) const;
   bool withinLimit(const std::optional<common::MonotonicTime>& time, common::Duration limit) const;
