--- a/src/cypresswall/runtime/asio_scheduler.h
+++ b/src/cypresswall/runtime/asio_scheduler.h
@@ -10,7 +10,8 @@
 
 namespace cypresswall::runtime {
 
-/// Runs callbacks on the thread that runs `context`. Destroying it drops all pending callbacks.
+/// Runs callbacks on the thread that runs `context`. Destroying the scheduler drops all pending
+/// callbacks.
 class AsioScheduler final : public common::Scheduler {
  public:
   explicit AsioScheduler(asio::io_context& context);
--- a/src/cypresswall/runtime/bounded_line_writer.cpp
+++ b/src/cypresswall/runtime/bounded_line_writer.cpp
@@ -46,7 +46,7 @@
 
 bool BoundedLineWriter::writeSome() {
   const std::string& line = lines_.front();
-  // A pipe that poll() reports as writable accepts this much without blocking.
+  // A pipe that poll() reports as writable accepts PIPE_BUF bytes without blocking.
   const std::size_t size = std::min<std::size_t>(line.size() - first_written_, PIPE_BUF);
   const ssize_t written = ::write(descriptor_, line.data() + first_written_, size);
   if (written < 0) {
--- a/src/cypresswall/runtime/bounded_line_writer.h
+++ b/src/cypresswall/runtime/bounded_line_writer.h
@@ -8,8 +8,8 @@
 
 namespace cypresswall::runtime {
 
-/// Lines that the descriptor does not accept are buffered up to a limit and written with later
-/// ones; lines beyond the limit are dropped and counted. A partially written line is completed
+/// Lines that the descriptor does not accept are buffered up to a limit and written before later
+/// lines; lines beyond the limit are dropped and counted. A partially written line is completed
 /// before the next one.
 class BoundedLineWriter {
  public:
@@ -22,10 +22,11 @@
   void write(std::string line);
   /// Writes what the descriptor accepts now. \return true if the buffer is empty
   bool flush();
-  /// Waits up to `milliseconds` for the descriptor to accept the rest; for use at process exit.
+  /// Writes the buffered lines, waiting up to `milliseconds` each time that the descriptor accepts
+  /// nothing; for use at process exit.
   void flushWithin(int milliseconds);
-  /// \return lines dropped since the last call; zero while lines are buffered, so that a report of
-  ///   the loss follows the buffered lines
+  /// \return the number of dropped lines that no earlier call returned; zero while lines are
+  ///   buffered, so that a report of the loss follows the buffered lines
   std::uint64_t takeDropped();
   std::size_t bufferedBytes() const { return buffered_bytes_; }
 
--- a/src/cypresswall/runtime/curl_job.cpp
+++ b/src/cypresswall/runtime/curl_job.cpp
@@ -13,7 +13,8 @@
 constexpr int kStatusOk = 200;
 /// Longer error bodies are truncated; they are only used in messages for people.
 constexpr std::size_t kMaximumErrorBodyBytes = 64U << 10;
-/// The minimum that libcurl allows: prompts are sent rarely, but many streams are open at once.
+/// Size of the send buffer of each request. It is the minimum that libcurl allows: many streams are
+/// open at once, but each sends only its prompt, at its start.
 constexpr long kUploadBufferBytes = 16L << 10;
 
 long milliseconds(common::Duration duration) {
@@ -118,7 +119,7 @@
     list = curl_slist_append(list, line.c_str());
   }
   if (!has_content_type) {
-    // Otherwise libcurl would label every body as form data.
+    // Without this entry libcurl would label every body as form data.
     list = curl_slist_append(list, "Content-Type:");
   }
   header_list_.reset(list);
--- a/src/cypresswall/runtime/curl_job.h
+++ b/src/cypresswall/runtime/curl_job.h
@@ -20,8 +20,8 @@
   void operator()(curl_slist* list) const { curl_slist_free_all(list); }
 };
 
-/// A request in progress. Exactly one of `handler` and `callback` is set until it ends or is
-/// abandoned.
+/// A request in progress. Exactly one of `handler` and `callback` is set until the request ends or
+/// is abandoned.
 class CurlJob {
  public:
   /// \param easy a handle without options; if empty, a new one is created
@@ -34,8 +34,8 @@
   /// null.
   CurlEasyPointer takeEasy();
   const CurlRequest& request() const { return request_; }
-  /// Called when the owner is destroyed: no further callbacks are made, and the next byte received
-  /// ends the request.
+  /// Called when the owner of the request is destroyed. No further calls to `handler` or `callback`
+  /// are made, and the next byte received ends the request.
   void abandon();
   bool abandoned() const { return handler_ == nullptr && !callback_; }
   /// Reports the end of the request to its owner.
--- a/src/cypresswall/runtime/curl_multi.cpp
+++ b/src/cypresswall/runtime/curl_multi.cpp
@@ -19,7 +19,8 @@
 
 using JobPointer = std::shared_ptr<CurlJob>;
 
-/// Number of handles kept for reuse; more requests than this rarely end at the same time.
+/// Maximum number of idle handles kept for reuse. More requests than this rarely end at the same
+/// time.
 constexpr std::size_t kMaximumIdleHandles = 32;
 
 /// libcurl must be initialized once per process, before any other call to it.
@@ -32,7 +33,7 @@
 
 }  // namespace
 
-/// Owns the multi handle. Handlers queued in Asio hold weak references to it.
+/// Owns the multi handle. Handlers queued in Asio hold weak references to the driver.
 class CurlMulti::Driver : public std::enable_shared_from_this<CurlMulti::Driver> {
  public:
   Driver(asio::io_context& context, const CurlMultiSettings& settings);
@@ -131,7 +132,8 @@
 }
 
 void CurlMulti::Driver::recycle(CurlJob& job) {
-  // Streams use a different buffer size and rarely end.
+  // Handles with another buffer size belong to streams. They are not kept, since streams rarely
+  // end.
   const bool usual = job.request().buffer_bytes == CurlRequest{}.buffer_bytes;
   if (usual && !job.added && idle_handles_.size() < kMaximumIdleHandles) {
     idle_handles_.push_back(job.takeEasy());
@@ -236,7 +238,7 @@
     sockets_->forget(handle);
     return;
   }
-  // If the socket can't be watched, the time limits of its request apply.
+  // If the socket can't be watched, its request ends when one of its time limits expires.
   sockets_->watch(handle, {(what & CURL_POLL_IN) != 0, (what & CURL_POLL_OUT) != 0});
 }
 
--- a/src/cypresswall/runtime/curl_multi.h
+++ b/src/cypresswall/runtime/curl_multi.h
@@ -14,13 +14,14 @@
 
 namespace cypresswall::runtime {
 
-/// libcurl can't be initialized; not recoverable.
+/// Thrown if libcurl can't be initialized or can't allocate a handle; not recoverable.
 class CurlError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// Receives the response to one request. It may destroy the transfer and start others in any call.
+/// Receives the response to one request. In any call the handler may destroy the transfer and start
+/// other requests.
 class CurlTransferHandler {
  public:
   virtual ~CurlTransferHandler() = default;
@@ -59,18 +60,20 @@
   CurlMulti& operator=(const CurlMulti&) = delete;
 
   /// Starts a request whose body is streamed. `handler` must outlive the returned object and is
-  /// never called before this returns.
+  /// never called before start() returns.
   std::unique_ptr<CurlTransfer> start(CurlRequest request, CurlTransferHandler& handler);
   /// Performs a request and passes its complete response; `callback` is called exactly once, never
-  /// before this returns, unless the CurlMulti is destroyed first.
+  /// before fetch() returns, unless the CurlMulti is destroyed first.
   void fetch(CurlRequest request, std::function<void(CurlResponse)> callback);
-  /// Like fetch(), but destroying the returned object aborts the request without a call.
+  /// Like fetch(), but destroying the returned object aborts the request without calling
+  /// `callback`.
   std::unique_ptr<CurlTransfer> startFetch(CurlRequest request,
                                            std::function<void(CurlResponse)> callback);
 
   /// \return number of requests in progress.
   std::size_t running() const;
-  /// Requests to blocked peers fail as not sent; test builds only.
+  /// \return the switch that blocks peers; effective in test builds only. Requests to blocked peers
+  ///   end as kNotSent.
   FaultSwitch& faultSwitch();
 
  private:
--- a/src/cypresswall/runtime/curl_request.h
+++ b/src/cypresswall/runtime/curl_request.h
@@ -26,8 +26,8 @@
   kOnce,
 };
 
-/// A request is sent at most once: where libcurl would retry it on another connection by itself, it
-/// ends as kBroken.
+/// CurlMulti sends a request at most once. Where libcurl by itself would retry a request on another
+/// connection, the request ends as kBroken.
 struct CurlRequest {
   std::string method = "GET";
   common::Address address;
@@ -37,15 +37,15 @@
   std::string body;
   ConnectionUse connection_use = ConnectionUse::kReuse;
   common::Duration connect_time_limit = std::chrono::seconds(1);
-  /// Time limit of the whole request; zero for none.
+  /// Time limit of the whole request; zero for no limit.
   common::Duration total_time_limit{0};
-  /// Maximum time without a byte received, in whole seconds; zero for none.
+  /// Maximum time without a received byte, rounded up to whole seconds; zero for no limit.
   common::Duration idle_time_limit{0};
-  /// A connection whose peer acknowledges nothing for this long, in whole seconds, is closed; idle
-  /// connections are probed with TCP keepalive. Applies to connections opened by this request. Zero
-  /// for the system's default.
+  /// A connection whose peer acknowledges nothing for this long, rounded up to whole seconds, is
+  /// closed; idle connections are probed with TCP keepalive. Applies only to a connection that this
+  /// request opens. Zero selects the system's default.
   common::Duration dead_peer_limit{0};
-  /// A response with a longer body fails. Zero, as used by streams, for none.
+  /// A request whose response has a longer body fails. Zero, which streams use, means no limit.
   std::size_t maximum_body_bytes = 16U << 20;
   /// Size of the receive buffer of this request.
   std::size_t buffer_bytes = 16U << 10;
--- a/src/cypresswall/runtime/fault_switch.h
+++ b/src/cypresswall/runtime/fault_switch.h
@@ -36,7 +36,7 @@
     return kFaultSwitchesCompiled && matchesAny(blocked_.receiving_from, address);
   }
 
-  /// \return true if any entry matches `address`; in all builds, for tests.
+  /// \return true if any entry matches `address`. Works in all builds, so that tests can call it.
   static bool matchesAny(const std::vector<std::string>& entries, const common::Address& address);
 
  private:
--- a/src/cypresswall/runtime/incoming_peer.h
+++ b/src/cypresswall/runtime/incoming_peer.h
@@ -11,8 +11,8 @@
 
 namespace cypresswall::runtime {
 
-/// Reads frames until the connection is closed. \pre `transport` outlives the connection or calls
-/// close()
+/// Reads frames until the connection is closed. \pre `transport` outlives the object or calls
+/// close() first
 class IncomingPeer final : public std::enable_shared_from_this<IncomingPeer> {
  public:
   IncomingPeer(asio::ip::tcp::socket socket, TcpPeerTransport& transport);
--- a/src/cypresswall/runtime/log_sink.cpp
+++ b/src/cypresswall/runtime/log_sink.cpp
@@ -99,7 +99,7 @@
 
 Log4cplusSink::Log4cplusSink(common::LogLevel level)
     : logger_(makeLogger()), appender_(new LineAppender()), level_(level) {
-  // The threads only serve asynchronous appenders, which are not used.
+  // log4cplus's threads only serve asynchronous appenders, which are not used.
   log4cplus::setThreadPoolSize(1);
   logger_.setLogLevel(log4cplus::ALL_LOG_LEVEL);
   logger_.setAdditivity(false);
--- a/src/cypresswall/runtime/log_sink.h
+++ b/src/cypresswall/runtime/log_sink.h
@@ -11,7 +11,7 @@
 
 namespace cypresswall::runtime {
 
-/// Unknown log level name.
+/// Thrown for an unknown log level name.
 class LogLevelError : public common::Error {
  public:
   using common::Error::Error;
@@ -24,8 +24,9 @@
 
 class LineAppender;
 
-/// Writes each event as one line to standard output, without ever blocking on its reader. Dropped
-/// lines are counted and reported in a separate line once there is room again:
+/// Writes each event as one line to standard output, without ever blocking on the reader of the
+/// output. Lines that the reader is too slow for are dropped; their number is logged in a line of
+/// its own once all buffered lines are written. All lines have this form:
 ///
 ///     time=2026-01-31T10:00:00.123Z level=info node=127.0.0.1:7001 zone=kumamoto event=...
 class Log4cplusSink final : public common::LogSink {
--- a/src/cypresswall/runtime/message_frame.h
+++ b/src/cypresswall/runtime/message_frame.h
@@ -13,13 +13,13 @@
 
 inline constexpr std::size_t kFrameHeaderBytes = 4;
 
-/// Frame length that is zero or exceeds the maximum of an envelope.
+/// Thrown if the announced length of a frame is zero or exceeds the maximum size of an envelope.
 class FrameError : public common::Error {
  public:
   using common::Error::Error;
 };
 
-/// \return `payload` prefixed with its length.
+/// \return `payload` prefixed with its length in bytes.
 std::string encodeFrame(const std::string& payload);
 
 /// Assembles frames from the bytes of one connection. Memory grows only with the bytes received,
--- a/src/cypresswall/runtime/outgoing_peer.cpp
+++ b/src/cypresswall/runtime/outgoing_peer.cpp
@@ -117,8 +117,8 @@
 
 common::Duration OutgoingPeer::nextBackoff() {
   backoff_ = std::clamp(backoff_ * 2, settings_.minimum_backoff, settings_.maximum_backoff);
-  // Between half of the back-off and all of it, so that the peers of a restarted node don't
-  // reconnect simultaneously.
+  // A random delay between half of the back-off and all of it, so that the peers of a restarted
+  // node don't reconnect simultaneously.
   const common::Duration half = backoff_ / 2;
   return half + common::fromSeconds(random_.unit() * common::toSeconds(half));
 }
--- a/src/cypresswall/runtime/outgoing_peer.h
+++ b/src/cypresswall/runtime/outgoing_peer.h
@@ -28,7 +28,8 @@
   void send(std::string frame);
   /// Drops the queue and closes the connection permanently.
   void close();
-  /// \return messages queued or being written while the connection is established.
+  /// \return the number of messages queued or being written; zero while the connection is not
+  ///   established.
   std::size_t sendableMessages() const {
     return state_ == State::kConnected ? queue_.size() + writing_messages_ : 0;
   }
@@ -72,7 +73,8 @@
   std::string writing_;
   std::size_t writing_messages_ = 0;
   char end_probe_ = 0;
-  /// Number of the current connection; handlers of an earlier one are ignored.
+  /// Number of the current connection. Handlers that were started for an earlier connection do
+  /// nothing.
   std::uint64_t connection_ = 0;
   common::Duration backoff_{0};
 };
--- a/src/cypresswall/runtime/socket_poll.h
+++ b/src/cypresswall/runtime/socket_poll.h
@@ -14,7 +14,7 @@
 
 namespace cypresswall::runtime {
 
-/// The operating system can't create an epoll set.
+/// Thrown if the operating system can't create an epoll set.
 class SocketPollError : public common::Error {
  public:
   using common::Error::Error;
@@ -26,7 +26,8 @@
   bool writable = false;
 };
 
-/// Does not own the sockets. Keeps the event loop running only while at least one is watched.
+/// Does not own the sockets. Keeps the event loop running only while at least one socket is
+/// watched.
 class SocketPoll : public std::enable_shared_from_this<SocketPoll> {
  public:
   using Listener = std::function<void(int socket, SocketReadiness readiness)>;
@@ -35,8 +36,9 @@
   SocketPoll(asio::io_context& context, Listener listener);
 
   /// Watches a socket, or changes the awaited operations. An error or hang-up of the socket counts
-  /// as readiness for all of them. The listener is called repeatedly while the socket is ready.
-  /// \return false if the operating system can't watch it
+  /// as readiness for all awaited operations. The listener is called repeatedly while the socket is
+  /// ready.
+  /// \return false if the operating system can't watch the socket
   bool watch(int socket, SocketReadiness awaited);
   /// Stops watching a socket, which must still be open; an unknown one is ignored.
   void forget(int socket);
@@ -51,7 +53,8 @@
 
   asio::posix::stream_descriptor set_;
   Listener listener_;
-  /// Indexed by descriptor, which the operating system keeps small; looked up for every event.
+  /// Whether each socket is watched, indexed by its descriptor. A vector, since it is read for
+  /// every event and the operating system assigns small descriptors.
   std::vector<bool> watched_;
   std::size_t watched_count_ = 0;
   bool waiting_ = false;
--- a/src/cypresswall/runtime/tcp_peer_transport.cpp
+++ b/src/cypresswall/runtime/tcp_peer_transport.cpp
@@ -13,7 +13,8 @@
 
 /// Delay after a failed accept, for example when file descriptors are exhausted.
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(100);
-/// Idle peers are removed once this many peers are known.
+/// Once this many outgoing peers are recorded, those without connection and queued messages are
+/// removed.
 constexpr std::size_t kSweepThreshold = 64;
 
 asio::ip::tcp::endpoint toEndpoint(const common::Address& address) {
--- a/src/cypresswall/runtime/tcp_peer_transport.h
+++ b/src/cypresswall/runtime/tcp_peer_transport.h
@@ -19,7 +19,7 @@
 
 namespace cypresswall::runtime {
 
-/// The listening address can't be used.
+/// Thrown if the listening address can't be used.
 class TransportError : public common::Error {
  public:
   using common::Error::Error;
@@ -28,7 +28,8 @@
 class IncomingPeer;
 
 /// Invalid data or a message of another protocol version closes the connection on which it arrived,
-/// with one log line. A message for another incarnation of this address is dropped and counted.
+/// with one log line. A message addressed to another incarnation of this node's address is dropped
+/// and counted.
 class TcpPeerTransport final : public api::PeerTransport {
  public:
   TcpPeerTransport(asio::io_context& context, TransportSettings settings,
@@ -45,7 +46,8 @@
   void close();
 
   void send(api::Envelope envelope) override;
-  /// \return messages queued for peers with an open connection or being written to them.
+  /// \return the number of messages queued for, or being written to, peers to which a connection is
+  ///   established.
   std::size_t queuedMessages() const;
   FaultSwitch& faultSwitch() { return fault_switch_; }
 
@@ -77,7 +79,7 @@
   bool closed_ = false;
   std::map<common::Address, std::shared_ptr<OutgoingPeer>> outgoing_;
   std::unordered_set<std::shared_ptr<IncomingPeer>> incoming_;
-  /// Expires with this object; queued handlers check it.
+  /// Queued handlers hold weak pointers to this flag, which expire when this object is destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cypresswall/runtime/transport_settings.h
+++ b/src/cypresswall/runtime/transport_settings.h
@@ -16,18 +16,24 @@
   /// "IP:port" to listen on; port 0 selects a free port.
   common::Address listen_address;
   std::size_t maximum_envelope_bytes = api::kMaximumEnvelopeBytes;
-  /// Limits of the queue for one peer; the oldest messages are dropped first.
+  /// Maximum number of messages queued for one peer; the oldest are dropped first.
   std::size_t maximum_queued_messages = 4096;
+  /// Maximum number of bytes queued for one peer, framing included; the oldest messages are dropped
+  /// first.
   std::size_t maximum_queued_bytes = 8U << 20;
-  /// A message that has waited longer for a connection is dropped, since its content is outdated.
+  /// A message that has waited longer than this for a connection is dropped, since its content is
+  /// outdated.
   common::Duration queue_time_limit = std::chrono::seconds(2);
   common::Duration connect_time_limit = std::chrono::seconds(1);
-  /// Delay after a failed connect; doubles up to the maximum, with jitter.
+  /// Delay after the first failed attempt to connect. It doubles with each further failure; the
+  /// delay actually used is chosen at random between half of it and all of it.
   common::Duration minimum_backoff = std::chrono::milliseconds(50);
+  /// Upper limit of the doubled delay.
   common::Duration maximum_backoff = std::chrono::seconds(1);
   /// A connection on which nothing has been sent for this long is closed.
   common::Duration idle_time_limit = std::chrono::seconds(90);
-  /// A connection with data unacknowledged for this long is closed (TCP_USER_TIMEOUT).
+  /// A connection is closed if the peer does not acknowledge sent data for this long
+  /// (TCP_USER_TIMEOUT).
   common::Duration unacknowledged_time_limit = std::chrono::seconds(3);
   std::size_t maximum_incoming_connections = 2048;
 };
@@ -36,7 +42,8 @@
 struct TransportCounters {
   explicit TransportCounters(common::CounterRegistry& registry);
 
-  /// \return the counter of bytes queued in messages of one type, framing included.
+  /// \return the counter of the bytes of all messages of one type that were queued for sending,
+  ///   framing included.
   common::Counter& queuedBytes(api::MessageType type);
 
   common::Counter& sent_messages;
