--- a/src/cypresswall/gateway/completion_request.cpp
+++ b/src/cypresswall/gateway/completion_request.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-/// A position in the body that the parser uses, or kIgnored for any other position.
+/// A position in the body from which the parser takes a value, or kIgnored for any other position.
 enum class Node : std::uint8_t {
   kRoot,
   kModel,
--- a/src/cypresswall/gateway/completion_request.h
+++ b/src/cypresswall/gateway/completion_request.h
@@ -30,8 +30,9 @@
   bool include_usage = false;
 };
 
-/// Maximum number of messages in a chat, and maximum nesting depth of a body.
+/// Maximum number of messages in a chat.
 inline constexpr std::size_t kMaximumMessages = 10000;
+/// Maximum nesting depth of a request body.
 inline constexpr std::size_t kMaximumNesting = 64;
 
 /// Joins messages into one prompt: each message is preceded by a marker with its role, and the
--- a/src/cypresswall/gateway/gateway.cpp
+++ b/src/cypresswall/gateway/gateway.cpp
@@ -25,8 +25,8 @@
   }
 }
 
-/// Rejects requests until the first configuration snapshot arrives: models and services are unknown
-/// before that.
+/// Rejects requests until the first configuration snapshot arrives, since models and services are
+/// unknown until then.
 void requireConfiguration(const configuration::FleetConfiguration& configuration) {
   if (configuration.version == 0) {
     ErrorAnswer error;
--- a/src/cypresswall/gateway/gateway.h
+++ b/src/cypresswall/gateway/gateway.h
@@ -25,7 +25,8 @@
 
 namespace cypresswall::gateway {
 
-/// Must outlive the HTTP server that calls it, and must be destroyed before the executors.
+/// Must outlive the HTTP server that calls it, and must be destroyed before the executors in its
+/// GatewayContext.
 class Gateway {
  public:
   Gateway(GatewayContext context, GatewaySettings settings);
@@ -44,8 +45,9 @@
   /// protocol.
   void passServiceCall(execution::ServiceCallRequest request,
                        const std::shared_ptr<http::Responder>& responder, ErrorWriter write_error);
-  /// \return the holder of an API key in the current configuration, null if no tenant has the key;
-  ///   valid until the next call
+  /// \return the holder of an API key in the current configuration, null if no tenant has the key.
+  ///   The pointer is valid until the gateway handles the next request or this function is called
+  ///   again.
   const KeyHolder* holderOf(const std::string& key);
   /// Logs and counts a request that the HTTP server itself rejected.
   void reportRejection(const http::Rejection& rejection);
--- a/src/cypresswall/gateway/pass_through_session.h
+++ b/src/cypresswall/gateway/pass_through_session.h
@@ -12,8 +12,8 @@
 
 namespace cypresswall::gateway {
 
-/// If the answer fails after its head was sent, the connection is aborted, so that the caller can't
-/// mistake the answer for a complete one.
+/// If the request fails after the head of its answer was sent, the session aborts the caller's
+/// connection, so that the caller can't mistake the answer for a complete one.
 class PassThroughSession final : public Session, private execution::ModelCallObserver {
  public:
   /// \param write_error answers a request that failed before the head of its answer was sent
--- a/src/cypresswall/gateway/service_session.h
+++ b/src/cypresswall/gateway/service_session.h
@@ -44,7 +44,8 @@
 };
 
 /// \throws RequestError if `request` names no service, or if its path contains "." or ".."
-///   segments, which could address a different operation than the declared one
+///   segments, with which the service might run another operation than the one that the
+///   configuration declares for the path
 ServiceTarget serviceTargetOf(const http::Request& request);
 
 }  // namespace cypresswall::gateway
--- a/src/cypresswall/gateway/session.h
+++ b/src/cypresswall/gateway/session.h
@@ -31,11 +31,11 @@
 };
 
 struct GatewaySettings {
-  /// High and low watermark of the bytes queued for a caller: above the first, the stream from the
-  /// engine is paused; it resumes when no more than the second are left.
+  /// The stream from the engine is paused when more bytes than this are queued for the caller.
   std::size_t pause_above_bytes = 32U << 10;
+  /// A paused stream resumes when no more bytes than this are queued for the caller.
   std::size_t resume_below_bytes = 8U << 10;
-  /// Time that a stream may stay paused for a slow caller before it is ended.
+  /// Time that a stream may stay paused for a slow caller before the gateway ends it.
   common::Duration stalled_reader_timeout = std::chrono::seconds(30);
   /// Maximum text size of a non-streamed answer.
   std::size_t maximum_answer_bytes = 16U << 20;
--- a/src/cypresswall/gateway/stream_flow_control.h
+++ b/src/cypresswall/gateway/stream_flow_control.h
@@ -1,5 +1,6 @@
 /// Back-pressure for a stream: pauses the execution while too many bytes are queued for the caller,
-/// resumes it once they are sent, and reports a caller that reads nothing for too long.
+/// resumes it once enough of them are sent, and reports a caller that reads too slowly for too
+/// long.
 #pragma once
 
 #include <functional>
@@ -22,9 +23,11 @@
   StreamFlowControl(const StreamFlowControl&) = delete;
   StreamFlowControl& operator=(const StreamFlowControl&) = delete;
 
-  /// Called after each write to the caller; pauses `execution` if too many bytes are queued.
+  /// Called after each write to the caller; pauses `execution` if more than
+  /// GatewaySettings::pause_above_bytes are queued.
   void onWritten(execution::ModelExecution& execution);
-  /// Called when the socket accepted queued bytes; resumes `execution` if few enough are left.
+  /// Called when the socket accepted queued bytes; resumes a paused `execution` if no more than
+  /// GatewaySettings::resume_below_bytes are left.
   void onDrained(execution::ModelExecution& execution);
   /// Cancels the stall timer; `on_stalled` is not called afterwards.
   void stop();
--- a/src/cypresswall/gateway/tenants.h
+++ b/src/cypresswall/gateway/tenants.h
@@ -28,7 +28,8 @@
   /// \throws RequestError (401) if no tenant has the key, or the scheme is not Bearer
   const common::TenantName& tenantOf(const http::Request& request,
                                      const configuration::FleetConfiguration& configuration);
-  /// \return the holder of an API key, null if no tenant has it; valid until the next call
+  /// \return the holder of an API key, null if no tenant has the key. The pointer is valid until
+  ///   the next call of a member function.
   const KeyHolder* holderOf(const std::string& key,
                             const configuration::FleetConfiguration& configuration);
 
