--- a/src/cypresswall/services/http_service_client.cpp
+++ b/src/cypresswall/services/http_service_client.cpp
@@ -21,7 +21,8 @@
 constexpr const char* kOutcomeNotRun = "not-run";
 constexpr const char* kRequestIdHeader = "X-Request-Id";
 
-/// Connection-specific headers, and headers that are set separately for each connection.
+/// Headers that apply to one connection only, headers that the HTTP client or server sets itself,
+/// and the outcome header, which the gateway sets itself.
 constexpr std::array<const char*, 13> kNotForwardedHeaders = {"Connection",
                                                               "Keep-Alive",
                                                               "Proxy-Authenticate",
--- a/src/cypresswall/services/http_service_client.h
+++ b/src/cypresswall/services/http_service_client.h
@@ -15,7 +15,7 @@
 
 /// Forwards the caller's headers, except connection-specific ones, and adds X-Request-Id. Requests
 /// other than GET and HEAD use new connections: if the service closed a reused connection at the
-/// moment of sending, their outcome would be unknown.
+/// moment of sending, the outcome of the request would be unknown.
 /// \pre `curl` outlives the client and its calls
 class HttpServiceClient final : public ServiceClient {
  public:
