--- a/src/cypresswall/http/connection.cpp
+++ b/src/cypresswall/http/connection.cpp
@@ -11,8 +11,9 @@
 namespace cypresswall::http {
 namespace {
 
-/// Limits for draining a connection after its last answer: closing a socket with unread input would
-/// reset the connection before the caller has read the answer.
+/// Limits of the time and of the discarded input for draining a connection after its last answer.
+/// Closing a socket with unread input would reset the connection before the caller has read the
+/// answer.
 constexpr std::chrono::seconds kLingerTime(2);
 constexpr std::size_t kLingerBytes = 64U << 20;
 constexpr std::size_t kLingerBufferBytes = 4096;
--- a/src/cypresswall/http/connection.h
+++ b/src/cypresswall/http/connection.h
@@ -55,7 +55,8 @@
   /// \return true if a request is being received, is waiting in the socket, or has yet to arrive
   ///   on a new connection.
   bool awaitsRequest() const;
-  /// \return the time at which the current request began to arrive; empty if there is none.
+  /// \return the time at which the request that is being received began to arrive; empty if none is
+  ///   being received.
   std::optional<std::chrono::steady_clock::time_point> receivingSince() const {
     return receiving_since_;
   }
@@ -65,8 +66,8 @@
   /// \return the number of bytes written; empty if the connection is broken
   std::optional<std::size_t> sendNow(std::string_view bytes);
   /// Sends as much of `answer` as the socket accepts without blocking, bypassing RESTinio, and
-  /// enables lingering on close so that the caller can read it. Does nothing while another exchange
-  /// is open on this connection.
+  /// enables lingering on close so that the caller can read the answer. Does nothing while another
+  /// exchange is open on this connection.
   void sendLastAnswer(const std::string& answer);
   /// Shuts down both directions; RESTinio detects this and closes the connection.
   void shutdown();
@@ -102,7 +103,8 @@
 
   void attach(std::shared_ptr<Connection> connection);
 
-  /// Makes the next close() wait so that the caller can read the sent bytes.
+  /// Makes the next close() end only the sending side at first and discard input for a limited
+  /// time, without blocking, so that the caller can read the sent bytes.
   void lingerOnClose() { linger_on_close_ = true; }
 
   template <typename Buffers, typename Handler>
--- a/src/cypresswall/http/exchange.cpp
+++ b/src/cypresswall/http/exchange.cpp
@@ -191,7 +191,8 @@
     complete();
     return;
   }
-  // Deferred, since RESTinio is still processing the write that it reports.
+  // The next write is deferred, since RESTinio is still processing the write whose end it reports
+  // here.
   if (!buffer_.empty() || state_ == State::kFinishing) {
     scheduleFlush();
   }
@@ -200,7 +201,7 @@
 
 void Exchange::notifyDrained() {
   if (state_ == State::kStreaming && on_drained_) {
-    // Copied, since the callback may release the Responder.
+    // The callback is copied, since it may release the Responder and thereby clear `on_drained_`.
     const auto callback = on_drained_;
     callback();
   }
--- a/src/cypresswall/http/exchange.h
+++ b/src/cypresswall/http/exchange.h
@@ -22,11 +22,13 @@
 
   asio::io_context& context;
   std::size_t open_requests = 0;
-  /// Number of periodic checks so far; a coarse clock for the last activity of exchanges.
+  /// Number of the server's periodic checks so far, which serves as a coarse clock for the last
+  /// activity of exchanges.
   std::uint64_t checks = 0;
   /// Set once the server accepts no new connections; each answer then closes its connection.
   bool stopping = false;
-  /// False once the listening socket is closed and all accepted connections are in the table.
+  /// False once the listening socket is closed and all accepted connections are in the server's
+  /// ConnectionTable.
   bool listening = false;
 };
 
--- a/src/cypresswall/http/listening_socket.h
+++ b/src/cypresswall/http/listening_socket.h
@@ -4,8 +4,8 @@
 namespace cypresswall::http {
 
 /// Attaches a socket filter with which the kernel drops new connection attempts (SYN packets).
-/// Callers retransmit them, and are refused once the socket is closed. No effect on kernels without
-/// socket filters.
+/// Callers retransmit the dropped packets and are refused once the socket is closed. No effect on
+/// kernels without socket filters.
 void dropNewHandshakes(int listening_socket);
 
 /// \return true if established connections are waiting to be accepted.
--- a/src/cypresswall/http/server.cpp
+++ b/src/cypresswall/http/server.cpp
@@ -153,7 +153,8 @@
     return restinio::request_accepted();
   }
 
-  /// Handles an error that RESTinio logs immediately before it closes the connection.
+  /// Handles a connection error. RESTinio reports such errors only in a log message, which it
+  /// writes immediately before it closes the connection.
   void onRestinioError(const std::string& message) {
     const auto fault = parseRestinioError(message);
     if (!fault) {
@@ -388,8 +389,9 @@
   }
 
  private:
-  /// Closing the listening socket resets the connections that wait to be accepted there, with the
-  /// requests that their callers have sent already.
+  /// Closes the listening socket once no connection waits to be accepted on it. Closing the socket
+  /// earlier would reset the waiting connections and lose the requests that their callers have
+  /// already sent.
   void closeListenerOnceBacklogIsEmpty() {
     if (!hasPendingConnections(listening_socket_)) {
       closeListener();
@@ -454,7 +456,7 @@
   std::shared_ptr<restinio::http_server_t<ServerTraits>> server_;
   int listening_socket_ = -1;
   asio::steady_timer backlog_timer_;
-  /// Expires with this object.
+  /// Queued handlers hold weak pointers to this flag, which expire when this object is destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::uint16_t port_ = 0;
 };
--- a/src/cypresswall/http/server.h
+++ b/src/cypresswall/http/server.h
@@ -17,7 +17,7 @@
 
 namespace cypresswall::http {
 
-/// The server can't listen on the address.
+/// Thrown if the server can't listen on its address.
 class ListenError : public common::Error {
  public:
   using common::Error::Error;
@@ -40,8 +40,8 @@
   std::string header(const std::string& name) const;
 };
 
-/// Answers one request, either completely or as a stream of chunks. If it is destroyed without an
-/// answer, the caller gets a 500.
+/// Answers one request, either completely or as a stream of chunks. If the responder is destroyed
+/// without an answer, the caller gets a 500.
 class Responder {
  public:
   virtual ~Responder() = default;
@@ -80,11 +80,11 @@
   std::size_t maximum_header_bytes = 32U << 10;
   std::size_t maximum_body_bytes = 16U << 20;
   std::size_t maximum_connections = 10000;
-  /// Time from a request's first byte within which it must arrive completely.
+  /// Time limit within which a request must arrive completely, counted from its first byte.
   common::Duration header_time_limit = std::chrono::seconds(10);
   /// Idle timeout of kept-alive connections, and of handlers that write nothing.
   common::Duration idle_time_limit = std::chrono::minutes(5);
-  /// Time without write progress after which the connection is closed.
+  /// A connection is closed if queued bytes can't be sent for this long.
   common::Duration write_time_limit = std::chrono::seconds(30);
   /// Additional headers of the server's own 4xx answers, besides Content-Type.
   std::vector<Header> rejection_headers = {};
