--- a/src/cypresswall/api/envelope.h
+++ b/src/cypresswall/api/envelope.h
@@ -52,7 +52,7 @@
   return static_cast<MessageType>(static_cast<std::uint16_t>(first) + offset);
 }
 
-/// The body can't be decoded, or the message type has no handler.
+/// Thrown if an envelope or a message body can't be decoded, or if the message type has no handler.
 class MessageError : public common::Error {
  public:
   using common::Error::Error;
