--- a/src/cypresswall/common/counters.h
+++ b/src/cypresswall/common/counters.h
@@ -48,7 +48,8 @@
     return find(CounterKind::kGauge, name, help, label_name, label_value);
   }
   const std::map<std::string, Entry>& entries() const { return entries_; }
-  /// \return the sum over all label values of `name`, zero if it does not exist.
+  /// \return the sum of the metric `name` over all its label values, zero if there is no such
+  ///   metric.
   double total(const std::string& name) const {
     const auto entry = entries_.find(name);
     double sum = 0;
--- a/src/cypresswall/common/identifiers.h
+++ b/src/cypresswall/common/identifiers.h
@@ -24,8 +24,9 @@
 /// "IP:port" of a TCP endpoint.
 using Address = std::string;
 
-/// One incarnation of a daemon process. A process that is restarted on the same address has a new
-/// incarnation and counts as a different node: it is not bound by promises of the earlier one.
+/// One incarnation of a daemon process. A process that is restarted at the same address has a new
+/// incarnation and counts as a different node: promises that the earlier process made to other
+/// nodes don't bind it.
 struct NodeId {
   Address address;
   std::uint64_t incarnation = 0;
@@ -38,8 +39,9 @@
   MSGPACK_DEFINE(address, incarnation)
 };
 
-/// Fencing epoch of the authority over a zone's engines. Ordered by generation, then term; a later
-/// holder of the zone's lease always has a higher epoch.
+/// Identifies one tenure of a zone's lease, whose holder may give orders to the zone's engines.
+/// Epochs are ordered by generation, then by term. A later holder always has a higher epoch, so
+/// that engines can reject delayed orders of earlier holders.
 struct Epoch {
   std::uint32_t generation = 0;
   std::uint32_t term = 0;
--- a/src/cypresswall/common/prompt.h
+++ b/src/cypresswall/common/prompt.h
@@ -24,15 +24,15 @@
   /// One hash per complete piece, in order; a trailing partial piece is not cached.
   std::vector<PieceHash> pieces;
   /// Cumulative token count at the end of each piece, increasing; empty if every piece has
-  /// kTokensPerCachePiece tokens. Set if the caller divides its prompt into pieces itself.
+  /// kTokensPerCachePiece tokens. Not empty if the caller divides its prompt into pieces itself.
   std::vector<std::uint32_t> piece_ends;
   /// Hash of the whole text; determines the emulated answer.
   std::uint64_t content_hash = 0;
 
   /// \return the tokens of the first `count` pieces
   std::uint32_t tokensOfPieces(std::size_t count) const;
-  /// \return the number of pieces that end before the prompt does; only these can be shared with
-  /// other prompts
+  /// \return the number of pieces that end before the prompt does; only these pieces can be shared
+  /// with other prompts
   std::size_t sharedPieces() const;
 };
 
--- a/src/cypresswall/common/request_fingerprint.cpp
+++ b/src/cypresswall/common/request_fingerprint.cpp
@@ -11,7 +11,7 @@
                                  std::string_view target, std::string_view body) {
   std::uint64_t hash = 0;
   for (const std::string_view part : {tenant, method, target, body}) {
-    // The previous hash seeds the next one, so that ("a", "bc") and ("ab", "c") differ.
+    // The hash of each part seeds the hash of the next, so that ("a", "bc") and ("ab", "c") differ.
     hash = hash64(part, hash);
   }
   return hash;
--- a/src/cypresswall/common/request_fingerprint.h
+++ b/src/cypresswall/common/request_fingerprint.h
@@ -8,10 +8,10 @@
 
 namespace cypresswall::common {
 
-/// A hash over tenant, method, target and body. Zero means that it was not computed.
+/// A hash over tenant, method, target and body. Zero means that the hash was not computed.
 using RequestFingerprint = std::uint64_t;
 
-/// Must not differ between nodes and builds, since nodes exchange fingerprints.
+/// The result must not differ between nodes and builds, since nodes exchange fingerprints.
 /// \param target host and path with the query, or the name of a service
 RequestFingerprint fingerprintOf(std::string_view tenant, std::string_view method,
                                  std::string_view target, std::string_view body);
--- a/src/cypresswall/common/socket_address.h
+++ b/src/cypresswall/common/socket_address.h
@@ -9,7 +9,7 @@
 
 namespace cypresswall::common {
 
-/// The text is not an "IP:port" (IPv4) or "[IP]:port" (IPv6) address.
+/// Thrown if a text is not an "IP:port" (IPv4) or "[IP]:port" (IPv6) address.
 class AddressError : public Error {
  public:
   using Error::Error;
--- a/src/cypresswall/common/time.h
+++ b/src/cypresswall/common/time.h
@@ -46,7 +46,8 @@
   /// not positive.
   /// \return an identifier for cancel()
   virtual TimerId schedule(Duration delay, std::function<void()> callback) = 0;
-  /// Cancels a scheduled callback. Ignored if it is unknown or has already run.
+  /// Cancels a scheduled callback. Does nothing if `timer` is unknown or its callback has already
+  /// run.
   virtual void cancel(TimerId timer) = 0;
 };
 
