--- a/src/cypresswall/api/envelope.h
+++ b/src/cypresswall/api/envelope.h
@@ -18,7 +18,8 @@
 inline constexpr std::uint16_t kProtocolVersion = 1;
 /// The set of messages that a build handles, increased with each change that adds messages. Nodes
 /// announce it in their membership record, so that during a rolling upgrade, when builds are mixed,
-/// a newer node sends a message, or assigns work that depends on it, only to nodes that handle it.
+/// a newer node sends a message, or assigns work that depends on the message, only to nodes that
+/// handle the message.
 enum class MessageSet : std::uint8_t {
   kFirst = 1,       ///< also assumed for builds that don't announce a set
   kQuarantine = 2,  ///< adds the messages of `quarantine`
