--- a/src/cypresswall/common/prompt.h
+++ b/src/cypresswall/common/prompt.h
@@ -1,5 +1,5 @@
 /// Prompts as seen by routing and engines: the length in tokens and the chained hashes of the
-/// KV-cache pieces (fixed-size blocks of the prompt that engines cache).
+/// KV-cache pieces (blocks of the prompt, normally of fixed size, that engines cache).
 #pragma once
 
 #include <cstdint>
@@ -23,8 +23,8 @@
   std::uint32_t tokens = 0;
   /// One hash per complete piece, in order; a trailing partial piece is not cached.
   std::vector<PieceHash> pieces;
-  /// Cumulative token count at the end of each piece, increasing; empty if every piece has
-  /// kTokensPerCachePiece tokens. Not empty if the caller divides its prompt into pieces itself.
+  /// Cumulative token count at the end of each piece, increasing. Set only if the caller divides
+  /// its prompt into pieces itself; if empty, every piece has kTokensPerCachePiece tokens.
   std::vector<std::uint32_t> piece_ends;
   /// Hash of the whole text; determines the emulated answer.
   std::uint64_t content_hash = 0;
