--- a/src/cypresswall/engines/engine_client.h
+++ b/src/cypresswall/engines/engine_client.h
@@ -34,7 +34,7 @@
   virtual void onFailed(StreamFailure failure, const std::string& message) = 0;
 };
 
-/// Handle of a running stream; destroying it cancels the stream on the engine.
+/// Handle of a running stream; destroying the handle cancels the stream on the engine.
 class Stream {
  public:
   virtual ~Stream() = default;
--- a/src/cypresswall/engines/engine_json.h
+++ b/src/cypresswall/engines/engine_json.h
@@ -12,7 +12,7 @@
 std::string streamRequestJson(const StreamRequest& request);
 std::string orderJson(const EngineOrder& order);
 
-/// Parse the answers of an engine. \throws EngineProtocolError
+/// Parsers for the answers of an engine. \throws EngineProtocolError
 OrderReply parseOrderReply(std::string_view json);
 EngineLoad parseEngineLoad(std::string_view json);
 CacheEvents parseCacheEvents(std::string_view json);
--- a/src/cypresswall/engines/engine_types.h
+++ b/src/cypresswall/engines/engine_types.h
@@ -68,8 +68,8 @@
   /// Sequence number among the orders of this epoch to this engine, starting at 1.
   std::uint64_t sequence = 0;
   /// Incarnation of the engine process that the order is addressed to. An engine loses its fence
-  /// when it restarts; it rejects orders addressed to its previous incarnation, which the fence no
-  /// longer stops.
+  /// when it restarts; instead it then rejects all orders that are addressed to an earlier
+  /// incarnation.
   std::uint64_t engine_incarnation = 0;
   OrderContent content;
   /// Value of EngineLoad::last_sequence when this order was issued. Some engines count the orders
@@ -211,7 +211,7 @@
   /// can resume (see EngineClient::marksPosition); empty if there is no such token.
   std::string last_token;
   StreamPhase phase = StreamPhase::kWhole;
-  /// For kDecodeOnly: address of the engine that holds the KV cache of this stream_id.
+  /// For kDecodeOnly: address of the engine that holds the KV cache of the request `stream_id`.
   common::Address kv_source;
   /// Address of another engine, from which the engine copies cached pieces of the prompt before it
   /// starts. Empty if no pieces are to be copied or the platform's engines can't copy them.
