--- a/src/cypresswall/runtime/curl_multi.h
+++ b/src/cypresswall/runtime/curl_multi.h
@@ -35,7 +35,7 @@
   virtual void onDone(CurlResponse response) = 0;
 };
 
-/// Owns a running request; destroying it aborts the request without a call to the handler.
+/// Owns a running request; destroying the object aborts the request without a call to the handler.
 class CurlTransfer {
  public:
   virtual ~CurlTransfer() = default;
--- a/src/cypresswall/runtime/curl_request.h
+++ b/src/cypresswall/runtime/curl_request.h
@@ -19,8 +19,8 @@
 /// Whether a request may reuse a connection.
 enum class ConnectionUse : std::uint8_t {
   kReuse,
-  /// Opens a new connection. A reused one may be closed by the peer while the request is being
-  /// sent, which leaves unknown whether the request was executed.
+  /// Opens a new connection. The peer may close a reused connection while the request is being
+  /// sent, and it is then unknown whether the request was executed.
   kFresh,
   /// Opens a new connection and closes it after the response, for peers that allow few connections.
   kOnce,
--- a/src/cypresswall/runtime/log_sink.h
+++ b/src/cypresswall/runtime/log_sink.h
@@ -25,8 +25,9 @@
 class LineAppender;
 
 /// Writes each event as one line to standard output, without ever blocking on the reader of the
-/// output. Lines that the reader is too slow for are dropped; their number is logged in a line of
-/// its own once all buffered lines are written. All lines have this form:
+/// output. Lines are dropped while the reader is so slow that the output buffer is full; once the
+/// buffered lines are written, a line of its own reports how many were dropped. Lines look like
+/// this:
 ///
 ///     time=2026-01-31T10:00:00.123Z level=info node=127.0.0.1:7001 zone=kumamoto event=...
 class Log4cplusSink final : public common::LogSink {
--- a/src/cypresswall/runtime/socket_poll.h
+++ b/src/cypresswall/runtime/socket_poll.h
@@ -40,7 +40,7 @@
   /// ready.
   /// \return false if the operating system can't watch the socket
   bool watch(int socket, SocketReadiness awaited);
-  /// Stops watching a socket, which must still be open; an unknown one is ignored.
+  /// Stops watching a socket, which must still be open; a socket that is not watched is ignored.
   void forget(int socket);
   /// Stops all calls to the listener.
   void stop();
