--- a/src/cypresswall/store_relay/change_history.h
+++ b/src/cypresswall/store_relay/change_history.h
@@ -1,5 +1,5 @@
 /// The latest changes that a node has read of one topic of the store (see Topic), kept for peers
-/// that request them.
+/// that request them. The changes of one call of add() form a batch.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,8 @@
 
 class ChangeHistory {
  public:
-  /// \param maximum_bytes limit on the names and contents kept; older batches are evicted
+  /// \param maximum_bytes maximum total size of the kept names and contents; the oldest batches are
+  ///   evicted
   explicit ChangeHistory(std::size_t maximum_bytes) : maximum_bytes_(maximum_bytes) {}
 
   /// Drops all kept changes. Called after the node has read all objects anew, as of `revision`.
--- a/src/cypresswall/store_relay/change_packer.h
+++ b/src/cypresswall/store_relay/change_packer.h
@@ -38,8 +38,8 @@
   StoreChange packRemoval(const std::string& name, std::uint64_t revision);
   /// \return all objects, none of them encoded as a difference
   std::vector<StoreChange> packAll() const;
-  /// \return false if the change is a difference and this object holds neither the version that the
-  ///   difference is based on nor the version that it leads to, nor a later one
+  /// \return true if unpack() can handle the change: it is not a difference, or its base version is
+  ///   held, or its own version or a later one is already held
   bool canUnpack(const StoreChange& change) const;
   /// Unpacks and stores the content of an object that was created or replaced; forgets an object
   /// that was removed.
--- a/src/cypresswall/store_relay/messages.h
+++ b/src/cypresswall/store_relay/messages.h
@@ -38,7 +38,7 @@
   std::uint32_t bytes = 0;
   /// The reader that made the announcement; another node may have forwarded it.
   common::NodeId reader;
-  /// Number of the announcement among those that the reader made of the topic, starting at 1.
+  /// Sequence number among the reader's announcements of the topic, starting at 1.
   std::uint64_t sequence = 0;
   MSGPACK_DEFINE(topic, changed, seen, bytes, reader, sequence)
 };
@@ -55,7 +55,7 @@
 enum class ContentEncoding : std::uint8_t {
   kPlain = 0,   ///< the content as the platform's adapter encodes it
   kPacked = 1,  ///< the plain content, compressed
-  /// A compressed JSON patch (RFC 6902) that is applied to the object's version of revision
+  /// A compressed JSON patch (RFC 6902) that is applied to the version of the object with revision
   /// StoreChange::base_revision.
   kPackedDifference = 2,
 };
--- a/src/cypresswall/store_relay/store_relay.h
+++ b/src/cypresswall/store_relay/store_relay.h
@@ -112,8 +112,8 @@
     std::optional<common::MonotonicTime> higher_reader_time;
     /// Sequence number of the last announcement of each reader.
     std::map<common::NodeId, std::uint64_t> sequences;
-    /// The latest announcement of each reader, if this node still has to forward it: it does so
-    /// once it has the announced changes.
+    /// The latest announcement of each reader that this node has not forwarded yet. The node
+    /// forwards an announcement once it has the announced changes.
     std::map<common::NodeId, Announcement> waiting;
     std::uint64_t own_sequence = 0;
     /// Time of the first attempt to get a copy while this node has no objects yet.
@@ -130,8 +130,8 @@
   void registerHandlers();
   void tick();
   void tickTopic(Topic topic, TopicState& followed);
-  /// Requests a copy from a peer for a node without any objects. Readers, and nodes that get no
-  /// copy from a peer, read the store.
+  /// Called while this node has no objects: requests a copy of all objects from a peer. If this
+  /// node is a reader or gets no copy from a peer, it reads the store instead.
   void requestCopy(Topic topic, TopicState& followed);
   /// \return the peer to request a copy from: the highest-ranked reader if readers announce to all
   ///   nodes themselves, else a random peer
