--- a/src/cypresswall/services/service_client.h
+++ b/src/cypresswall/services/service_client.h
@@ -50,7 +50,8 @@
   std::optional<common::RateLimitNotice> rate_limit;
 };
 
-/// Handle of a running call; destroying it abandons the call, whose outcome is then unknown.
+/// Handle of a running call; destroying the handle abandons the call, whose outcome is then
+/// unknown.
 class ServiceCall {
  public:
   virtual ~ServiceCall() = default;
