--- a/src/cypresswall/object_store/machine_list.h
+++ b/src/cypresswall/object_store/machine_list.h
@@ -28,7 +28,7 @@
 class MachineList {
  public:
   virtual ~MachineList() = default;
-  /// Reads the machines of one zone. The callback is called exactly once, never before the call
+  /// Reads the machines of one zone. The callback is called exactly once, never before fetch()
   /// returns.
   virtual void fetch(const common::ZoneName& zone, MachineListCallback callback) = 0;
   /// \return true if each node has the list locally, so that reading it needs no remote call.
--- a/src/cypresswall/object_store/object_store.h
+++ b/src/cypresswall/object_store/object_store.h
@@ -51,8 +51,8 @@
 template <typename Value>
 using StoreCallback = std::function<void(StoreResult<Value>)>;
 
-/// Client of the object API. Each callback is called exactly once, never before the call returns,
-/// on the process's only thread, and within the client's time limit.
+/// Client of the object API. Each callback is called exactly once, never before the member function
+/// returns, on the process's only thread, and within the client's time limit.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
