--- a/src/cypresswall/common/identifiers.h
+++ b/src/cypresswall/common/identifiers.h
@@ -43,7 +43,9 @@
 /// Epochs are ordered by generation, then by term. A later holder always has a higher epoch, so
 /// that engines can reject delayed orders of earlier holders.
 struct Epoch {
+  /// Generation of the voters that grant the lease; zero if the platform's store decides it.
   std::uint32_t generation = 0;
+  /// Number of the tenure within the generation; increases with each tenure.
   std::uint32_t term = 0;
 
   auto operator<=>(const Epoch&) const = default;  // NOLINT(modernize-use-nullptr): false positive
