--- a/src/cypresswall/configuration/change.cpp
+++ b/src/cypresswall/configuration/change.cpp
@@ -31,7 +31,8 @@
   }
 }
 
-/// Sets or removes one object of a map whose objects contain their own name.
+/// Applies a change to a map of objects by name. Each object also contains its own name, in
+/// `name_field`.
 template <typename Object>
 void applyNamed(std::map<std::string, Object>& objects, std::string Object::*name_field,
                 const ObjectChange& change, const DecodeOptions& options) {
@@ -95,7 +96,7 @@
   return names;
 }
 
-/// Appends the set of zones to zone_sets if this version changed it.
+/// Appends the declared zones to zone_sets if they differ from the last set there.
 void recordZoneSet(FleetConfiguration& configuration) {
   auto& sets = configuration.zone_sets;
   auto names = zoneNames(configuration);
@@ -122,7 +123,7 @@
                                 set.at("zones").get<std::vector<common::ZoneName>>()});
   }
   if (result.zone_sets.empty() && !result.zones.empty()) {
-    // Written by a release without zone_sets.
+    // The configuration was encoded by a release that did not have zone_sets.
     result.zone_sets.push_back({0, zoneNames(result)});
   }
 }
@@ -156,8 +157,8 @@
   }
 }
 
-/// Replaces the error of a reference to an undeclared object by "can't be removed" if the change
-/// itself removed that object.
+/// Replaces each error about a reference to an object that `change` removed by an error of the
+/// removed object, which says that the object can't be removed.
 void explainRemovals(const ConfigurationChange& change, std::vector<ObjectError>& errors) {
   for (ObjectError& error : errors) {
     for (const ObjectChange& object : change.objects) {
--- a/src/cypresswall/configuration/change.h
+++ b/src/cypresswall/configuration/change.h
@@ -10,8 +10,8 @@
 
 namespace cypresswall::configuration {
 
-/// \return `current` with all of `change` applied and the change's version. References between
-///   objects are not checked; see checkChange().
+/// \return a copy of `current` to which all object changes of `change` are applied, with the
+///   version of `change`. References between objects are not checked; see checkChange().
 /// \throws ConfigurationError if an object can't be decoded
 FleetConfiguration applyChange(const FleetConfiguration& current, const ConfigurationChange& change,
                                const DecodeOptions& options = {});
@@ -20,10 +20,10 @@
 ///   keys, out-of-range numbers; empty if it is valid.
 std::vector<ObjectError> validate(const FleetConfiguration& configuration);
 
-/// Applies and validates a change. The removal of an object that others still reference is reported
-/// as an error of the removed object.
+/// Applies a change and validates the result. If the change removes an object that other objects
+/// still reference, the error is reported for the removed object.
 /// \return the resulting configuration
-/// \throws ConfigurationError with all errors
+/// \throws ConfigurationError with all errors of the result
 FleetConfiguration checkChange(const FleetConfiguration& current,
                                const ConfigurationChange& change);
 
--- a/src/cypresswall/configuration/change_encoding.cpp
+++ b/src/cypresswall/configuration/change_encoding.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kVersionDigits = 20;
 constexpr int kHexadecimal = 16;
 
-/// Digests are hexadecimal text, since many JSON parsers keep only 53 bits of a number.
+/// Encodes a digest as hexadecimal text, since many JSON parsers keep only 53 bits of a number.
 std::string encodeDigest(ChainDigest digest) {
   std::array<char, kHexadecimal> buffer{};
   const auto end =
--- a/src/cypresswall/configuration/change_encoding.h
+++ b/src/cypresswall/configuration/change_encoding.h
@@ -9,9 +9,9 @@
 
 namespace cypresswall::configuration {
 
-/// Key prefix of changes; each key holds the change of one version.
+/// Prefix of the store keys of changes; each key holds the change that produced one version.
 inline constexpr std::string_view kChangesPrefix = "configuration/changes/";
-/// Key of the snapshot.
+/// Store key of the only stored snapshot.
 inline constexpr std::string_view kSnapshotKey = "configuration/snapshot";
 
 /// A stored or received change or snapshot that can't be decoded.
@@ -20,13 +20,15 @@
   using common::Error::Error;
 };
 
-/// \return the key under which the change of `version` is stored; keys sort by version.
+/// \return the key under which the change of `version` is stored; the keys' text order is the order
+///   of versions.
 std::string changeKey(std::uint64_t version);
 
 /// \return the canonical text of a change, over which its digest is computed. \throws EncodingError
 std::string encodeChangeBody(const ConfigurationChange& change);
 
-/// \throws EncodingError if a text is not UTF-8 or a value is not JSON
+/// \return the JSON text of a change and its digests.
+/// \throws EncodingError if a text in the change is not UTF-8 or an object's value is not JSON
 std::string encodeChange(const LoggedChange& entry);
 /// Inverse of encodeChange(). The digest is not verified; see ChangeLog::append().
 /// \throws EncodingError
--- a/src/cypresswall/configuration/change_log.h
+++ b/src/cypresswall/configuration/change_log.h
@@ -14,7 +14,7 @@
 
 namespace cypresswall::configuration {
 
-/// Hash over a change and all its predecessors.
+/// Hash over a change and all changes before it.
 using ChainDigest = std::uint64_t;
 
 /// An accepted change with its position in the hash chain.
@@ -32,7 +32,7 @@
   std::string author;
 };
 
-/// A complete configuration, with the newest records up to its version.
+/// A complete configuration, and the records of the latest changes up to its version.
 struct ConfigurationSnapshot {
   FleetConfiguration configuration;
   ChainDigest digest = 0;
@@ -45,9 +45,9 @@
 enum class AppendResult {
   kApplied,
   kAppliedWithoutEffect,  ///< the version advanced, but its objects can't be decoded
-  kKnown,                 ///< already in the log
-  kGap,                   ///< preceding changes are missing
-  kFork,                  ///< conflicts with the change of that version, or its predecessor differs
+  kKnown,                 ///< the log's version already includes the change
+  kGap,                   ///< the log lacks changes that precede it
+  kFork,                  ///< the change or one before it differs from this log's history
 };
 
 class ChangeLog {
@@ -65,8 +65,8 @@
 
   /// \return the change of that version, or null if it is not retained.
   const LoggedChange* find(std::uint64_t version) const;
-  /// \return the retained changes from `version` on, at least one and up to about `maximum_bytes`;
-  ///   empty if that version is not retained.
+  /// \return the retained changes from `version` on: at least one, and further ones up to about
+  ///   `maximum_bytes` in total; empty if the change of `version` is not retained.
   std::vector<LoggedChange> from(std::uint64_t version, std::size_t maximum_bytes) const;
   /// \return the digest at that version, or nullopt if it is no longer retained.
   std::optional<ChainDigest> digestAt(std::uint64_t version) const;
--- a/src/cypresswall/configuration/committer.cpp
+++ b/src/cypresswall/configuration/committer.cpp
@@ -10,8 +10,8 @@
 
 using object_store::StoreFailure;
 
-/// Reads of a missing base version before the store counts as behind, since a read may be served
-/// from a stale copy.
+/// The store counts as lacking a change only after this many reads have not found it, since the
+/// store may answer a single read from an outdated copy.
 constexpr int kBaseReads = 3;
 
 constexpr std::array<const char*, 9> kStatusNames = {
@@ -121,8 +121,9 @@
   finish(attempt, std::move(result));
 }
 
-/// Completes an attempt whose base is no longer the newest version.
-/// \return true if it did
+/// Completes the attempt if this node has applied further versions since the attempt began: as
+/// accepted if one of them is the attempt's own change, or else as a conflict.
+/// \return true if the attempt was completed
 bool Committer::finishIfSuperseded(const AttemptPointer& attempt) {
   if (state_.log().version() + 1 == attempt->entry.change.version) {
     return false;
@@ -137,8 +138,9 @@
   return true;
 }
 
-/// A restored store may lack changes that are in force; committing on top of it would fork
-/// the history.
+/// Checks that the store holds the change of the preceding version. A store that was restored from
+/// a backup may lack changes that are in force; committing to such a store would start a second
+/// history.
 void Committer::checkBase(const AttemptPointer& attempt) {
   const std::uint64_t base = attempt->entry.change.version - 1;
   if (base == 0) {
@@ -207,8 +209,9 @@
   }
 }
 
-/// Retries a step after a lost answer. Repeating the write is safe: the key is only ever created,
-/// so either the write creates it, or the stored change shows whether an earlier write succeeded.
+/// Retries `step` after a lost answer, until the attempt's outcome_deadline. Repeating the write is
+/// safe, since a change's key is created once and never overwritten: either the write creates the
+/// key, or the change stored there shows whether an earlier write succeeded.
 void Committer::retryUntilDeadline(const AttemptPointer& attempt,
                                    void (Committer::*step)(const AttemptPointer&)) {
   if (context_.clock.now() >= attempt->outcome_deadline) {
@@ -266,8 +269,8 @@
   }
 }
 
-/// Failures are ignored: without the snapshot, new nodes only read more changes until the next one
-/// is written.
+/// Replaces the stored snapshot. Failures are ignored: until the next snapshot is written, new
+/// nodes only have to read more changes.
 void Committer::writeSnapshot() {
   const std::string key(kSnapshotKey);
   store_.get(key, [this, key](const Stored& result) {
--- a/src/cypresswall/configuration/committer.h
+++ b/src/cypresswall/configuration/committer.h
@@ -1,5 +1,6 @@
-/// Commits changes to the platform's store. The change that creates the key of the next version is
-/// accepted; a concurrent change for the same version fails and reports the author of the winner.
+/// Commits changes to the platform's store. Of several concurrent changes for the same version, the
+/// one that creates the store key of that version is accepted. The others fail with kConflict,
+/// which names the author of the accepted change.
 #pragma once
 
 #include <cstdint>
@@ -22,18 +23,18 @@
 /// A change requested by an operator.
 struct ConfigurationChangeRequest {
   std::vector<ObjectChange> objects;
-  /// Unique identifier; retries of one change use the same one.
+  /// Identifies the change; all retries of the change use the same identifier.
   std::string change_id;
   std::string author;
   /// If set, the change is rejected unless this is the version in force.
   std::optional<std::uint64_t> expected_version;
-  /// Commit even if zones are unreachable; these receive the change later.
+  /// If true, the change is committed even if zones don't answer; they receive it later.
   bool late_delivery = false;
 };
 
 enum class CommitStatus : std::uint8_t {
   kAccepted,
-  kConflict,          ///< another change was accepted first
+  kConflict,          ///< another change was accepted first, or `expected_version` is not in force
   kInvalid,           ///< see CommitResult::errors
   kZoneRefused,       ///< see CommitResult::zones
   kStoreUnavailable,  ///< the change was not stored
@@ -51,7 +52,7 @@
   /// The accepted version, or the newest that this node holds.
   std::uint64_t version = 0;
   std::string message;
-  /// With kConflict: author of the change that was accepted first.
+  /// With kConflict: author of the change that was accepted first, if known.
   std::string winner;
   std::vector<ObjectError> errors;
   std::vector<ZoneRefusal> zones;
@@ -79,12 +80,13 @@
     LoggedChange entry;
     common::MonotonicTime outcome_deadline;
     int base_reads = 0;
-    /// True once a write of unknown outcome may have taken effect.
+    /// True once the answer to a write was lost, so that the change may be stored.
     bool possibly_stored = false;
   };
   using AttemptPointer = std::shared_ptr<Attempt>;
 
-  /// \return the result, if it needs neither the store nor the other zones.
+  /// \return the result if the request can be decided without the store and the other zones, or
+  ///   nothing.
   std::optional<CommitResult> immediateResult(const ConfigurationChangeRequest& request) const;
   std::optional<CommitResult> prepare(Attempt& attempt, FleetConfiguration& result) const;
   void onZonesAnswered(const AttemptPointer& attempt, std::vector<ZoneRefusal> refusals);
--- a/src/cypresswall/configuration/duration_text.h
+++ b/src/cypresswall/configuration/duration_text.h
@@ -13,8 +13,8 @@
 ///   one of the units us, ms, s, m, h, or if it exceeds a thousand days.
 std::optional<common::Duration> parseDuration(std::string_view text);
 
-/// \return `duration` in the largest of s, ms and us that gives a whole number; the inverse of
-///   parseDuration().
+/// \return `duration` as a whole number of the largest of s, ms and us that allows one, in a form
+///   that parseDuration() accepts.
 std::string formatDuration(common::Duration duration);
 
 }  // namespace cypresswall::configuration
--- a/src/cypresswall/configuration/fleet.h
+++ b/src/cypresswall/configuration/fleet.h
@@ -20,14 +20,14 @@
   std::string region;
 };
 
-/// The zones declared from a version on.
+/// The zones that are declared from `version` until the next set's version.
 struct ZoneSet {
   std::uint64_t version = 0;
-  /// Sorted.
+  /// Sorted by name.
   std::vector<common::ZoneName> zones;
 };
 
-/// Maximum length of FleetConfiguration::zone_sets; older sets are dropped.
+/// Maximum length of FleetConfiguration::zone_sets; the oldest sets beyond it are dropped.
 inline constexpr std::size_t kRetainedZoneSets = 8;
 
 struct AdapterDeclaration {
@@ -35,7 +35,7 @@
   std::string weights_uri;
 };
 
-/// A model and the version of it to serve.
+/// A model, and the version of its weights that engines are to serve.
 struct ModelDeclaration {
   common::ModelName name;
   std::string version;
@@ -52,22 +52,27 @@
   /// Model that the engine serves.
   common::ModelName model;
   engines::EngineRole initial_role = engines::EngineRole::kMixed;
-  /// With autoscaling: the pool that the engine belongs to, the platform's own zone that it runs
-  /// in, and whether the platform may reclaim it at short notice.
+  /// Autoscaling pool that the engine belongs to. This and the following fields are set only if the
+  /// platform declares the fleet.
   std::string pool = {};
+  /// The platform's own zone in which the engine runs.
   std::string location = {};
+  /// True if the platform may reclaim the engine at short notice.
   bool preemptible = false;
 };
 
-/// A pool of engines that the system scales by orders to the platform.
+/// A pool of engines whose number the system changes by ordering or releasing engines at the
+/// platform.
 struct AutoscalingDeclaration {
   std::string pool;
-  /// Bounds on the number of engines in each location, preemptible ones included.
+  /// Minimum number of engines in each location, preemptible ones included.
   std::uint32_t minimum_engines = 0;
+  /// Maximum number of engines in each location, preemptible ones included.
   std::uint32_t maximum_engines = 0;
-  /// Time from an order until the engine accepts its first request.
+  /// Time from ordering an engine until it accepts its first request.
   common::Duration boot_time{0};
-  /// Price of a preemptible engine relative to a non-preemptible one; zero if none are offered.
+  /// Price of a preemptible engine as a fraction of the price of a non-preemptible one; zero if the
+  /// platform offers no preemptible engines.
   double preemptible_price = 0;
   /// Price per second of a non-preemptible engine, by location.
   std::map<std::string, double> location_prices;
@@ -75,7 +80,8 @@
 
 enum class Urgency : std::uint8_t { kLow, kNormal, kHigh, kCritical };
 
-/// A service backed by a language model. Callers name it in the OpenAI field "model".
+/// A service backed by a language model. Callers give the service's name in the field "model" of
+/// the OpenAI API.
 struct ModelServiceDeclaration {
   common::ServiceName name;
   common::ModelName model;
@@ -86,21 +92,22 @@
   common::Duration first_token_target{0};
   common::Duration between_tokens_limit = std::chrono::milliseconds(79);
   std::uint32_t maximum_tokens = 4096;
-  /// False if a request that may have run must not run again: it is neither retried nor resumed.
-  /// Prefill alone does not count as running it and may be retried.
+  /// False if a request that may have run must not run again; it is then neither retried nor
+  /// resumed. A request of which only the prefill ran does not count as run and may be retried.
   bool repeatable = true;
   /// Maximum time from a request's arrival to its last token; zero means no limit.
   common::Duration time_limit{0};
   /// Maximum number of engines that a request may run on in turn; zero uses the node's default.
   std::uint32_t maximum_runs = 0;
-  /// Services of the same pool share their back ends and the limits on these, such as the retry
-  /// budget; empty if the model's engines serve no other pool.
+  /// Name of a group of services that share their back ends and the limits on the back ends, such
+  /// as the retry budget; empty if the model's engines serve no other pool.
   std::string backend_pool;
 };
 
-/// One kind of call to a plain HTTP service, found by method and longest path prefix.
+/// One kind of call to a plain HTTP service. A request belongs to the operation that matches its
+/// method and has the longest prefix of its path.
 struct OperationDeclaration {
-  /// Empty matches every method that no other operation with the same prefix names.
+  /// HTTP method; empty for all methods that no other operation with the same prefix names.
   std::string method;
   std::string path_prefix;
   /// False if the operation may run at most once.
@@ -122,12 +129,12 @@
   Urgency urgency = Urgency::kNormal;
   std::vector<BackendDeclaration> backends;
   std::vector<OperationDeclaration> operations;
-  /// Services of the same pool share their back ends and the limits on these, such as the retry
-  /// budget; empty if the back ends serve no other service.
+  /// Name of a group of services that share their back ends and the limits on the back ends, such
+  /// as the retry budget; empty if the back ends serve no other service.
   std::string backend_pool;
 };
 
-/// A tenant and its rate limits over the whole zone; zero means no limit.
+/// A tenant. Its rate limits apply to all nodes of a zone together; zero means no limit.
 struct TenantDeclaration {
   common::TenantName name;
   /// Key that callers send as "Authorization: Bearer <key>"; empty for the tenant "default".
@@ -140,18 +147,20 @@
   std::optional<Urgency> urgency = {};
 };
 
-/// How the planner trades goodput against role changes.
+/// Policy by which the planner weighs goodput (the rate of answers delivered in time) against the
+/// cost of changing engines' roles.
 struct PlanningPolicy {
-  /// Cost of one role change: the number of answers delivered in time that it must gain beyond
-  /// those it loses. Low values favour goodput, high values favour stable roles.
+  /// Net number of answers delivered in time that a role change has to gain, after subtracting
+  /// those lost during the change. Low values favour goodput, high values favour stable roles.
   double role_change_weight = 1.0;
-  /// Time within which a role change must recover its cost.
+  /// Time within which a role change has to gain that number.
   common::Duration horizon = std::chrono::seconds(120);
-  /// False keeps the roles that operators set.
+  /// If false, the planner changes no roles, and engines keep those that operators set.
   bool automatic_roles = true;
 };
 
-/// A manual override of an engine by an operator; the planner does not change the engine.
+/// An operator's override for one engine. The planner does not change an engine that is drained or
+/// whose role is pinned.
 struct EngineOverride {
   common::EngineName engine;
   bool drained = false;
@@ -169,13 +178,13 @@
   std::map<common::ServiceName, HttpServiceDeclaration> http_services;
   std::map<common::TenantName, TenantDeclaration> tenants;
   std::map<common::EngineName, EngineOverride> engine_overrides;
-  /// Nodes and machines drained by operators, by machine name or node address.
+  /// Nodes and machines drained by operators; the key is a machine name or a node address.
   std::map<std::string, bool> drained_nodes;
   PlanningPolicy planning;
-  /// By pool; only where the platform declares the fleet.
+  /// By name of the pool; empty unless the platform declares the fleet.
   std::map<std::string, AutoscalingDeclaration> autoscaling;
-  /// Derived from the changes: successive sets of zones, oldest first, the last one in force. Empty
-  /// until a zone is declared; earlier sets may be missing once it holds kRetainedZoneSets.
+  /// Successive sets of zones, derived from the changes. The oldest is first and the last one is in
+  /// force. Empty until a zone is declared; holds the latest kRetainedZoneSets sets at most.
   std::vector<ZoneSet> zone_sets;
 };
 
@@ -192,20 +201,22 @@
   kPlanning,
 };
 
-/// Sets or removes one declared object. The value is the object as JSON (docs/settings.md), empty
-/// for a removal.
+/// Sets or removes one declared object.
 struct ObjectChange {
   ObjectKind kind = ObjectKind::kZone;
   std::string name;
   bool removed = false;
+  /// The object as JSON (docs/settings.md); empty for a removal.
   std::string value_json;
 };
 
 /// A set of object changes that takes effect atomically.
 struct ConfigurationChange {
-  /// Consecutive, starting at 1.
+  /// Version of the configuration that the change produces. Versions are consecutive, starting
+  /// at 1.
   std::uint64_t version = 0;
-  /// Chosen by the operator's client, so that a retry after a lost answer is recognised.
+  /// Identifier chosen by the operator's client, by which a retry after a lost answer is
+  /// recognised.
   std::string change_id;
   std::string author;
   std::vector<ObjectChange> objects;
--- a/src/cypresswall/configuration/fleet_file.cpp
+++ b/src/cypresswall/configuration/fleet_file.cpp
@@ -26,7 +26,8 @@
   return text + message;
 }
 
-/// A YAML file as JSON with all scalars as text, and the line number of each key path.
+/// A YAML file converted to JSON, with all scalars as text, and the line number of each key path
+/// such as "engines[3].zone".
 class LocatedDocument {
  public:
   LocatedDocument(const std::string& text, std::string file) : file_(std::move(file)) {
@@ -51,7 +52,7 @@
  private:
   static constexpr int kMaximumDepth = 16;
 
-  /// \return the line of the path, or of its longest prefix with a known line.
+  /// \return the line number of a key path, or of its longest prefix whose line is known.
   int lineOf(std::string path) const {
     while (!path.empty()) {
       const auto found = lines_.find(path);
@@ -107,7 +108,7 @@
   std::map<std::string, int> lines_;
 };
 
-/// Collects the changes from a configuration to a fleet file.
+/// Collects the changes that turn a configuration into the contents of a fleet file.
 class DifferenceBuilder {
  public:
   explicit DifferenceBuilder(const LocatedDocument& document) : document_(document) {}
--- a/src/cypresswall/configuration/fleet_file.h
+++ b/src/cypresswall/configuration/fleet_file.h
@@ -25,9 +25,9 @@
   std::string key_;
 };
 
-/// Compares a fleet file with the configuration in force. A list in the file is complete for its
-/// kind: objects that it does not name are removed. Kinds without a list stay unchanged. References
-/// between objects are not checked; see checkChange().
+/// Compares a fleet file with the configuration in force. A list in the file names all objects of
+/// its kind: declared objects that are not in the list are removed. Kinds of objects without a list
+/// stay unchanged. References between objects are not checked; see checkChange().
 /// \param file_name used in errors only
 /// \return the changes from `current` to the contents of the file; empty if there are none
 /// \throws FleetFileError
--- a/src/cypresswall/configuration/messages.h
+++ b/src/cypresswall/configuration/messages.h
@@ -10,19 +10,20 @@
 
 namespace cypresswall::configuration {
 
-/// Requests the changes after a version; answered by Changes, or by Snapshot if they are no longer
-/// retained.
+/// Requests the changes after a version. The receiver answers with Changes, or with Snapshot if it
+/// no longer retains those changes.
 struct PullRequest {
   static constexpr auto kType = api::messageType(api::MessageType::kConfigurationFirst, 0);
   std::uint64_t after_version = 0;
-  /// Digest at after_version, by which the receiver detects a diverging history.
+  /// The sender's digest at after_version, by which the receiver detects a diverging history.
   std::uint64_t digest = 0;
   /// False if the sender has no configuration yet and requests a snapshot.
   bool ready = false;
   MSGPACK_DEFINE(after_version, digest, ready)
 };
 
-/// Consecutive changes; empty if the receiver of a PullRequest has nothing newer.
+/// Consecutive changes, as an answer to PullRequest or sent unasked. In an answer, the list is
+/// empty if the sender has no newer changes.
 struct Changes {
   static constexpr auto kType = api::messageType(api::MessageType::kConfigurationFirst, 1);
   /// Newest version of the sender.
@@ -53,7 +54,7 @@
 enum class ApprovalVerdict : std::uint8_t {
   kApproved,
   kRefused,  ///< the zone can't apply the change, for the given `reason`
-  kNewer,    ///< the zone has a newer version than the one the change is based on
+  kNewer,    ///< the zone's version is newer than the version that the change is based on
   kFork,     ///< the zone's history diverges
 };
 
@@ -78,7 +79,7 @@
 struct ZoneVersions {
   /// Newest version known in the zone.
   std::uint64_t newest = 0;
-  /// Lowest version held by any ready node of the zone.
+  /// Lowest version held by a ready node of the zone: all of them have applied it.
   std::uint64_t in_force = 0;
   MSGPACK_DEFINE(newest, in_force)
 };
--- a/src/cypresswall/configuration/object_codec.cpp
+++ b/src/cypresswall/configuration/object_codec.cpp
@@ -56,7 +56,8 @@
   throw FieldDecodeError(FieldError{path, message});
 }
 
-/// JSON strings must be UTF-8; the library checks this only when it serialises.
+/// \return true if `text` is valid UTF-8. The JSON library checks this only when it serialises a
+///   string, which is therefore done here.
 bool isValidUtf8(const json& text) {
   try {
     text.dump();
--- a/src/cypresswall/configuration/object_codec.h
+++ b/src/cypresswall/configuration/object_codec.h
@@ -49,7 +49,7 @@
 nlohmann::json encodeObject(const NodeDrain& object);
 
 /// Decodes one object; missing optional fields keep the defaults of its type. Instantiated for each
-/// type above.
+/// type that has an encodeObject().
 /// \throws FieldDecodeError
 template <typename Object>
 Object decodeObject(const nlohmann::json& json, const DecodeOptions& options);
--- a/src/cypresswall/configuration/object_fields.h
+++ b/src/cypresswall/configuration/object_fields.h
@@ -1,5 +1,5 @@
-/// Field lists of the declared objects, shared by the encoder and the decoder. A visitor is called
-/// as visitor(field name, field, presence).
+/// Field lists of the declared objects, shared by the encoder and the decoder. visitFields() calls
+/// visitor(field name, field, presence) for each field of an object.
 #pragma once
 
 #include "cypresswall/configuration/fleet.h"
@@ -102,7 +102,8 @@
   visitor("role", engine_override.role, FieldPresence::kOptional);
 }
 
-/// Body of an object of kind kNodeDrain; its name is the machine's name or the node's address.
+/// Value of an object of kind kNodeDrain. The object's name is the machine's name or the node's
+/// address.
 struct NodeDrain {
   bool drained = true;
 };
--- a/src/cypresswall/configuration/object_kind.h
+++ b/src/cypresswall/configuration/object_kind.h
@@ -14,7 +14,7 @@
 /// Name of the only object of kind kPlanning.
 inline constexpr std::string_view kPlanningObjectName = "planning";
 
-/// \return the name used in commands and messages, for example "model_service".
+/// \return the kind's name as used in commands and messages, for example "model_service".
 const char* toString(ObjectKind kind);
 /// Inverse of toString(ObjectKind).
 std::optional<ObjectKind> parseObjectKind(std::string_view text);
--- a/src/cypresswall/configuration/peer_exchange.cpp
+++ b/src/cypresswall/configuration/peer_exchange.cpp
@@ -93,8 +93,8 @@
   if (!peers.empty()) {
     pull(peers[context_.random.below(peers.size())]);
   }
-  // Nodes of other zones may lag behind the local zone, so they are queried only if no local node
-  // has supplied the configuration within this delay.
+  // Nodes of other zones may lag behind the local zone, so they are asked only if no node of the
+  // local zone has provided a configuration for a while.
   const auto contacts = gossip_.zoneContacts();
   const bool local_nodes_late = context_.clock.now() - started_ >= settings_.peer_bootstrap_delay;
   if (local_nodes_late && !contacts.empty()) {
@@ -226,8 +226,9 @@
   }
 }
 
-/// A new node does not become ready with the data of a lagging peer while a newer version is known
-/// to exist in the zone.
+/// Marks this node as ready, unless the zone is known to have a newer version than the peer from
+/// which this node got its configuration. The newer version is then pulled first, but readiness is
+/// not delayed beyond ConfigurationSettings::store_bootstrap_delay.
 void PeerExchange::becomeReady() {
   const bool waited = context_.clock.now() - started_ >= settings_.store_bootstrap_delay;
   if (!waited && ownZoneVersions().newest > state_.log().version()) {
--- a/src/cypresswall/configuration/peer_exchange.h
+++ b/src/cypresswall/configuration/peer_exchange.h
@@ -1,5 +1,5 @@
 /// Replication between nodes: pushes new changes within the zone and to other zones, pulls missing
-/// ones, publishes the zone's version, and obtains the first snapshot of a new node.
+/// changes, publishes the zone's version, and on a new node obtains a first snapshot from peers.
 #pragma once
 
 #include <map>
@@ -58,12 +58,12 @@
   ReplicaState& state_;
   membership::MembershipView& membership_;
   membership::ZoneGossip& gossip_;
-  /// Latest versions published by each other zone.
+  /// Versions that each other zone published last.
   std::map<common::ZoneName, ZoneVersions> zones_;
   common::MonotonicTime started_;
   bool pull_pending_ = false;
   common::MonotonicTime last_pull_;
-  /// When another zone was first seen to be ahead; valid if behind_zones_.
+  /// Since when this node knows that another zone has a newer version; valid if behind_zones_.
   common::MonotonicTime behind_since_;
   bool behind_zones_ = false;
   bool publication_scheduled_ = false;
--- a/src/cypresswall/configuration/replica_state.h
+++ b/src/cypresswall/configuration/replica_state.h
@@ -14,7 +14,7 @@
 
 /// Origin of a change; determines which nodes it is forwarded to.
 enum class ChangeSource {
-  kZonePeer,   ///< a node of the local zone, which forwards it itself
+  kZonePeer,   ///< a node of the local zone; it sends the change to the zone's other nodes itself
   kOtherZone,  ///< a node of another zone
   kStore,
   kCommit,  ///< committed by this node
@@ -28,17 +28,18 @@
 
   const ChangeLog& log() const { return log_; }
   bool ready() const { return ready_; }
-  /// True once a diverging history was detected.
+  /// True once this node has received a change or digest that contradicts its own history.
   bool forked() const { return forked_; }
 
-  /// Appends changes in order and skips known ones; stops at a gap or a diverging history.
-  /// \return the last result; kKnown if `entries` is empty
+  /// Appends changes in order and skips those already known; stops at a gap or a diverging history.
+  /// \return the result of the last change processed; kKnown if `entries` is empty
   AppendResult apply(const std::vector<LoggedChange>& entries, ChangeSource source);
   /// Installs a snapshot if it is newer.
   void install(const ConfigurationSnapshot& snapshot, ChangeSource source);
   /// Marks the configuration as loaded and calls the listeners of onReady().
   void markReady();
-  /// Records a diverging history; `where` is logged.
+  /// Records that a history diverges from this node's at `version`. \param where the source of the
+  /// diverging history, for the log
   void recordFork(const std::string& where, std::uint64_t version);
 
   /// Calls `listener` with the previous version after each increase of the version.
--- a/src/cypresswall/configuration/store_reader.cpp
+++ b/src/cypresswall/configuration/store_reader.cpp
@@ -162,8 +162,9 @@
                });
 }
 
-/// Gets the store's revision from a listing of at most the next change; a listing of all changes
-/// would grow with the age of the fleet.
+/// Obtains the store's revision, from which the watch starts. To do so, lists the key prefix of the
+/// next change, which at most one object has; a listing of all changes would grow with the age of
+/// the fleet.
 void StoreReader::startWatch() {
   store_.list(changeKey(state_.log().version() + 1),
               [this](const object_store::StoreResult<object_store::ObjectListing>& result) {
@@ -214,7 +215,7 @@
 }
 
 /// Searches backwards from `version` for the newest change that the store still holds, and writes
-/// back the changes after it.
+/// the changes after that one back to the store.
 void StoreReader::findLastStoredChange(std::uint64_t version) {
   if (version == 0) {
     writeBack(1);
@@ -239,7 +240,8 @@
   });
 }
 
-/// Changes before `version` are no longer retained; the snapshot covers them.
+/// Writes a snapshot and then the changes from `version` on to the store. The snapshot replaces the
+/// changes before `version`, which this node no longer retains.
 void StoreReader::writeSnapshotThenChanges(std::uint64_t version) {
   const std::string key(kSnapshotKey);
   store_.get(key, [this, key, version](const Stored& result) {
@@ -284,7 +286,8 @@
   });
 }
 
-/// Calls `same` if the store holds this node's change of that version; else ends the write-back.
+/// Calls `same` if the stored change of `version` is the one that this node holds; otherwise ends
+/// the write-back.
 void StoreReader::continueIfStoredMatches(std::uint64_t version, std::function<void()> same) {
   store_.get(changeKey(version), [this, version, same = std::move(same)](const Stored& result) {
     if (result.ok() && matchesOwnChange(result.value(), version)) {
--- a/src/cypresswall/configuration/store_reader.h
+++ b/src/cypresswall/configuration/store_reader.h
@@ -1,6 +1,6 @@
-/// Reads accepted changes from the platform's store on the node that is the zone's reader, and
-/// writes changes back that a restored store has lost. Also loads the first configuration of a new
-/// node without peers.
+/// On the node that is its zone's reader: reads accepted changes from the platform's store, and
+/// writes back changes that a store restored from a backup has lost. Also loads the first
+/// configuration of a new node that obtains none from peers.
 #pragma once
 
 #include <functional>
@@ -25,7 +25,7 @@
   void start();
   /// True if this node's last read reached the store.
   bool storeReachable() const { return reachable_; }
-  /// True while the store is known to be missing changes that this node holds.
+  /// True while the store is known to lack changes that this node holds.
   bool storeBehind() const { return behind_; }
 
  private:
--- a/src/cypresswall/configuration/validation.cpp
+++ b/src/cypresswall/configuration/validation.cpp
@@ -59,7 +59,7 @@
     }
   }
 
-  /// Adds `error` with its message if no object `name` is declared.
+  /// If `objects` contains no object `name`, adds `error` with a message that says so.
   template <typename Objects>
   void requireDeclared(const Objects& objects, ObjectKind kind, const std::string& name,
                        ObjectError error) {
@@ -130,7 +130,7 @@
   bool hasAdapter(const std::string& model, const std::string& adapter) const {
     const auto found = configuration_.models.find(model);
     if (found == configuration_.models.end()) {
-      return true;  // the undeclared model is already reported
+      return true;  // another check already reports the undeclared model
     }
     const auto& adapters = found->second.adapters;
     return std::any_of(adapters.begin(), adapters.end(),
--- a/src/cypresswall/configuration/zone_approval.h
+++ b/src/cypresswall/configuration/zone_approval.h
@@ -29,7 +29,7 @@
 
 class ZoneApproval {
  public:
-  /// Called with the zones that did not approve; empty if all did.
+  /// Called with the zones that did not approve; the list is empty if all zones approved.
   using Callback = std::function<void(std::vector<ZoneRefusal>)>;
 
   ZoneApproval(const ConfigurationSettings& settings, const api::ProcessContext& context,
@@ -38,7 +38,8 @@
   ZoneApproval(const ZoneApproval&) = delete;
   ZoneApproval& operator=(const ZoneApproval&) = delete;
 
-  /// Asks each zone declared in `result` that has known nodes.
+  /// Asks for the approval of each zone that is declared in `result` and has known nodes.
+  /// \param result the configuration that the change produces
   /// \param late_delivery if true, zones that don't answer count as approving
   /// \param callback called exactly once, never before the call returns
   void ask(const LoggedChange& entry, const FleetConfiguration& result, bool late_delivery,
