--- a/src/cypresswall/settings/daemon_settings.h
+++ b/src/cypresswall/settings/daemon_settings.h
@@ -1,5 +1,5 @@
-/// Settings of cypresswalld, composed of the settings of its components, which define the defaults.
-/// docs/settings.md lists every key.
+/// Settings of cypresswalld. They consist mostly of the settings of its components, which define
+/// the defaults. docs/settings.md lists every key.
 #pragma once
 
 #include <cstdint>
@@ -31,16 +31,19 @@
   common::LogLevel log_level = common::LogLevel::kInfo;
   node::NodeSettings node;
   PlatformProtocol platform_protocol = PlatformProtocol::kCypresswall;
-  /// Planning policy if the platform declares the fleet without one.
+  /// Planning policy that applies if the platform declares the fleet: its declaration contains no
+  /// policy.
   configuration::PlanningPolicy planning;
-  /// Role planner for engines that have only the roles "prefill" and "decode".
+  /// Settings of the role planner for engines that have only the roles "prefill" and "decode".
   planning::DisaggregatedPlannerSettings disaggregated_planner;
-  /// Copy cached prefixes between engines, if the platform's engines support it.
+  /// If true, cached prefixes of prompts are copied between engines. Ignored unless the platform's
+  /// engines support such copies.
   bool copied_prefixes = true;
-  /// Address of the daemon's own paths, such as /readyz; empty serves them at the gateway address.
+  /// Address at which the daemon serves its own paths, such as /readyz; if empty, it serves them at
+  /// the gateway address.
   common::Address readiness_address;
-  /// On a planned stop, requests are still accepted for this long after the node reports that it is
-  /// not ready.
+  /// On a planned stop, the node first reports that it is not ready, and still accepts requests for
+  /// this long, so that load balancers can notice.
   common::Duration stop_lame_duck{0};
   runtime::TransportSettings transport;
   http::ServerSettings server;
@@ -49,7 +52,8 @@
   services::HttpServiceSettings services;
   object_store::HttpObjectStoreSettings object_store;
   object_store::HttpMachineListSettings machine_list;
-  /// Platform API for calls that a single node makes for the whole fleet; empty if there is none.
+  /// Address of the platform API for calls that a single node makes for the whole fleet (usage
+  /// reports and autoscaling); empty if the platform has no such API.
   common::Address duty_api;
   /// Used only in builds with fault injection.
   runtime::BlockedPeers blocked_peers;
--- a/src/cypresswall/settings/policy_keys.cpp
+++ b/src/cypresswall/settings/policy_keys.cpp
@@ -29,7 +29,7 @@
   return key;
 }
 
-/// Names of fleet-wide duties, as used by platforms.
+/// Names that platforms use for the duties that one node performs for the whole fleet.
 constexpr const char* kUsageDuty = "usage_report";
 constexpr const char* kAutoscalingDuty = "autoscale";
 
--- a/src/cypresswall/settings/policy_keys.h
+++ b/src/cypresswall/settings/policy_keys.h
@@ -11,13 +11,13 @@
 std::vector<SettingKey> planningKeys();
 /// \return keys of the retry budget
 std::vector<SettingKey> retryKeys();
-/// \return keys of the quarantine of requests that crash engines
+/// \return keys of the quarantine, which blocks requests that crash engines
 std::vector<SettingKey> quarantineKeys();
 /// \return keys of the duties that one node performs for the whole fleet
 std::vector<SettingKey> dutyKeys();
 /// \return keys of autoscaling
 std::vector<SettingKey> autoscalingKeys();
-/// \return keys that switch individual overload mechanisms off
+/// \return keys that switch off individual mechanisms against overload
 std::vector<SettingKey> mechanismKeys();
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/setting_key.cpp
+++ b/src/cypresswall/settings/setting_key.cpp
@@ -31,7 +31,8 @@
   return key;
 }
 
-/// \return a function that parses a number, checks its range and stores it in `field`.
+/// \return a function that parses a number, checks that it is between `minimum` and `maximum`, and
+///   stores it in `field`.
 auto sizeSetter(SizeParser parse, std::size_t minimum, std::size_t maximum, std::string range,
                 SettingField<std::size_t> field) {
   return [=, range = std::move(range)](DaemonSettings& settings, const RawValue& value) {
--- a/src/cypresswall/settings/setting_key.h
+++ b/src/cypresswall/settings/setting_key.h
@@ -11,7 +11,7 @@
 
 namespace cypresswall::settings {
 
-/// An unparsed value: a single text, or the items of a list.
+/// An unparsed value: one text in `items`, or the items of a list if `is_list` is true.
 struct RawValue {
   std::vector<std::string> items;
   bool is_list = false;
@@ -23,7 +23,7 @@
   /// Unit or type, as shown in the documentation.
   std::string unit;
   std::string range;
-  /// As written in a file; empty if the key is required.
+  /// Default value as written in a settings file; empty if the key is required.
   std::string default_text;
   std::string meaning;
   bool required = false;
@@ -35,7 +35,8 @@
 template <typename Value>
 using SettingField = Value& (*)(DaemonSettings&);
 
-/// Each function describes a key whose value is stored in `field`.
+/// Each of the following functions returns the description of a key whose value is stored in
+/// `field`.
 SettingKey durationKey(std::string name, common::Duration minimum, common::Duration maximum,
                        SettingField<common::Duration> field, std::string meaning);
 SettingKey bytesKey(std::string name, std::size_t minimum, std::size_t maximum,
--- a/src/cypresswall/settings/settings_flags.h
+++ b/src/cypresswall/settings/settings_flags.h
@@ -9,9 +9,11 @@
 
 /// \return the name of a key's flag, without dashes.
 std::string flagName(const std::string& key);
-/// Registers the flags with gflags. Must be called once, before gflags parses the command line.
+/// Registers the flags of all keys with gflags. Must be called once, before gflags parses the
+/// command line.
 void registerSettingFlags();
-/// \return the values of the flags that were set. List items are separated by commas.
+/// \return the values of the flags that were set on the command line, where commas separate the
+///   items of a list.
 SourceValues settingFlagValues();
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/settings_loader.cpp
+++ b/src/cypresswall/settings/settings_loader.cpp
@@ -7,8 +7,8 @@
 namespace cypresswall::settings {
 namespace {
 
-/// Twice the first-token limit: abandoning a silent attempt earlier only makes another engine
-/// repeat the prefill.
+/// On the platform kObjects, an attempt without a first token is abandoned no earlier than after
+/// twice the first-token limit: earlier, another engine would only have to repeat the prefill.
 constexpr double kObjectsPlatformStallShare = 2;
 
 /// Applies values to the defaults and collects all problems.
@@ -103,13 +103,14 @@
 DaemonSettings makeSettings(const SourceValues& values) {
   DaemonSettings settings = Loader(values).load();
   if (settings.platform_protocol == PlatformProtocol::kObjects) {
-    // This platform counts every request that reaches a back end, even a refused one, across all
-    // nodes and their restarts.
+    // This platform counts every request that reaches a back end, even if the back end refuses it.
+    // It counts the requests of all nodes together and keeps the counts when nodes restart.
     settings.node.execution.charge_refused_attempts = true;
     settings.node.local_share.withhold_after_start = true;
     settings.node.router.copies_prefixes = settings.copied_prefixes;
     settings.node.execution.first_token_stall_share = kObjectsPlatformStallShare;
-    // Its engines have only the roles "prefill" and "decode", and its store outlives the nodes.
+    // The platform's engines have only the roles "prefill" and "decode", and its store stays
+    // available when nodes stop.
     settings.node.lease_in_store = true;
     settings.node.controller.order.engines_finish_streams = true;
     settings.node.make_planner = [planner = settings.disaggregated_planner] {
--- a/src/cypresswall/settings/settings_loader.h
+++ b/src/cypresswall/settings/settings_loader.h
@@ -10,7 +10,7 @@
 /// \throws SettingsError with all problems found
 DaemonSettings makeSettings(const SourceValues& values);
 
-/// \return `lower` overridden by the values of `upper`.
+/// \return the values of both sources; for keys in both, the value of `upper`.
 SourceValues merged(SourceValues lower, const SourceValues& upper);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/settings_source.h
+++ b/src/cypresswall/settings/settings_source.h
@@ -10,7 +10,8 @@
 
 namespace cypresswall::settings {
 
-/// All problems of the settings, one line each, with source location and key.
+/// Thrown for invalid settings. what() lists all problems, one line each, with source location and
+/// key.
 class SettingsError : public common::Error {
  public:
   explicit SettingsError(const std::vector<std::string>& problems);
@@ -25,10 +26,10 @@
 /// Values by key name.
 using SourceValues = std::map<std::string, LocatedValue>;
 
-/// Reads a YAML file of sections with the keys of settingKeys().
+/// Reads a YAML settings file, in which sections contain the keys of settingKeys().
 /// \throws SettingsError on unreadable files, unknown or duplicate keys, and malformed values
 SourceValues readSettingsFile(const std::string& path);
-/// Same for a text; error messages use `name` as the file name.
+/// Reads settings from the text of such a file; error messages use `name` as the file name.
 SourceValues readSettingsText(const std::string& text, const std::string& name);
 
 }  // namespace cypresswall::settings
--- a/src/cypresswall/settings/value_text.cpp
+++ b/src/cypresswall/settings/value_text.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::size_t kMaximumNameBytes = 64;
-/// Large enough for the shortest exact text of any double.
+/// Buffer size for a formatted number; large enough for the shortest exact text of any double.
 constexpr std::size_t kMaximumNumberBytes = 32;
 
 using ByteUnit = std::pair<std::string_view, unsigned>;
-/// Byte units and their powers of two, largest first.
+/// Byte units, largest first; each unit is 2 to the given power bytes.
 constexpr std::array<ByteUnit, 3> kByteUnits = {{{"GiB", 30}, {"MiB", 20}, {"KiB", 10}}};
 
 bool isNameCharacter(char c) {
--- a/src/cypresswall/settings/value_text.h
+++ b/src/cypresswall/settings/value_text.h
@@ -11,8 +11,8 @@
 
 namespace cypresswall::settings {
 
-/// A text that is not a value of the expected type or outside the key's range. The message says
-/// what is expected, without naming the key.
+/// Thrown for a text that is not a value of the expected type or is outside the key's range. The
+/// message says what is expected, without naming the key.
 class ValueError : public common::Error {
  public:
   using common::Error::Error;
@@ -20,14 +20,15 @@
 
 /// Each of the following throws ValueError.
 std::uint64_t parseCount(const std::string& text);
-/// A count of bytes, or one directly followed by KiB, MiB or GiB.
+/// Parses a number of bytes, or a number directly followed by KiB, MiB or GiB.
 std::uint64_t parseBytes(const std::string& text);
-/// A number in decimal digits, such as 0.5.
+/// Parses a number in decimal notation, such as 0.5.
 double parseNumber(const std::string& text);
 common::Duration parseDurationValue(const std::string& text);
-/// A name of letters, digits, '-', '_' and '.', of 1 to 64 characters.
+/// Parses a name of 1 to 64 characters: letters, digits, '-', '_' and '.'.
 std::string parseName(const std::string& text);
-/// An address that peers can reach: a numeric IP address, not the wildcard, and a non-zero port.
+/// Parses an address that peers can reach: a numeric IP address other than the wildcard address,
+/// and a non-zero port.
 common::Address parseReachableAddress(const std::string& text);
 
 /// A seed node: "IP:port" in the local zone, "zone/region@IP:port" in another one.
@@ -39,9 +40,9 @@
 };
 Seed parseSeed(const std::string& text);
 
-/// Inverse of parseBytes(), in the largest unit that gives a whole number.
+/// \return `bytes` as a whole number of the largest unit that allows one; inverse of parseBytes().
 std::string formatBytes(std::uint64_t bytes);
-/// Inverse of parseNumber(), in the fewest digits.
+/// \return the shortest text that parseNumber() parses to `number`.
 std::string formatNumber(double number);
 
 }  // namespace cypresswall::settings
