--- a/src/cypresswall/surroundings/platform_adapter.h
+++ b/src/cypresswall/surroundings/platform_adapter.h
@@ -1,6 +1,6 @@
 /// Adapter between the daemon and a platform: the clients of the platform, engines and services,
 /// and the frontend that serves callers. There is one implementation for each platform protocol;
-/// the rest of the daemon is independent of it.
+/// the rest of the daemon does not depend on the protocol.
 #pragma once
 
 #include <cstddef>
@@ -24,14 +24,16 @@
   runtime::CurlMulti& curl;
 };
 
-/// Serves callers. Must outlive the HTTP server that calls it, and must not outlive the node.
+/// Serves callers by passing their requests to the node. Must outlive the HTTP server that calls
+/// the frontend, and must not outlive the node.
 class Frontend {
  public:
   virtual ~Frontend() = default;
 
-  /// Registers handlers for all paths of `routes` without another handler.
+  /// Adds handlers to `routes` for all paths that have no other handler.
   virtual void mount(gateway::HttpRoutes& routes) = 0;
-  /// \return the headers of responses with which the HTTP server itself rejects requests.
+  /// \return headers that the HTTP server adds to its responses to requests that it rejects itself,
+  ///   without calling a handler.
   virtual std::vector<http::Header> rejectionHeaders() const = 0;
   /// Records a request that the HTTP server itself rejected.
   virtual void reportRejection(const http::Rejection& rejection) = 0;
@@ -39,16 +41,17 @@
   virtual std::size_t openRequests() const = 0;
 };
 
-/// Must outlive the node.
+/// Provides the clients and the frontend of one platform protocol. Must outlive the node.
 class PlatformAdapter {
  public:
   virtual ~PlatformAdapter() = default;
 
   /// \return the node's clients, valid as long as this object.
   virtual node::NodeClients clients() = 0;
-  /// Creates the frontend for the node that was built with clients().
+  /// Creates the frontend for `node`, which has to use the clients returned by clients().
   virtual std::unique_ptr<Frontend> makeFrontend(node::Node& node) = 0;
-  /// Starts following the platform's state. Called once, after makeFrontend().
+  /// Starts to read the platform's state and its changes, if the protocol requires this. Called
+  /// once, after makeFrontend().
   virtual void start() = 0;
 };
 
