--- a/src/cypresswall/node/node.h
+++ b/src/cypresswall/node/node.h
@@ -39,18 +39,18 @@
 
 namespace cypresswall::node {
 
-/// Clients of external systems. All must outlive the node.
+/// Clients through which a node uses external systems. All must outlive the node.
 struct NodeClients {
   object_store::ObjectStore& object_store;
   object_store::MachineList& machine_list;
   engines::EngineClient& engines;
   services::ServiceClient& services;
-  /// Set if the platform declares the fleet: used instead of the replicated configuration, which
-  /// then accepts no changes.
+  /// Set if the platform declares the fleet. The node then uses this configuration instead of the
+  /// replicated one, and operators can't change the configuration.
   configuration::ConfigurationView* declared = nullptr;
   /// Set if the platform assigns fleet-wide duties to a single node.
   duties::DutyPlatform* duties = nullptr;
-  /// Required for usage reports.
+  /// Wall-clock time, required for usage reports; may be empty if the node sends none.
   common::TimeOfDay time_of_day = {};
 };
 
@@ -64,8 +64,8 @@
 
   /// Joins the zone and starts all modules.
   void start();
-  /// \return true if a configuration is available, so that requests can be admitted and routed, and
-  ///   the node is not draining.
+  /// \return true if the node has a configuration by which it can admit and route requests, and is
+  ///   not draining.
   bool ready() const { return hasConfiguration() && !draining_; }
 
   /// Graceful shutdown: accepts no new requests, resigns the lease and the voter role, and calls
@@ -77,9 +77,10 @@
   membership::Membership& membership() { return membership_; }
   membership::ZoneGossip& gossip() { return gossip_; }
   lease::ZoneAuthority& authority() { return authority_; }
-  /// The replicated configuration; empty and not started if the platform declares the fleet.
+  /// The replicated configuration. If the platform declares the fleet, it is not started and stays
+  /// empty.
   configuration::ConfigurationReplica& configuration() { return configuration_; }
-  /// The effective configuration, declared or replicated.
+  /// The configuration in force: the one that the platform declares, or else the replicated one.
   configuration::ConfigurationView& configurationView() { return configuration_view_; }
   routing::EngineDirectory& engines() { return engines_; }
   orders::ZoneController& controller() { return controller_; }
@@ -92,7 +93,8 @@
 
  private:
   bool hasConfiguration() const;
-  /// Publishes the version of the declared fleet to the other nodes through the membership digest.
+  /// Publishes the version of the platform's declaration that this node has applied to the other
+  /// nodes, in the digest that membership messages carry.
   void publishDeclaredVersion();
   /// Stops accepting work; requests in flight continue.
   void drain();
@@ -105,7 +107,8 @@
   api::ProcessContext context_;
   membership::Membership membership_;
   membership::ZoneGossip gossip_;
-  /// Not started if the lease is in the store.
+  /// Lease of the zone that a quorum of its nodes grants. Not started if the lease for orders is in
+  /// the platform's store.
   lease::ZoneAuthority authority_;
   std::optional<lease::StoreLease> store_lease_;
   lease::AuthorityView& orders_authority_;
--- a/src/cypresswall/node/node_settings.h
+++ b/src/cypresswall/node/node_settings.h
@@ -26,13 +26,15 @@
 namespace cypresswall::node {
 
 struct NodeSettings {
-  /// Up to this many nodes in a zone, every node exchanges messages with all others and routes to
-  /// all engines. Copied to `membership.neighbours`, `directory.groups` and the relay of the store.
+  /// In a zone of at most this many nodes, every node exchanges messages with all others and makes
+  /// decisions for all engines. Overrides the corresponding limits in `membership.neighbours`,
+  /// `directory.groups` and the settings of the store relay.
   std::size_t shared_zone_nodes = 24;
   membership::MembershipSettings membership;
   lease::LeaseSettings lease;
-  /// The lease for orders is an object in the platform's store instead of being granted by a quorum
-  /// of the zone's nodes. Idempotency keys always use the quorum lease.
+  /// If true, the lease that authorizes orders to engines is an object in the platform's store. If
+  /// false, a quorum of the zone's nodes grants it. Idempotency keys always use the quorum lease,
+  /// which is not started if this is true.
   bool lease_in_store = false;
   lease::StoreLeaseSettings store_lease;
   idempotency::ClaimSettings claims;
@@ -41,9 +43,9 @@
   routing::RouterSettings router;
   routing::PlacementSettings placement;
   orders::ControllerSettings controller;
-  /// Creates the role planner; the cost-based planner if empty.
+  /// Creates the role planner; if empty, the cost-based planner is used.
   std::function<std::unique_ptr<planning::Planner>()> make_planner = {};
-  /// Creates the router; the cost-based router if empty. Only set in experiments.
+  /// Creates the router; if empty, the cost-based router is used. Only set in experiments.
   std::function<std::unique_ptr<routing::Router>(const api::ProcessContext&,
                                                  routing::EngineDirectory&)>
       make_router = {};
--- a/src/cypresswall/node/node_state.h
+++ b/src/cypresswall/node/node_state.h
@@ -1,5 +1,5 @@
-/// State of one node for operator queries: engines, nodes and lease of its zone, and the reasons
-/// for the zone controller's decisions.
+/// State that one node shows in answers to operator queries: engines, nodes and lease of its zone,
+/// its own requests and limits, and the reasons for the zone controller's decisions.
 #pragma once
 
 #include <string>
@@ -21,7 +21,7 @@
 
 namespace cypresswall::node {
 
-/// The modules that queries read. All must outlive NodeState.
+/// The modules whose state NodeState reads. All must outlive NodeState.
 struct NodeStateSources {
   const common::Clock& clock;
   const membership::Membership& membership;
