--- a/src/cypresswall/operators/change_builder.cpp
+++ b/src/cypresswall/operators/change_builder.cpp
@@ -13,7 +13,7 @@
 using configuration::ObjectChange;
 using configuration::ObjectKind;
 
-/// \return the object of that name, or a new one.
+/// \return the object with that name, or `fresh` if there is none.
 template <typename Object>
 Object existingOr(const std::map<std::string, Object>& objects, const std::string& name,
                   Object fresh) {
@@ -180,7 +180,8 @@
     return existingOr(current_.engine_overrides, engine, std::move(fresh));
   }
 
-  /// An override that sets nothing is removed.
+  /// \return the changes that replace an engine's override by `wanted`, or that remove the override
+  ///   if `wanted` neither drains the engine nor pins its role.
   std::vector<ObjectChange> setOverride(const configuration::EngineOverride& wanted) const {
     if (wanted.drained || wanted.role_pinned) {
       return set(ObjectKind::kEngineOverride, wanted.engine, wanted);
--- a/src/cypresswall/operators/change_builder.h
+++ b/src/cypresswall/operators/change_builder.h
@@ -10,7 +10,8 @@
 
 namespace cypresswall::operators {
 
-/// A valid command that can't be executed.
+/// A command is syntactically correct but can't be executed, for example because it names an
+/// undeclared object.
 class CommandError : public common::Error {
  public:
   using common::Error::Error;
--- a/src/cypresswall/operators/command.h
+++ b/src/cypresswall/operators/command.h
@@ -13,7 +13,7 @@
 
 namespace cypresswall::operators {
 
-/// What `show` lists.
+/// Kind of object that the command `show` lists.
 enum class Subject {
   kEngines,
   kRequests,
@@ -33,7 +33,7 @@
 
 enum class Comparison { kEqual, kNotEqual, kLess, kLessOrEqual, kGreater, kGreaterOrEqual };
 
-/// One `column operator value` after `where`.
+/// One condition of the form `column operator value` after the keyword `where`.
 struct Condition {
   std::string column;
   Comparison comparison = Comparison::kEqual;
@@ -55,7 +55,8 @@
   bool operator==(const WhyCommand&) const = default;
 };
 
-/// Options that are absent keep their declared values.
+/// Declares or changes an object. In this and the following declare commands, options that are
+/// absent leave the declared values unchanged.
 struct DeclareZoneCommand {
   std::string zone;
   std::optional<std::string> region;
@@ -72,7 +73,7 @@
   std::string model;
   std::optional<std::string> version;
   std::optional<std::string> weights;
-  /// Added to the declared adapters; replaces those with the same name.
+  /// Adapters to add to the declared ones; a declared adapter with the same name is replaced.
   std::vector<AdapterClause> adapters;
   bool operator==(const DeclareModelCommand&) const = default;
 };
@@ -119,14 +120,14 @@
 struct DrainCommand {
   DrainTarget target = DrainTarget::kNode;
   std::string name;
-  /// False for `undrain`.
+  /// True for the command `drain`, false for `undrain`.
   bool drained = true;
   bool operator==(const DrainCommand&) const = default;
 };
 
 struct PinCommand {
   std::string engine;
-  /// Empty for `unpin`: the planner chooses the role again.
+  /// Role to keep; empty for the command `unpin`, after which the planner chooses the role again.
   std::optional<engines::EngineRole> role;
   bool operator==(const PinCommand&) const = default;
 };
@@ -138,7 +139,7 @@
   bool operator==(const SetPlanningCommand&) const = default;
 };
 
-/// Applies a fleet file; the client sends its text with the command.
+/// Applies a fleet file. The client reads the file and sends its text with the command.
 struct ApplyCommand {
   std::string file;
   bool operator==(const ApplyCommand&) const = default;
@@ -151,7 +152,7 @@
 };
 
 struct HelpCommand {
-  /// Empty lists all commands.
+  /// Command to describe; if empty, all commands are listed.
   std::string topic;
   bool operator==(const HelpCommand&) const = default;
 };
--- a/src/cypresswall/operators/command_api.cpp
+++ b/src/cypresswall/operators/command_api.cpp
@@ -72,7 +72,8 @@
   throw RequestError("unknown status \"" + text + "\"");
 }
 
-/// Commands and files may contain invalid UTF-8, which is replaced.
+/// \return the JSON text of `source`. Invalid UTF-8, which commands and files may contain, is
+///   replaced.
 std::string dump(const json& source) {
   return source.dump(-1, ' ', false, json::error_handler_t::replace);
 }
--- a/src/cypresswall/operators/command_client.cpp
+++ b/src/cypresswall/operators/command_client.cpp
@@ -6,7 +6,8 @@
 namespace cypresswall::operators {
 namespace {
 
-/// \return true if nothing was executed and another server may accept the command.
+/// \return true if a response with this status means that the server executed nothing and that
+///   another server may accept the command.
 bool shouldTryNextServer(CommandStatus status) { return status == CommandStatus::kNotReady; }
 
 }  // namespace
@@ -55,7 +56,7 @@
 }
 
 CommandResponse CommandClient::change(const CommandRequest& request, const std::string& body) {
-  // True once an attempt with a lost response may still take effect.
+  // True once the outcome of an attempt is unknown: the change may be accepted, now or later.
   bool uncertain = false;
   std::string errors;
   std::optional<CommandResponse> last;
@@ -100,8 +101,9 @@
   throw UnreachableError("no server answered: " + errors);
 }
 
-/// An attempt with an expected version can't take effect once a later version without the change is
-/// in force. Any other rejection says nothing about earlier attempts.
+/// \return true if `response` proves that no earlier attempt of the change has been or will be
+///   accepted. This is so if the change expects a version and a later version, which does not
+///   include the change, is in force. Any other rejection says nothing about earlier attempts.
 bool CommandClient::isConclusive(const CommandRequest& request,
                                  const CommandResponse& response) const {
   return response.status == CommandStatus::kConflict && request.expected_version &&
--- a/src/cypresswall/operators/command_client.h
+++ b/src/cypresswall/operators/command_client.h
@@ -1,5 +1,5 @@
-/// Sends commands to daemons: tries several servers in turn, and determines the outcome of a change
-/// whose response was lost.
+/// Sends commands to daemons: tries several servers in turn, and retries a change whose response
+/// was lost until its outcome is known.
 #pragma once
 
 #include <functional>
@@ -21,13 +21,13 @@
 /// The result of one POST.
 struct PostAnswer {
   PostResult result = PostResult::kNotSent;
-  /// The response body, for kAnswered.
+  /// For kAnswered: the response body.
   std::string body;
-  /// The error, for all other results.
+  /// For all other results: what went wrong.
   std::string error;
 };
 
-/// No server responded.
+/// No server answered the command.
 class UnreachableError : public common::Error {
  public:
   using common::Error::Error;
@@ -36,8 +36,9 @@
 struct CommandClientSettings {
   /// "IP:port" of daemons, tried in turn.
   std::vector<common::Address> servers;
-  /// How long a change is retried before its outcome is reported as unknown. Longer than the time
-  /// in which a daemon resolves a lost response of the store.
+  /// A change whose outcome is uncertain is retried for this long before the outcome is reported as
+  /// unknown. This is longer than a daemon needs to find out the outcome of a write to the store
+  /// whose response was lost.
   common::Duration outcome_timeout = std::chrono::seconds(20);
   common::Duration retry_interval = std::chrono::milliseconds(500);
 };
@@ -52,7 +53,7 @@
   CommandClient(CommandClientSettings settings, Post post, Sleep sleep)
       : settings_(std::move(settings)), post_(std::move(post)), sleep_(std::move(sleep)) {}
 
-  /// Parses the command locally, so that syntax errors need no server, and then runs it.
+  /// Parses the command, so that syntax errors are reported without a server, and then sends it.
   /// \param request must have a unique change_id if the command is a change
   /// \throws UnreachableError
   CommandResponse run(const CommandRequest& request);
--- a/src/cypresswall/operators/command_service.cpp
+++ b/src/cypresswall/operators/command_service.cpp
@@ -113,8 +113,9 @@
   change.author = request.author.empty() ? "unknown" : request.author;
   change.expected_version = request.expected_version;
   change.late_delivery = request.late_delivery;
-  // A retry of an accepted change is recognised by its identifier alone: built against the current
-  // configuration, its objects would differ from the accepted ones.
+  // The objects of a change are built only if no accepted change has its identifier. For a retry of
+  // an accepted change the identifier suffices, and objects built from the current configuration
+  // would differ from the accepted ones.
   if (configuration_.log().findChangeId(change.change_id) == nullptr) {
     change.objects = buildChanges(command, *configuration_.current(), request.file);
   }
--- a/src/cypresswall/operators/command_service.h
+++ b/src/cypresswall/operators/command_service.h
@@ -19,13 +19,14 @@
 
 struct CommandRequest {
   std::string command;
-  /// Used by `apply`.
+  /// The fleet file of an `apply` command; not used by other commands.
   FleetFileText file;
-  /// Reject a change unless this version is in force.
+  /// If set, a change is rejected unless this configuration version is in force.
   std::optional<std::uint64_t> expected_version;
-  /// Respond to a change once it is in force in every zone, or after CommandService::kWaitLimit.
+  /// If true, the response to an accepted change is delayed until the change is in force in every
+  /// zone, but by at most CommandService::kWaitLimit. If false, it is sent at once.
   bool wait = false;
-  /// Unique to a change and the same for all its retries. Generated if empty.
+  /// Identifies a change; all retries of a change use the same identifier. Generated if empty.
   std::string change_id;
   std::string author;
   bool late_delivery = false;
@@ -40,7 +41,7 @@
   kInvalid,
   kZoneRefused,
   kStoreUnavailable,  ///< not executed
-  kOutcomeUnknown,    ///< the change may or may not have been accepted
+  kOutcomeUnknown,    ///< it is not known whether the change was accepted
   kNotReady,
 };
 
@@ -51,7 +52,7 @@
 struct ZoneProgress {
   common::ZoneName zone;
   bool in_force = false;
-  /// False if this node has no version information from the zone.
+  /// False if the node that answers has not learned the zone's version.
   bool heard = true;
 };
 
@@ -59,11 +60,13 @@
   CommandStatus status = CommandStatus::kOk;
   std::string message;
   ResultTable table;
-  /// Location of the error in the command, for kParseError.
+  /// For kParseError: byte offset of the error in the command.
   std::size_t position = 0;
+  /// For kParseError: number of bytes that the error covers.
   std::size_t length = 0;
   std::string suggestion;
-  /// For changes: the accepted version, or the version in force.
+  /// For changes: the version that the change produced, or the version in force if the change was
+  /// not accepted.
   std::uint64_t version = 0;
   std::string change_id;
   std::vector<ZoneProgress> zones;
@@ -72,12 +75,12 @@
 class CommandService {
  public:
   using Callback = std::function<void(CommandResponse)>;
-  /// Changes are required to be in force everywhere within 7 s; the margin lets the response name
-  /// the zones that are late.
+  /// Maximum delay of a response with CommandRequest::wait. Changes are required to be in force
+  /// everywhere within 7 s; after this longer time, the response names the zones that are late.
   static constexpr common::Duration kWaitLimit = std::chrono::seconds(10);
 
-  /// \param declared set if the platform declares the fleet: queries read it instead of the
-  ///   replicated configuration, and changes are rejected
+  /// \param declared the platform's declaration of the fleet, or null. If set, queries read it
+  ///   instead of the replicated configuration, and changes are rejected
   CommandService(const api::ProcessContext& context,
                  configuration::ConfigurationReplica& configuration,
                  const StateProviders& providers,
@@ -85,7 +88,8 @@
   CommandService(const CommandService&) = delete;
   CommandService& operator=(const CommandService&) = delete;
 
-  /// \param callback called exactly once; before execute() returns for queries and errors
+  /// \param callback called exactly once. For queries and errors, this happens before execute()
+  ///   returns
   void execute(const CommandRequest& request, const Callback& callback);
 
  private:
--- a/src/cypresswall/operators/lexer.h
+++ b/src/cypresswall/operators/lexer.h
@@ -18,7 +18,7 @@
 
 struct Token {
   TokenKind kind = TokenKind::kEnd;
-  /// Unquoted and unescaped.
+  /// Text of the token, without quotes and escape characters.
   std::string text;
   /// Byte offset in the command.
   std::size_t position = 0;
@@ -40,7 +40,7 @@
   std::size_t length() const { return length_; }
   /// The most similar known word; empty if there is none.
   const std::string& suggestion() const { return suggestion_; }
-  /// Words that are valid at this position, if they are a fixed set.
+  /// The words that are valid at this position; empty if any name is valid there.
   const std::vector<std::string>& expected() const { return expected_; }
 
  private:
@@ -52,14 +52,14 @@
 
 inline constexpr std::size_t kMaximumCommandBytes = 64U << 10;
 
-/// \return the tokens, the last of kind kEnd.
-/// \throws ParseError if a quote is not closed or the command is too long
+/// \return the tokens of a command; the last one is of kind kEnd.
+/// \throws ParseError if a quote is not closed or the command exceeds kMaximumCommandBytes
 std::vector<Token> tokenize(std::string_view command);
 
 /// \return `text`, quoted if it would not be parsed as one word.
 std::string quoteWord(std::string_view text);
 
-/// \return the command, a caret under the error location, and the message below it.
+/// \return three lines for display: the command, a caret under the error location, and the message.
 std::string renderError(std::string_view command, const std::string& message, std::size_t position,
                         std::size_t length, const std::string& suggestion);
 
--- a/src/cypresswall/operators/parser.cpp
+++ b/src/cypresswall/operators/parser.cpp
@@ -286,7 +286,8 @@
     }
   }
 
-  /// Parses options in any order up to the end; only those in `repeatable` may occur twice.
+  /// Parses options in any order up to the end of the command. Only the options in `repeatable` may
+  /// occur more than once.
   void options(const std::vector<Option>& known, const std::vector<std::string>& repeatable = {}) {
     std::vector<std::string> left;
     left.reserve(known.size());
@@ -306,7 +307,8 @@
     }
   }
 
-  /// Parses a user-defined word or quoted string.
+  /// Parses a name or value that the user chooses freely, written as a word or a quoted string.
+  /// \param what description of the expected text, for error messages
   std::string name(const std::string& what) {
     const Token& token = peek();
     if (token.kind != TokenKind::kWord && token.kind != TokenKind::kQuoted) {
@@ -361,8 +363,8 @@
 Command parseCommand(std::string_view text) { return Parser(text).run(); }
 
 std::vector<std::string> completions(std::string_view text) {
-  // An unknown word in place of the one to complete makes the parser fail there with the words that
-  // it expects.
+  // The text is parsed with an invalid word in place of the word to complete. The parser fails at
+  // the invalid word, and its error lists the words that are valid there.
   constexpr std::string_view kCompletionPlaceholder = "\x01";
   const std::string probed = std::string(text).append(" ").append(kCompletionPlaceholder);
   try {
--- a/src/cypresswall/operators/parser.h
+++ b/src/cypresswall/operators/parser.h
@@ -10,7 +10,7 @@
 
 namespace cypresswall::operators {
 
-/// \throws ParseError with the location and the words that are valid there
+/// \throws ParseError with the location of the error and the words that are valid there
 Command parseCommand(std::string_view text);
 
 /// \return text that parseCommand() parses to an equal command.
--- a/src/cypresswall/operators/queries.cpp
+++ b/src/cypresswall/operators/queries.cpp
@@ -156,8 +156,9 @@
   return table;
 }
 
-/// Lists engines of this zone. Engines of other zones, which this node does not watch, are listed
-/// only if the command names their zone.
+/// Lists the engines of this zone. Engines of other zones are listed only if the command has a
+/// condition on the column "zone" that their zone satisfies, since this node has no load reports of
+/// these engines.
 ResultTable Queries::engines(const ShowCommand& command) const {
   ResultTable table = tableOf(Subject::kEngines);
   std::map<common::EngineName, EngineRow> live;
--- a/src/cypresswall/operators/queries.h
+++ b/src/cypresswall/operators/queries.h
@@ -16,7 +16,8 @@
 class Queries {
  public:
   /// \param zone this node's zone
-  /// \param declared if set, read instead of the replicated configuration
+  /// \param declared the platform's declaration of the fleet, or null; if set, queries read it
+  ///   instead of the configuration of `replica`
   Queries(common::ZoneName zone, const configuration::ConfigurationReplica& replica,
           const StateProviders& providers,
           const configuration::ConfigurationView* declared = nullptr)
@@ -26,7 +27,7 @@
         providers_(providers) {}
 
   ResultTable show(const ShowCommand& command) const;
-  /// \throws CommandError if the subject is not known
+  /// \throws CommandError if there is no object with the name in the command
   ResultTable why(const WhyCommand& command) const;
   ResultTable history(const HistoryCommand& command) const;
   static ResultTable help(const HelpCommand& command);
@@ -46,7 +47,8 @@
   ResultTable nodes() const;
   ResultTable tenants() const;
   ResultTable requests() const;
-  /// \return the known configuration versions of each zone; only this zone's for a declared fleet
+  /// \return the known configuration versions of each zone; if the platform declares the fleet, of
+  ///   this zone only
   std::map<common::ZoneName, configuration::ZoneVersions> zoneVersions() const;
   std::vector<Explanation> explainChange(const std::string& name) const;
 
--- a/src/cypresswall/operators/rendering.cpp
+++ b/src/cypresswall/operators/rendering.cpp
@@ -12,7 +12,8 @@
 
 using nlohmann::json;
 
-/// \return the cell without control characters, which could inject terminal escape sequences.
+/// \return the cell as text without control characters, which could form escape sequences that
+///   control the operator's terminal.
 std::string printable(const Cell& cell) {
   std::string text = cellText(cell);
   std::replace_if(
@@ -84,7 +85,8 @@
   }
 }
 
-/// Converts a table to a list of objects with named fields; other responses stay as they are.
+/// Converts the table of a query to a list of objects, one for each row, with the columns as
+/// fields. Other responses are encoded like in the HTTP API.
 json toObjects(const CommandResponse& response) {
   if (response.status != CommandStatus::kOk) {
     return encodeResponse(response);
@@ -116,7 +118,7 @@
     }
     emitter << YAML::EndSeq;
   } else if (value.is_string()) {
-    // Quoted, so that a version "1" remains a string.
+    // All strings are quoted. Otherwise a YAML parser would read the version "1" as a number.
     emitter << YAML::DoubleQuoted << value.get<std::string>();
   } else {
     emitter << value.dump();
--- a/src/cypresswall/operators/rendering.h
+++ b/src/cypresswall/operators/rendering.h
@@ -14,7 +14,8 @@
 /// Parses "table", "json" or "yaml".
 std::optional<OutputFormat> parseOutputFormat(std::string_view text);
 
-/// \param command shown with a caret under the error if it has a syntax error
+/// \param command text of the command; if it has a syntax error, it is shown with a caret under the
+///   error
 /// \return the rendered response, ending with a line break
 std::string renderResponse(const CommandResponse& response, const std::string& command,
                            OutputFormat format);
--- a/src/cypresswall/operators/result_table.h
+++ b/src/cypresswall/operators/result_table.h
@@ -20,7 +20,8 @@
 /// \return the cell as human-readable text.
 std::string cellText(const Cell& cell);
 
-/// \return the result of comparing `cell` with `value`: numerically for numbers, otherwise as text.
+/// \return true if "`cell` `comparison` `value`" holds. Cells with numbers are compared as numbers,
+///   all others as text.
 bool matches(const Cell& cell, Comparison comparison, const std::string& value);
 
 /// Keeps the rows that satisfy all conditions.
--- a/src/cypresswall/operators/state_providers.h
+++ b/src/cypresswall/operators/state_providers.h
@@ -1,6 +1,5 @@
-/// Runtime state that queries show in addition to the configuration: typed rows about the node's
-/// zone, provided by daemon components. Each method has an empty default for components that are
-/// not connected.
+/// Runtime state that queries show in addition to the configuration: typed rows about the node and
+/// its zone, provided by components of the daemon. By default, each method returns no rows.
 #pragma once
 
 #include <cstdint>
@@ -57,23 +56,25 @@
   std::string state;
   common::Address gateway_address;
   std::uint64_t configuration_version = 0;
-  /// The message set that the node's build supports (api::MessageSet); smaller in older builds.
+  /// Number of the set of message types that the node's build supports (api::MessageSet). Older
+  /// builds support smaller sets.
   std::uint64_t message_set = 0;
 };
 
 /// A service's retry budget on this node.
 struct RetryRow {
   common::ServiceName service;
-  /// Retries in the last window.
+  /// Number of retries in the budget's last time window.
   double used = 0;
   double left = 0;
   /// Retries refused because the budget was exhausted.
   std::uint64_t refused = 0;
-  /// Fraction of the fleet's burst that this node may use now, from 0 to 1.
+  /// Each service may make a burst of retries that its number of requests does not cover. This is
+  /// the fraction of the fleet's burst that this node may use now, from 0 to 1.
   double share = 0;
 };
 
-/// A request that is not sent to engines because engines crashed while processing it.
+/// A request that nodes do not send to engines, because engines crashed while processing it before.
 struct QuarantineRow {
   common::RequestFingerprint request = 0;
   common::Duration time_left{0};
@@ -83,30 +84,33 @@
 struct RateLimitRow {
   std::string server;
   double requests_per_second = 0;
-  /// Time since a response last advertised it.
+  /// Time since a response last advertised the limit.
   common::Duration age{0};
-  /// The node that grants permits for it.
+  /// The node that grants permits to send requests under the limit.
   common::Address keeper;
-  /// Permits granted and refused, known on the node that grants them.
+  /// Number of permits granted. This and `refused` are known only on the node that grants permits
+  /// and are zero elsewhere.
   std::uint64_t granted = 0;
   std::uint64_t refused = 0;
 };
 
-/// A time window of the usage reports to the platform, as known on the reporting node.
+/// A time window for which a node reports usage to the platform, as known on that node.
 struct UsageRow {
   std::uint64_t window = 0;
   std::uint64_t requests = 0;
   std::uint64_t tenants = 0;
-  /// "fixed" until the platform has accepted the report, then "reported".
+  /// "fixed" once the window's counts are final, "reported" once the platform has accepted them.
   std::string state;
-  /// Fencing token of the report; zero if there was none.
+  /// Fencing token of the accepted report; zero if there is none yet.
   std::uint64_t token = 0;
   /// Nodes whose counts were incomplete when the window was closed.
   std::uint64_t nodes_missing = 0;
   common::Duration age{0};
 };
 
-/// Engine counts of a pool in one location, as known on the node that does autoscaling.
+/// Numbers of present and wanted engines of a pool in one location, as known on the node that does
+/// autoscaling. Preemptible engines may be reclaimed by the platform at short notice; all others
+/// are lasting.
 struct CapacityRow {
   std::string pool;
   std::string location;
@@ -144,7 +148,8 @@
   virtual std::vector<UsageRow> usage() const { return {}; }
   virtual std::vector<CapacityRow> capacity() const { return {}; }
   virtual std::vector<ZoneSummaryRow> zoneSummaries() const { return {}; }
-  /// \return inputs, alternatives and costs of the last decision on an engine's role; may be empty.
+  /// \return inputs, alternatives and costs of the last decision on an engine's role; empty if none
+  ///   is known.
   virtual std::vector<Explanation> explainEngine(const common::EngineName&) const { return {}; }
   /// \return the state and attempts of a request; empty if it is not known.
   virtual std::vector<Explanation> explainRequest(const std::string&) const { return {}; }
--- a/src/cypresswall/operators/vocabulary.cpp
+++ b/src/cypresswall/operators/vocabulary.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::operators {
 namespace {
 
-/// Longer words get no suggestion, which bounds the cost of the edit distance.
+/// Maximum number of characters of a word for which a similar word is suggested; bounds the cost of
+/// computing the edit distance.
 constexpr std::size_t kMaximumComparedLength = 64;
 
 /// Levenshtein distance.
--- a/src/cypresswall/operators/vocabulary.h
+++ b/src/cypresswall/operators/vocabulary.h
@@ -1,4 +1,5 @@
-/// The vocabulary of the command language: enumerator names, columns of each subject, and help.
+/// The vocabulary of the command language: the words for enumerators, the columns of each subject
+/// of `show`, and the help texts.
 #pragma once
 
 #include <array>
@@ -92,7 +93,7 @@
   return names;
 }
 
-/// \return the columns of `show` for a subject; the first one identifies the row.
+/// \return the columns that `show` prints for a subject; the first column identifies the row.
 const std::vector<std::string>& columnsOf(Subject subject);
 
 struct CommandHelp {
