--- a/src/cypresswall/request_trace/concurrent_failures.cpp
+++ b/src/cypresswall/request_trace/concurrent_failures.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// Bounds memory; larger sets give no more information about whether one or many failed.
+/// Maximum size of each set of names, to bound memory. Further names would not change the
+/// conclusion whether one or many failed.
 constexpr std::size_t kMaximumNames = 10'000;
 
 void addName(std::set<std::string>& names, const std::string& name) {
@@ -19,7 +20,7 @@
          std::holds_alternative<AttemptFailed>(record.event);
 }
 
-/// Orders failures after other events, and later lines after earlier ones.
+/// Orders failures after all other events, and otherwise later lines after earlier ones.
 bool lessSignificant(const LogRecord& left, const LogRecord& right) {
   return std::pair(isFailure(left), left.time) < std::pair(isFailure(right), right.time);
 }
--- a/src/cypresswall/request_trace/concurrent_failures.h
+++ b/src/cypresswall/request_trace/concurrent_failures.h
@@ -1,5 +1,5 @@
-/// Counts other failures at the time of a request's failure, which tell a fault of one engine or
-/// node from one of many.
+/// Counts other failures around the time at which a request failed. The counts show whether one
+/// engine or node was at fault, or many.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,20 @@
 /// Failures within this time before and after the request's own failure are counted.
 inline constexpr Milliseconds kConcurrentFailureWindow{1'000};
 
-/// Counts exclude the request itself.
+/// Failures of other requests, and nodes and engines, within kConcurrentFailureWindow. Failures and
+/// first tokens of the request itself are not counted.
 struct ConcurrentFailureCounts {
-  /// Requests that failed for the same reason on the same node.
+  /// Number of other requests that failed for the same reason on the same node.
   std::uint64_t same_failures_here = 0;
+  /// Number of other requests that failed for the same reason on other nodes.
   std::uint64_t same_failures_elsewhere = 0;
-  /// Other nodes with such failures, and other nodes with any log line in the window.
+  /// Other nodes on which requests failed for the same reason.
   std::set<std::string> failing_nodes;
+  /// Other nodes that wrote any log line in the window.
   std::set<std::string> other_nodes;
-  /// Engines with failed attempts, and engines that returned a first token.
+  /// Engines on which attempts failed, for any reason.
   std::set<std::string> failing_engines;
+  /// Engines that returned a first token.
   std::set<std::string> answering_engines;
 };
 
@@ -40,7 +44,7 @@
   void countFailure(const LogRecord& record);
 
   std::string request_;
-  /// The request's last failure, or its last line if it has none.
+  /// The request's last failure, or its last line if no line reports a failure.
   LogRecord failure_;
   std::optional<FailureReason> reason_;
   ConcurrentFailureCounts counts_;
--- a/src/cypresswall/request_trace/context_lines.cpp
+++ b/src/cypresswall/request_trace/context_lines.cpp
@@ -7,15 +7,17 @@
 
 /// The relevance of a line to the request.
 struct Relevance {
-  /// Only the newest line before the request is kept for each subject. Empty: not relevant.
+  /// Names what the line describes; of the lines before the request, only the newest of each
+  /// subject is kept. Empty if the line is not relevant.
   std::string subject;
-  /// How long the state that the line describes remains valid.
+  /// How long after the line the state that it describes lasts.
   Milliseconds validity{kUntilReplaced};
-  /// Maximum delay between the event and its line.
+  /// Maximum time between the event and the line that reports it. A line up to this long after the
+  /// request may report an event during the request.
   Milliseconds report_delay{0};
 };
 
-/// Determines the relevance of each event type to a request with this scope.
+/// Determines the relevance of an event, logged by `node`, to a request with the given scope.
 class RelevanceOf {
  public:
   RelevanceOf(const RequestScope& scope, const std::string& node) : scope_(scope), node_(node) {}
--- a/src/cypresswall/request_trace/context_lines.h
+++ b/src/cypresswall/request_trace/context_lines.h
@@ -1,4 +1,5 @@
-/// Log lines without the request's identifier that show the state of its nodes and engines.
+/// Selects log lines that do not contain the request's identifier but show the state of the nodes
+/// and engines that handled the request.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +16,13 @@
 /// A node reports dropped lines with the next line that it can write, at most this much later.
 inline constexpr Milliseconds kDroppedLinesReportDelay{10'000};
 
-/// Selects lines by the request's scope:
-/// - of its nodes: starts, stops, configuration versions, store failures, changes of the source
-///   that store data is read from, and dropped lines
-/// - of its engines: role changes, and ejections logged by any node that had not expired when the
-///   request arrived
-/// Selects all such lines during the request and the newest one of each kind before it, if that one
-/// was still valid when the request arrived.
+/// Selects lines about the nodes and engines in the request's scope:
+/// - about nodes: starts, stops, configuration versions, store failures, changes of the source from
+///   which a node reads store data, and dropped lines
+/// - about engines: role changes, and ejections logged by any node
+/// Selects all such lines that were written during the request. Of the lines before the request,
+/// selects the newest of each kind, unless what it describes had ended when the request arrived,
+/// like an ejection that had expired.
 class ContextLines {
  public:
   explicit ContextLines(RequestScope scope) : scope_(std::move(scope)) {}
--- a/src/cypresswall/request_trace/diagnosis.cpp
+++ b/src/cypresswall/request_trace/diagnosis.cpp
@@ -10,8 +10,8 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// A duration is abnormally long if it exceeds the expected one both by this factor and this
-/// margin.
+/// A duration counts as abnormally long if it is more than this many times the expected one and
+/// also exceeds the expected one by more than kLongMargin.
 constexpr int kLongFactor = 2;
 constexpr Milliseconds kLongMargin{100};
 
@@ -27,7 +27,7 @@
   return last;
 }
 
-/// Describes whether one engine failed or several at once.
+/// \return a text that says whether only `engine` failed or other engines at the same time.
 std::string describeEngines(const ConcurrentFailureCounts& counts, const std::string& engine) {
   const std::size_t others = counts.failing_engines.size() - counts.failing_engines.count(engine);
   if (others > 0) {
@@ -44,7 +44,8 @@
                    counts.answering_engines.size());
 }
 
-/// Describes whether one node or several failed requests for the same reason.
+/// \return a text that says how many other requests failed for the same reason, and on how many
+///   nodes.
 std::string describeNodes(const ConcurrentFailureCounts& counts) {
   return fmt::format(
       "within a second {} more requests failed so here, and {} at {} of {} other nodes",
@@ -133,7 +134,7 @@
       toText(*attempt.first_token), route.engine, toText(route.expected_first_token));
 }
 
-/// Describes the time lost to failed attempts; empty if none failed.
+/// \return a text that says how much time failed attempts took; empty if no attempt failed.
 std::string timeLostToFailedAttempts(const TimeLine& time_line) {
   const Attempt* last = lastFailedAttempt(time_line);
   if (last == nullptr) {
@@ -240,7 +241,8 @@
                                  : result;
 }
 
-/// For a backend response that is passed through, the logged reason is its status code.
+/// \return the cause of an end that only the front end logged. If the front end passed through a
+///   response of a back end, the logged reason is the response's status code.
 std::string frontEndCause(const RequestEnded& ended) {
   const bool status =
       !ended.reason.empty() && ended.reason.find_first_not_of("0123456789") == std::string::npos;
--- a/src/cypresswall/request_trace/diagnosis.h
+++ b/src/cypresswall/request_trace/diagnosis.h
@@ -12,7 +12,8 @@
   std::string cause;
 };
 
-/// Applies fixed rules to the available lines; makes no assumptions about missing lines.
+/// Derives outcome and cause from the available lines by fixed rules. Nothing is assumed about what
+/// missing lines may have said.
 Diagnosis diagnose(const TimeLine& time_line);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/event_text.h
+++ b/src/cypresswall/request_trace/event_text.h
@@ -7,8 +7,8 @@
 
 namespace cypresswall::request_trace {
 
-/// \return a description of the event and of the inputs that decided it; names and texts from the
-/// log are copied unchanged
+/// \return a description of the event with the values that its line contains, such as the expected
+///   times that led to a routing decision. Names and texts from the log are copied unchanged
 std::string toText(const LogRecord& record);
 
 /// \return the time of day, for example 22:17:20.285
--- a/src/cypresswall/request_trace/explanation.h
+++ b/src/cypresswall/request_trace/explanation.h
@@ -18,12 +18,13 @@
 struct Explanation {
   TimeLine time_line;
   std::vector<ScanCount> counts;
-  /// Lines dropped because of kMaximumKeptLines.
+  /// Number of relevant lines left out of the time line because of kMaximumKeptLines.
   std::uint64_t omitted_lines = 0;
 };
 
-/// Reads the logs twice: first for the request's own lines, then for the lines that give their
-/// context. No other lines are kept, so that memory use does not grow with the size of the logs.
+/// Reads the logs twice: first for the lines that name the request, then for lines about the nodes
+/// and engines in those lines, and for concurrent failures. No other lines are kept, so that memory
+/// use does not grow with the size of the logs.
 /// \throws LogFileError, UnknownRequestError
 Explanation explainRequest(const std::vector<std::string>& paths, const std::string& request);
 
--- a/src/cypresswall/request_trace/log_fields.cpp
+++ b/src/cypresswall/request_trace/log_fields.cpp
@@ -12,7 +12,8 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kHexDigits = 2;
 
-/// \return the line starting at `time=`; empty if it has none
+/// \return the rest of the line from the first `time=` that follows a blank or starts the line;
+///   empty if there is none
 std::string_view withoutPrefix(std::string_view line) {
   std::size_t start = line.find(kTimeStart);
   while (start != std::string_view::npos && start > 0 &&
@@ -34,7 +35,8 @@
   return std::string_view::npos;
 }
 
-/// Removes the escape sequence after a backslash from the front of `rest`.
+/// Removes an escape sequence, whose backslash was already removed, from the front of `rest`.
+/// \return the character that the escape sequence stands for
 char consumeEscape(std::string_view& rest) {
   const char kind = rest.front();
   rest.remove_prefix(1);
--- a/src/cypresswall/request_trace/log_fields.h
+++ b/src/cypresswall/request_trace/log_fields.h
@@ -9,10 +9,11 @@
 
 namespace cypresswall::request_trace {
 
-/// The key=value pairs of one line, which must outlive this object.
+/// The key=value pairs of one line. The line's text must outlive this object.
 class LogFields {
  public:
-  /// Parses a line. Skips everything before the first `time=`, such as a log collector's prefix.
+  /// Parses a line. Skips everything before the first `time=`, such as a prefix added by a log
+  /// collector.
   /// \return nothing if the line does not consist of pairs, has no time or ends within a quoted
   /// value
   static std::optional<LogFields> read(std::string_view line);
@@ -26,7 +27,7 @@
  private:
   struct Field {
     std::string_view key;
-    /// Still escaped, without the enclosing quotes.
+    /// Value as in the line, with escape sequences but without the enclosing quotes.
     std::string_view value;
   };
 
--- a/src/cypresswall/request_trace/log_record.h
+++ b/src/cypresswall/request_trace/log_record.h
@@ -1,5 +1,5 @@
-/// Typed log events that describe the course of a request. Values that older builds do not log are
-/// optional.
+/// Typed log events that describe the course of a request. Fields are optional if older builds of
+/// the daemon do not log them.
 #pragma once
 
 #include <chrono>
@@ -35,7 +35,8 @@
   Milliseconds time_left{0};
 };
 
-/// No engine could meet a request's limits; the closest one is logged.
+/// A request was refused because no engine could meet its latency limits. The values are those of
+/// the engine that came closest.
 struct LatencyRefusal {
   std::string request;
   std::string service;
@@ -99,7 +100,7 @@
   std::optional<std::int64_t> runners;
 };
 
-/// A node sends no requests to an engine until `duration` has passed.
+/// A node ejected an engine: it sends the engine no requests until `duration` has passed.
 struct EngineEjected {
   std::string engine;
   std::string source;
@@ -145,12 +146,12 @@
   std::int64_t in_flight = 0;
 };
 
-/// Lines that the node could not write because the reader of its output stalled.
+/// A node dropped log lines because the program that reads its log output had stalled.
 struct LinesDropped {
   std::int64_t lines = 0;
 };
 
-/// An event that is not used for explanations.
+/// Any event that explanations of requests do not use.
 struct OtherEvent {};
 
 using Event =
@@ -159,9 +160,11 @@
                  EngineEjected, EngineChangeStarted, EngineChangeEnded, StoreWatchFailed,
                  StoreSourceChanged, NodeStarted, NodeStopping, LinesDropped>;
 
-/// Index of the log, and number of the line within it, counted from 1.
+/// Position of a line in the logs that are read together.
 struct LogPosition {
+  /// Index of the log, from 0.
   std::size_t log = 0;
+  /// Number of the line within the log, from 1.
   std::uint64_t line = 0;
 };
 
@@ -177,7 +180,7 @@
   LogPosition position{};
 };
 
-/// \return the identifier of the event's request; empty if it has none
+/// \return the identifier of the request that the event belongs to; empty if it belongs to none
 std::string requestOf(const Event& event);
 
 }  // namespace cypresswall::request_trace
--- a/src/cypresswall/request_trace/log_record_parser.cpp
+++ b/src/cypresswall/request_trace/log_record_parser.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kTimeShape = "dddd-dd-ddTdd:dd:dd.dddZ";
 
-/// Reads the values of one event and records whether a mandatory one is missing.
+/// Reads the values of one event, and records whether a mandatory value is missing.
 class FieldReader {
  public:
   explicit FieldReader(const LogFields& fields) : fields_(fields) {}
@@ -58,7 +58,8 @@
   return event;
 }
 
-/// Both the front end and the router log `request_refused`; only the front end logs a status.
+/// Parses an event `request_refused`. Both the front end and the router log such events; only those
+/// of the front end have a status.
 Event readRefused(FieldReader& fields) {
   if (fields.has("status")) {
     return FrontEndRefusal{fields.text("request"), fields.number("status"), fields.text("code"),
--- a/src/cypresswall/request_trace/log_scan.cpp
+++ b/src/cypresswall/request_trace/log_scan.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 /// Reads the next line without its line break.
-/// \param too_long set to whether the line did not fit into the buffer and was skipped
+/// \param too_long set to true if the line did not fit into the buffer and was skipped, or else to
+///   false
 /// \return false at the end of the log
 bool readLine(std::istream& log, std::vector<char>& buffer, std::string_view& line,
               bool& too_long) {
--- a/src/cypresswall/request_trace/log_scan.h
+++ b/src/cypresswall/request_trace/log_scan.h
@@ -19,7 +19,7 @@
   using common::Error::Error;
 };
 
-/// Longer lines count as unreadable; nodes never write them.
+/// Maximum length of a line. Longer lines count as unreadable; nodes never write such lines.
 inline constexpr std::size_t kMaximumLineBytes = std::size_t{64} << 10U;
 
 /// Line counts of one log.
@@ -27,7 +27,7 @@
   std::string log;
   std::uint64_t lines = 0;
   std::uint64_t unreadable = 0;
-  /// Line number, counted from 1; 0 if there is none.
+  /// Number of the first unreadable line, counted from 1; 0 if all lines are readable.
   std::uint64_t first_unreadable = 0;
 };
 
--- a/src/cypresswall/request_trace/request_lines.h
+++ b/src/cypresswall/request_trace/request_lines.h
@@ -10,7 +10,7 @@
 
 namespace cypresswall::request_trace {
 
-/// Further lines are only counted.
+/// Maximum number of lines kept of one request; further lines are only counted.
 inline constexpr std::size_t kMaximumKeptLines = 10'000;
 
 /// Collects the lines that name the request.
@@ -34,7 +34,7 @@
 struct RequestScope {
   std::string request;
   std::set<std::string> nodes;
-  /// Engines that it was routed to, or that were considered when it was refused.
+  /// Engines to which the request was routed, or that were named when it was refused.
   std::set<std::string> engines;
   WallTime first{};
   WallTime last{};
--- a/src/cypresswall/request_trace/time_line.cpp
+++ b/src/cypresswall/request_trace/time_line.cpp
@@ -36,7 +36,8 @@
   template <typename Other>
   static void apply(const Other&, Attempt&) {}
 
-  /// \return the newest attempt of the node, or nullptr if the attempt or the request has ended
+  /// \return the newest attempt that `node` started; nullptr if there is none, or if the attempt
+  ///   failed or the request ended during the attempt
   Attempt* inProgressAt(const std::string& node) {
     const auto newest =
         std::find_if(attempts_.rbegin(), attempts_.rend(),
--- a/src/cypresswall/request_trace/time_line.h
+++ b/src/cypresswall/request_trace/time_line.h
@@ -25,14 +25,14 @@
 
 struct TimeLine {
   std::string request;
-  /// The request's own lines and its context lines, ordered by time.
+  /// The lines that name the request and the lines selected by ContextLines, ordered by time.
   std::vector<LogRecord> records;
   std::vector<Attempt> attempts;
   ConcurrentFailureCounts concurrent_failures;
 };
 
-/// Orders lines by time, and lines of the same millisecond by their position in the logs; then
-/// derives the attempts from them.
+/// Orders `records` by time, and those of the same millisecond by their position in the logs; then
+/// derives the request's attempts from the ordered records.
 TimeLine makeTimeLine(const std::string& request, std::vector<LogRecord> records,
                       ConcurrentFailureCounts concurrent_failures);
 
--- a/src/cypresswall/request_trace/time_line_rendering.cpp
+++ b/src/cypresswall/request_trace/time_line_rendering.cpp
@@ -9,8 +9,8 @@
 namespace cypresswall::request_trace {
 namespace {
 
-/// Replaces control characters: logs contain client-supplied text, which could inject terminal
-/// escape sequences.
+/// Replaces control characters by `?`. Logs contain text that clients supplied, in which control
+/// characters could form escape sequences that control the operator's terminal.
 std::string printable(std::string text) {
   constexpr unsigned char kDelete = 0x7f;
   std::replace_if(
@@ -30,7 +30,7 @@
   return own == time_line.records.end() ? WallTime{} : own->time;
 }
 
-/// Marks lines that don't name the request with an asterisk.
+/// \return the output line for one log line; an asterisk marks lines that don't name the request.
 std::string renderRecord(const LogRecord& record, const std::string& request, WallTime start) {
   const char mark = requestOf(record.event) == request ? ' ' : '*';
   const auto offset = (record.time - start).count();
--- a/src/cypresswall/request_trace/time_line_rendering.h
+++ b/src/cypresswall/request_trace/time_line_rendering.h
@@ -10,8 +10,8 @@
 
 namespace cypresswall::request_trace {
 
-/// \return the lines in order, the attempts, and the diagnosis in the last line. Control characters
-/// from the logs are replaced by `?`.
+/// \return the log lines in order, then the attempts, and the diagnosis as the last line. Control
+///   characters from the logs are replaced by `?`.
 std::string renderTimeLine(const TimeLine& time_line, const Diagnosis& diagnosis);
 
 /// \return one line for each log with unreadable lines; empty if there is none
