--- a/src/cypresswall/simulation/event_digest.h
+++ b/src/cypresswall/simulation/event_digest.h
@@ -1,4 +1,4 @@
-/// Running hash of all events of a run: equal digests indicate identical runs.
+/// Hash over all events of a simulated run so far. Equal digests indicate identical runs.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
  public:
   /// Adds one event.
   /// \param what kind of event, such as "deliver"
-  /// \param number any number that distinguishes events of one kind
+  /// \param number any number that tells events of the same kind apart
   void add(common::MonotonicTime when, std::string_view what, std::uint64_t number,
            std::string_view content = {});
   std::uint64_t value() const { return value_; }
--- a/src/cypresswall/simulation/external_call.h
+++ b/src/cypresswall/simulation/external_call.h
@@ -1,6 +1,7 @@
 /// Calls from a simulated process to endpoints that are not daemons: engines, the platform,
-/// services. Request and response each take the network's delay and are lost in a cut. The caller
-/// sees the same outcomes as with a real connection: answered, not sent or unknown.
+/// services. Request and response are each delayed by the simulated network, and lost if the link
+/// is cut when they arrive. The caller sees the same outcomes as with a real connection: answered,
+/// not sent or unknown.
 #pragma once
 
 #include <functional>
@@ -18,12 +19,14 @@
   kUnknown,  ///< something was sent, but no response arrived within the time limit
 };
 
-/// Faults of calls of one kind, in addition to cuts.
+/// Faults that affect all calls of one kind, in addition to cuts of links.
 struct CallFaults {
-  /// Fraction of calls that take effect but whose response never arrives.
+  /// Fraction of calls that take effect but whose response never arrives, from 0 to 1. Counted as
+  /// `answer_lost_kind`.
   double answer_lost = 0;
   FaultKind answer_lost_kind = FaultKind::kEngineAnswerLost;
-  /// Fraction of requests that are delayed by up to `late_by`.
+  /// Fraction of requests, from 0 to 1, that arrive late by a random time of up to `late_by`.
+  /// Counted as `late_kind`.
   double late = 0;
   common::Duration late_by = std::chrono::seconds(10);
   FaultKind late_kind = FaultKind::kEngineAnswerLate;
@@ -48,7 +51,8 @@
   common::Duration answerDelay() const {
     return simulation_.network().drawDelay(endpoint_.zone, here_.zone);
   }
-  /// \return true with probability `share`; the fault is then counted.
+  /// Decides at random whether a fault occurs, and counts the fault if it does.
+  /// \return true with probability `share`
   bool occurs(double share, FaultKind kind) const;
 
  private:
@@ -58,13 +62,14 @@
   NetworkEndpoint endpoint_;
 };
 
-/// One call. Its `Done` runs exactly once in the calling process, unless the process dies first.
+/// One call. The callback `Done` runs exactly once in the calling process, unless the process dies
+/// first.
 template <typename Answer>
 class ExternalCall : public std::enable_shared_from_this<ExternalCall<Answer>> {
  public:
-  /// Passes the endpoint's response; nullopt if the endpoint is down.
+  /// Called by the endpoint with its response, or with nullopt if the endpoint is down.
   using Reply = std::function<void(std::optional<Answer>)>;
-  /// Executed at the endpoint when the request arrives.
+  /// Executes the call at the endpoint; runs when the request arrives.
   using Effect = std::function<void(Reply)>;
   using Done = std::function<void(CallResult, std::optional<Answer>)>;
 
@@ -79,7 +84,7 @@
       : path_(path), faults_(faults), time_limit_(time_limit), effect_(std::move(effect)) {}
 
  private:
-  /// Result for the process's callback, set before it runs.
+  /// Result of the call, from which the callback in the calling process takes its arguments.
   struct Completion {
     CallResult result = CallResult::kUnknown;
     std::optional<Answer> answer;
@@ -105,8 +110,8 @@
 
   void arrive() {
     if (path_.requestCut()) {
-      // A new connection can't be established; an existing one accepts the bytes but never
-      // responds.
+      // In half of the cases, the call needs a new connection, which can't be established. In the
+      // others, it uses an existing connection, which accepts the bytes but yields no response.
       if (path_.simulation().random().below(2) == 0) {
         finish(CallResult::kNotSent, std::nullopt);
       }
--- a/src/cypresswall/simulation/fault_counters.h
+++ b/src/cypresswall/simulation/fault_counters.h
@@ -1,5 +1,5 @@
-/// Counts of the faults that actually occurred in a run. Property tests assert on them, so that a
-/// property can't pass vacuously because no fault occurred.
+/// Counts of the faults that actually occurred in a run. Property tests check these counts, so that
+/// no test passes only because the faults it is about did not occur.
 #pragma once
 
 #include <array>
@@ -31,11 +31,11 @@
   kStreamBroken,
   kServiceBrokenBefore,  ///< service calls broken before execution
   kServiceBrokenAfter,   ///< service calls broken after execution
-  kServiceAnswerLate,    ///< service calls that arrived after, or shortly before, the caller's
-                         ///< time-out
+  kServiceAnswerLate,    ///< service calls that arrived at the back end late: shortly before or
+                         ///< after the time-out of the node that made them
   kServiceRefused,
   kLeaseExpired,  ///< leases that expired although the holder had not released them
-  kOperatorRace,  ///< concurrent operator changes of which at most one could succeed
+  kOperatorRace,  ///< concurrent changes by operators of which at most one could succeed
   kPlannedStop,
   kCount,
 };
@@ -49,7 +49,7 @@
   std::uint64_t count(FaultKind kind) const { return values_[index(kind)]; }
   /// Adds all counts of another run.
   void merge(const FaultCounters& other);
-  /// \return "kill=3 pause=1 ...", only non-zero counts.
+  /// \return the non-zero counts, for example "kill=3 pause=1".
   std::string summary() const;
 
  private:
--- a/src/cypresswall/simulation/fleet/fault_schedule.h
+++ b/src/cypresswall/simulation/fleet/fault_schedule.h
@@ -14,11 +14,11 @@
 namespace cypresswall::simulation {
 
 enum class FaultAction : std::uint8_t {
-  kKillNode,     ///< restarted at the same address afterwards
-  kStopNode,     ///< a planned stop; started again afterwards
-  kReplaceNode,  ///< killed; replaced by a new machine afterwards
+  kKillNode,     ///< kills a node; it is restarted at the same address when the fault ends
+  kStopNode,     ///< a planned stop; the node is started again when the fault ends
+  kReplaceNode,  ///< kills a node; a new machine replaces it when the fault ends
   kPauseNode,
-  kCutOffNode,  ///< isolates a node from the others of its zone
+  kCutOffNode,  ///< cuts a node off from all other nodes of its zone
   kCutZones,
   kCutOneWay,
   kCutPlatform,  ///< cuts a zone off from the platform
@@ -46,9 +46,9 @@
   /// Offset from the start of the schedule.
   common::Duration at{0};
   common::Duration duration{0};
-  /// Selects the node, zone, engine or back end, modulo their number.
+  /// Selects the node, zone, engine or back end: its index is `target` modulo their number.
   std::uint32_t target = 0;
-  /// Selects the other zone of a cut.
+  /// For a cut between two zones: selects the second zone in the same way.
   std::uint32_t other = 0;
 };
 
@@ -75,13 +75,15 @@
   void setEngineFaults(const ScheduledFault& fault);
   void setServiceFaults(const ScheduledFault& fault);
 
-  /// Counts the armed faults that have been triggered since they were armed.
+  /// Adds to the fleet's fault counts how many of the faults set up at engines and services have
+  /// occurred. Such faults occur only when a matching call, stream or change takes place.
   void countTriggered();
 
   SimulatedFleet& fleet_;
   std::set<common::Address> armed_crashes_;
   std::map<common::Address, emulation::ServiceFaults> armed_service_faults_;
-  /// Identifies the current schedule, so that pending faults of an ended one are ignored.
+  /// Number of the current schedule, by which pending events of an earlier schedule are recognised
+  /// and ignored.
   std::uint64_t schedule_number_ = 0;
 };
 
--- a/src/cypresswall/simulation/fleet/fleet_topology.cpp
+++ b/src/cypresswall/simulation/fleet/fleet_topology.cpp
@@ -7,7 +7,8 @@
 namespace cypresswall::simulation {
 namespace {
 
-/// "IP:port" of a machine; the last three octets are its kind, zone and number.
+/// \return the "IP:port" of a machine. The last three octets of the IP address are the machine's
+///   kind, zone and number.
 std::string addressOf(std::uint32_t kind, std::uint32_t zone, std::uint32_t number,
                       std::uint32_t port) {
   std::ostringstream address;
@@ -25,7 +26,8 @@
 constexpr std::uint32_t kNodePort = 7000;
 constexpr std::uint32_t kEnginePort = 8001;
 constexpr std::uint32_t kBackendPort = 8100;
-/// Maximum number of nodes of a zone in one generation of addresses.
+/// Maximum number of nodes in a zone. Each generation of replaced nodes uses the next range of this
+/// many addresses.
 constexpr std::uint32_t kAddressesPerGeneration = 20;
 
 void writeZones(std::ostream& file, const FleetTopology& topology) {
--- a/src/cypresswall/simulation/fleet/fleet_topology.h
+++ b/src/cypresswall/simulation/fleet/fleet_topology.h
@@ -10,7 +10,8 @@
 
 namespace cypresswall::simulation {
 
-/// Sizes of a generated fleet. Names and addresses are derived from zone and number.
+/// Sizes of a generated fleet. Names and addresses of nodes, engines and back ends are derived from
+/// their zone and their number within the zone.
 struct FleetTopology {
   std::uint32_t zones = 2;
   std::uint32_t nodes_per_zone = 3;
@@ -23,13 +24,14 @@
 inline constexpr const char* kModelVersion = "2026-12";
 inline constexpr const char* kModelServiceName = "assistant";
 inline constexpr const char* kHttpServiceName = "booking";
-/// Operations of the HTTP service: polls are idempotent, bookings are not.
+/// Paths of the operations of the HTTP service. Polls (kRepeatablePath) are idempotent; bookings
+/// (kOncePath) are not and must run at most once.
 inline constexpr const char* kRepeatablePath = "/slots";
 inline constexpr const char* kOncePath = "/bookings";
 
 common::ZoneName zoneName(std::uint32_t zone);
-/// \return internal address of a node; `generation` is incremented when it is replaced under a new
-///   address.
+/// \return the address of a node for messages from its peers. `generation` is the number of times
+///   the node was replaced under a new address.
 common::Address nodeAddress(std::uint32_t zone, std::uint32_t node, std::uint32_t generation = 0);
 common::MachineName nodeMachine(std::uint32_t zone, std::uint32_t node,
                                 std::uint32_t generation = 0);
@@ -39,10 +41,11 @@
 common::Address backendAddress(std::uint32_t zone, std::uint32_t backend);
 common::MachineName backendMachine(std::uint32_t zone, std::uint32_t backend);
 
-/// \return the IP address of an "IP:port" address.
+/// \return the IP address in `address`, which has the form "IP:port".
 std::string ipOf(const common::Address& address);
 
-/// \return all declarations of the fleet, as the first change of its configuration.
+/// \return the object changes that declare the whole fleet, for the first change of its
+///   configuration.
 std::vector<configuration::ObjectChange> declarations(const FleetTopology& topology);
 
 }  // namespace cypresswall::simulation
--- a/src/cypresswall/simulation/fleet/simulated_callers.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_callers.cpp
@@ -65,7 +65,7 @@
 }
 
 void CallerConnections::endModel(std::uint64_t session) {
-  // Deferred, since the executor is still inside a call to the session.
+  // The session is destroyed in a later event, since the executor is still inside a call to it.
   process_.deliverAfter(common::Duration{0}, [this, session] { models_.erase(session); });
 }
 
--- a/src/cypresswall/simulation/fleet/simulated_callers.h
+++ b/src/cypresswall/simulation/fleet/simulated_callers.h
@@ -1,4 +1,4 @@
-/// Callers of a simulated fleet: they send requests to nodes, like clients of the HTTP interface,
+/// Callers of a simulated fleet. They send requests to nodes as clients of the HTTP interface do,
 /// and record the responses.
 #pragma once
 
@@ -26,7 +26,7 @@
   kNotConnected,  ///< no process was listening at the node's address
 };
 
-/// One request of a caller and its results.
+/// One request of a caller, and what the caller has received for it.
 struct CallerRecord {
   std::string request_id;
   std::string key;
@@ -35,11 +35,12 @@
   /// Answer received so far: tokens of a model, or body of a service response.
   std::string answer;
   std::uint32_t tokens = 0;
-  /// Number of tokens received with another index than expected.
+  /// Number of tokens received whose index was not the number of tokens received before.
   std::uint32_t misplaced_tokens = 0;
-  /// Number of calls received after the final one.
+  /// Number of callbacks from the node that followed the final one; always zero if the node is
+  /// correct.
   std::uint32_t late_calls = 0;
-  /// Also serves as the request's fingerprint.
+  /// Hash of the prompt's content, which is also the request's fingerprint.
   std::uint64_t content_hash = 0;
   std::uint32_t maximum_tokens = 0;
   common::MonotonicTime asked_at;
@@ -48,7 +49,8 @@
   common::NodeId node;
 };
 
-/// Client connections of one process: owns its open requests, which break when the process dies.
+/// Client connections of one process. Owns the requests in progress there; they break when the
+/// process dies.
 class CallerConnections {
  public:
   CallerConnections(Simulation& simulation, SimulatedProcess& process);
@@ -56,7 +58,8 @@
   CallerConnections(const CallerConnections&) = delete;
   CallerConnections& operator=(const CallerConnections&) = delete;
 
-  /// Registers a request sent to this process, as soon as its connection exists.
+  /// Registers a request to this process. Called when the client's connection is established, so
+  /// that the request breaks if the process dies from then on.
   void registerRequest(CallerRecord& record);
   void startModelCall(execution::ModelExecutor& executor, CallerRecord& record,
                       std::uint32_t prompt_tokens);
--- a/src/cypresswall/simulation/fleet/simulated_fleet.cpp
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.cpp
@@ -189,7 +189,8 @@
   if (!time().runUntilTrue(ready, kBringUpLimit)) {
     throw FleetError("the nodes did not become ready within the time limit");
   }
-  // Zones must have discovered each other before all of them can approve a change.
+  // Gives the zones time to discover each other: a change is submitted for approval only to zones
+  // that the node knows.
   time().runFor(std::chrono::seconds(5));
   if (settings_.declared == nullptr) {
     declareFleet();
@@ -267,7 +268,7 @@
   execution::ServiceCallRequest request;
   request.method = "POST";
   request.target = kOncePath;
-  // A key identifies one booking, so its content must always be the same.
+  // A key identifies one booking, so all requests with the same key must have the same body.
   request.body = key;
   request.idempotency_key = key;
   return callService(index, "booking", std::move(request));
--- a/src/cypresswall/simulation/fleet/simulated_fleet.h
+++ b/src/cypresswall/simulation/fleet/simulated_fleet.h
@@ -1,5 +1,5 @@
-/// A complete fleet in virtual time: nodes that run the daemon's real decision modules, emulated
-/// engines, services and platform, and callers.
+/// A complete fleet in virtual time. The nodes run the daemon's real decision modules; engines,
+/// services, platform and callers are emulated.
 #pragma once
 
 #include <cstdint>
@@ -30,29 +30,31 @@
 struct FleetSettings {
   FleetTopology topology;
   NetworkSettings network;
-  /// Addresses, machine and seeds are set for each node.
+  /// Settings of all nodes; the fleet sets addresses, machine and seed nodes for each node.
   node::NodeSettings node;
-  /// Names and model are set for each engine.
+  /// Settings of all engines; the fleet sets name and model for each engine.
   emulation::EngineSettings engine;
-  /// Maximum drift of the processes' clocks, fast or slow.
+  /// Maximum drift of the processes' clocks, in parts per million fast or slow. The drift of each
+  /// clock is random.
   std::int64_t maximum_drift_ppm = 200;
   common::Duration service_answer_time = std::chrono::milliseconds(5);
   common::LogSink* log = nullptr;
-  /// Set if the platform declares the fleet; it must hold `topology` before bringUp().
+  /// The platform's declaration of the fleet; null if the fleet declares itself by a configuration
+  /// change. If set, it must contain the objects of `topology` before bringUp() is called.
   configuration::ConfigurationView* declared = nullptr;
 };
 
-/// Slot for one node; at most one process runs in it at a time.
+/// Place for one node of the topology. At most one process runs in a slot at a time.
 struct NodeSlot {
   std::uint32_t zone = 0;
   std::uint32_t number = 0;
-  /// Number of replacements under a new address.
+  /// Number of times that the node was replaced under a new address.
   std::uint32_t generation = 0;
   /// Null while no process runs.
   SimulatedProcess* process = nullptr;
   node::Node* node = nullptr;
   CallerConnections* connections = nullptr;
-  /// Restart once the planned stop in progress has completed.
+  /// True if the node is to be started again once the planned stop in progress has completed.
   bool restart_wanted = false;
 };
 
@@ -61,7 +63,8 @@
   SimulatedFleet(std::uint64_t seed, FleetSettings settings);
 
   /// Starts all nodes, waits until they are ready and applies the declarations.
-  /// \throws FleetError if that takes longer than a minute
+  /// \throws FleetError if the nodes do not become ready, or the declarations do not reach all of
+  ///   them, within a minute
   void bringUp();
 
   Simulation& simulation() { return simulation_; }
@@ -79,11 +82,11 @@
   void startNode(std::size_t index);
   /// Kills the process in a slot, if there is one.
   void killNode(std::size_t index);
-  /// Begins a planned stop; the process exits once no work is running on it.
+  /// Begins a planned stop of a node; its process exits once it has no requests in progress.
   void stopNode(std::size_t index);
   void pauseNode(std::size_t index, common::Duration duration);
-  /// Starts a process in an empty slot on a new machine with a new address; the previous machine is
-  /// listed as gone.
+  /// Starts a process in an empty slot, on a new machine with a new address. The machine list then
+  /// shows the slot's previous machine as gone.
   void replaceNode(std::size_t index);
   /// Cuts the links between one node and all others of its zone, in both directions.
   void isolateNode(std::size_t index);
@@ -92,7 +95,7 @@
   /// \return its record, valid for the lifetime of the fleet
   CallerRecord& sendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
                                  std::uint32_t maximum_tokens);
-  /// Sends a request again that its caller has sent before, under a new identifier.
+  /// Sends a request that its caller has sent before, now with a new identifier.
   /// \param content hash of the prompt's text, by which nodes and engines recognize the repeated
   ///   request
   CallerRecord& resendModelRequest(std::size_t index, std::uint32_t prompt_tokens,
@@ -112,7 +115,7 @@
   std::size_t openRequests() const;
   /// \return the complete answer that `record` is expected to receive.
   static std::string expectedAnswer(const CallerRecord& record);
-  /// \return true if every running node has applied at least this version.
+  /// \return true if every running node has applied this or a later configuration version.
   bool everyNodeHasVersion(std::uint64_t version) const;
 
  private:
@@ -129,7 +132,8 @@
   ClockSettings drawClock();
 
   FleetSettings settings_;
-  // Must outlive the simulation, whose processes write to the records until they are destroyed.
+  // Declared before the simulation and so destroyed after it: the processes write to the records
+  // until they are destroyed.
   std::deque<CallerRecord> records_;
   std::vector<NodeSlot> slots_;
   Simulation simulation_;
--- a/src/cypresswall/simulation/simulated_engines.h
+++ b/src/cypresswall/simulation/simulated_engines.h
@@ -1,5 +1,5 @@
-/// Emulated engines of a simulated run, by address, and the client through which the daemon
-/// processes call them.
+/// Emulated engines of a simulated run, and the client through which the daemon processes call the
+/// engines.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,13 @@
 struct EngineCallFaults {
   CallFaults orders;
   CallFaults reports;
-  /// Fraction of streams whose start takes effect although the connection breaks immediately.
+  /// Fraction of streams, from 0 to 1, that the engine starts although the connection breaks
+  /// immediately.
   double stream_start_broken = 0;
 };
 
-/// All engines; not part of any process, and run on true time.
+/// All emulated engines, by address. They belong to no process, and their clock is the run's true
+/// time.
 class SimulatedEngines {
  public:
   explicit SimulatedEngines(Simulation& simulation, emulation::WeightSource* weights = nullptr);
@@ -37,7 +39,8 @@
     return engines_;
   }
 
-  /// Keeps a stream's connection alive until release(), because an engine references it.
+  /// Keeps a stream's connection alive until release(). Called while an engine has a non-owning
+  /// reference to the connection.
   void retain(const std::shared_ptr<void>& connection) { retained_[connection.get()] = connection; }
   void release(const void* connection) { retained_.erase(connection); }
 
@@ -60,20 +63,21 @@
   emulation::WeightSource* weights_;
   KvDirectory kv_peer_{*this};
   std::map<common::Address, common::ZoneName> zones_;
-  /// Must outlive the engines, which reference them.
+  /// Connections kept alive by retain(). Declared before the engines, which reference the
+  /// connections, and so destroyed after them.
   std::map<const void*, std::shared_ptr<void>> retained_;
   std::map<common::Address, std::unique_ptr<emulation::EmulatedEngine>> engines_;
 };
 
-/// Time limits of the client, as in the daemon's HTTP client.
+/// Time limits of the client, with the same defaults as those of the daemon's HTTP client.
 struct EngineClientSettings {
   common::Duration order_time_limit = std::chrono::seconds(2);
   common::Duration report_time_limit = std::chrono::seconds(1);
-  /// Time after which a stream whose connection is cut is detected as broken.
+  /// Time after which both ends of a stream detect that its connection is broken.
   common::Duration break_detection_time = std::chrono::seconds(3);
 };
 
-/// The client of one process.
+/// The client through which one process calls engines.
 class SimulatedEngineClient final : public engines::EngineClient {
  public:
   SimulatedEngineClient(Simulation& simulation, SimulatedProcess& process,
--- a/src/cypresswall/simulation/simulated_network.h
+++ b/src/cypresswall/simulation/simulated_network.h
@@ -22,11 +22,13 @@
 /// Behaviour of the links in one direction between two zones, or within one zone.
 struct LinkSettings {
   common::Duration delay = std::chrono::microseconds(100);
-  /// Upper bound of a uniformly distributed addition to the delay.
+  /// Maximum of the random time, uniformly distributed from zero, that is added to the delay of
+  /// each message.
   common::Duration jitter = std::chrono::microseconds(50);
   double loss = 0;
   double duplication = 0;
-  /// Fraction of messages that are delayed by up to `reorder_delay`.
+  /// Fraction of messages, from 0 to 1, that are delayed by a further random time of up to
+  /// `reorder_delay`, so that later messages can overtake them.
   double reordering = 0;
   common::Duration reorder_delay = std::chrono::milliseconds(20);
 };
@@ -35,7 +37,8 @@
   LinkSettings inside_zone;
   LinkSettings between_zones{.delay = std::chrono::microseconds(1500),
                              .jitter = std::chrono::microseconds(200)};
-  /// Encodes and decodes every message in its wire format. Slow; disabled for long experiments.
+  /// If true, every message is encoded in its wire format and decoded again. This is slow and is
+  /// disabled for long experiments.
   bool encode_messages = true;
 };
 
@@ -50,17 +53,18 @@
   SimulatedNetwork(NetworkSettings settings, std::uint64_t seed, VirtualTime& time,
                    FaultCounters& faults, EventDigest& digest);
 
-  /// Delivers messages for the address of `process` to it.
+  /// From now on, delivers messages to the address of `process` to that process.
   void attach(SimulatedProcess& process);
-  /// Stops delivery to `process` if it is still the one attached at its address.
+  /// Stops delivery to `process`. Does nothing if another process has been attached at the same
+  /// address since.
   void detach(const SimulatedProcess& process);
   /// Sends one message from a process.
   void send(const SimulatedProcess& sender, api::Envelope envelope);
 
-  /// Sets the behaviour of the links from one zone to another (or within a zone, if they are
-  /// equal).
+  /// Sets the behaviour of the links from one zone to another, or within a zone if `from` and `to`
+  /// are equal.
   void setLink(const common::ZoneName& from, const common::ZoneName& to, LinkSettings settings);
-  /// Changes the behaviour of all links that were not set individually.
+  /// Sets the behaviour of all links for which setLink() was not called.
   void setDefaults(LinkSettings inside_zone, LinkSettings between_zones);
 
   /// Cuts all links between two zones in both directions.
@@ -70,14 +74,15 @@
   /// Cuts the link from one address to another.
   void cutAddresses(const common::Address& from, const common::Address& to);
   void healZones(const common::ZoneName& first, const common::ZoneName& second);
-  /// Ends all cuts.
+  /// Ends all cuts between zones and addresses.
   void healAll();
   /// \return true while any cut is in force.
   bool anyCut() const { return !zone_cuts_.empty() || !address_cuts_.empty(); }
   /// \return true if messages from one endpoint to the other are currently dropped by a cut.
   bool cutBetween(const NetworkEndpoint& from, const NetworkEndpoint& to) const;
 
-  /// Draws the delay of one message; also used by the clients of engines and platform.
+  /// Draws a random delay for one message from the settings of the link. The clients of engines,
+  /// services and platform use it as well.
   common::Duration drawDelay(const common::ZoneName& from, const common::ZoneName& to);
   /// \return number of messages delivered so far.
   std::uint64_t deliveredMessages() const { return delivered_; }
--- a/src/cypresswall/simulation/simulated_platform.cpp
+++ b/src/cypresswall/simulation/simulated_platform.cpp
@@ -106,7 +106,8 @@
 void SimulatedObjectStore::compareAndSet(
     object_store::ObjectWrite write,
     object_store::StoreCallback<object_store::StoredObject> callback) {
-  // The emulated store records lost responses itself, so they are counted from its result.
+  // The emulated store decides which responses are lost, so this fault is counted when the result
+  // says that the outcome is unknown.
   auto counted = [this, callback = std::move(callback)](auto result) {
     if (!result.ok() && result.failure().kind == object_store::StoreFailure::kUnknownOutcome) {
       simulation_.faults().add(FaultKind::kStoreAnswerLost);
--- a/src/cypresswall/simulation/simulated_platform.h
+++ b/src/cypresswall/simulation/simulated_platform.h
@@ -1,6 +1,6 @@
 /// Platform of a simulated run (object store and machine list), and the clients through which the
-/// daemon processes access it. The platform has its own zone, so that any zone can be cut off from
-/// it.
+/// daemon processes access the platform. The platform is in a zone of its own, so that any zone of
+/// daemons can be cut off from the platform.
 #pragma once
 
 #include <string>
@@ -29,17 +29,18 @@
   emulation::EmulatedMachineList& machines() { return machines_; }
   static NetworkEndpoint place() { return {"platform:1", kZone}; }
 
-  /// Starts or ends an outage of store and machine list; the fault is counted at its start.
+  /// Starts or ends an outage of store and machine list. The outage is counted as a fault when it
+  /// starts.
   void setDown(bool down);
-  /// Sets the delay of every call to the store; counts a fault unless the delay is zero.
+  /// Sets the delay of every call to the store. Counts a fault if the delay increases.
   void setSlow(common::Duration delay);
   /// Drops the responses to the next `count` writes.
   void loseAnswers(std::uint32_t count);
-  /// Omits changes from the next watch response.
+  /// Makes the next watch response omit changes, and counts the fault.
   void leaveWatchGap();
-  /// Restores the store to the state `revisions` revisions earlier.
+  /// Restores the store to its state `revisions` revisions ago, and counts the fault.
   void restore(std::uint64_t revisions);
-  /// Marks a machine as leaving (or gone) and counts the fault.
+  /// Changes the state of a machine in the machine list to leaving or gone, and counts the fault.
   void setMachineState(const common::MachineName& machine, object_store::MachineState state);
 
  private:
--- a/src/cypresswall/simulation/simulated_process.cpp
+++ b/src/cypresswall/simulation/simulated_process.cpp
@@ -138,7 +138,8 @@
   }
   paused_ = false;
   orderDeferredEvents();
-  // Each runs as a separate event, so that a pause that begins in between defers the rest.
+  // Each deferred event runs as a separate event of the run. If the process is paused again in
+  // between, the remaining ones are deferred again.
   for (const DeferredEvent& event : std::exchange(deferred_, {})) {
     const auto handle = event.handle;
     const auto source = event.source;
--- a/src/cypresswall/simulation/simulated_process.h
+++ b/src/cypresswall/simulation/simulated_process.h
@@ -18,7 +18,7 @@
 
 class SimulatedNetwork;
 
-/// Deviation of a process's clock from the true time.
+/// Deviation of a process's clock from the run's true time.
 struct ClockSettings {
   common::Duration offset{0};
   /// Parts per million by which the clock runs fast (positive) or slow (negative).
@@ -59,28 +59,29 @@
     return reference;
   }
 
-  /// Runs `callback` in this process after `delay` of true time: on resume if the process is paused
-  /// by then, never if it is dead. Used for responses of external endpoints (store, engines,
-  /// services).
+  /// Runs `callback` in this process after `delay` of true time. If the process is paused then, the
+  /// callback runs when it resumes; if the process is dead, never. Used for responses of external
+  /// endpoints (store, engines, services).
   void deliverAfter(common::Duration delay, std::function<void()> callback);
   /// Stores `callback` until trigger() runs it, forget() drops it or the process dies.
-  /// \return zero if the process is dead.
+  /// \return a handle for these functions; zero if the process is dead.
   CallbackTable::Handle keep(std::function<void()> callback);
-  /// Runs a stored callback in this process, on resume if it is paused. Unknown handles are
-  /// ignored.
+  /// Runs a stored callback in this process now, or when the process resumes if it is paused.
+  /// Unknown handles are ignored.
   void trigger(CallbackTable::Handle handle) { fire(handle, EventSource::kExternal); }
   void forget(CallbackTable::Handle handle) { callbacks_.remove(handle); }
-  /// \return true if the stored callback has not run yet.
+  /// \return true if the callback is still stored: it has neither run nor been dropped.
   bool pending(CallbackTable::Handle handle) const { return callbacks_.contains(handle); }
-  /// Runs `callback` in this process now, on resume if it is paused, never if it is dead.
+  /// Runs `callback` in this process now, or when the process resumes if it is paused. A dead
+  /// process never runs it.
   void deliver(std::function<void()> callback);
   /// Passes a received message to the process's dispatcher.
   void receive(api::Envelope envelope);
 
   /// Defers all events of this process until resume(). Ignored if paused or dead.
   void pause();
-  /// Runs the deferred events now. Their order is drawn from the seed: timers first, messages and
-  /// responses first, or order of arrival.
+  /// Ends a pause and runs the deferred events. The process's random numbers determine their order:
+  /// timers first, messages and responses first, or order of arrival.
   void resume();
   /// Drops all pending callbacks, then destroys the modules. If called from within the process,
   /// this happens after the running callback returns.
@@ -104,7 +105,7 @@
   void send(api::Envelope envelope) override;
 
   common::MonotonicTime localTime(common::MonotonicTime true_time) const;
-  /// \return the true time that elapses while this clock advances by `local`.
+  /// \return the true time that elapses while this process's clock advances by `local`.
   common::Duration toTrueDuration(common::Duration local) const;
   void fire(CallbackTable::Handle handle, EventSource source);
   void run(CallbackTable::Handle handle);
--- a/src/cypresswall/simulation/simulated_services.cpp
+++ b/src/cypresswall/simulation/simulated_services.cpp
@@ -9,7 +9,8 @@
 constexpr const char* kKeyHeader = "Idempotency-Key";
 constexpr const char* kOutcomeHeader = "X-Cypresswall-Outcome";
 
-/// Handle of a call; destroying it abandons the call, and its response is discarded.
+/// Handle of a call in progress. Destroying the handle abandons the call, whose response is then
+/// discarded.
 class AbandonableCall final : public services::ServiceCall {
  public:
   using Callback = std::function<void(services::ServiceResponse)>;
@@ -125,7 +126,8 @@
                     [reply = std::move(reply)](Answer answer) { reply(std::move(answer)); });
   };
   auto done = [kept = call->callback()](CallResult result, std::optional<Answer> answer) {
-    // The callback may destroy the call and with it the running function, so it is moved out first.
+    // The callback may destroy the call, and with it the stored callback while that is running.
+    // Therefore the callback is moved out before it is called.
     const auto run = std::exchange(*kept, nullptr);
     if (run) {
       run(responseOf(result, std::move(answer)));
--- a/src/cypresswall/simulation/simulated_services.h
+++ b/src/cypresswall/simulation/simulated_services.h
@@ -1,5 +1,5 @@
-/// HTTP back ends of a simulated run, by address, and the client through which the daemon processes
-/// call them.
+/// Emulated HTTP back ends of a simulated run, and the client through which the daemon processes
+/// call the back ends.
 #pragma once
 
 #include <map>
@@ -13,7 +13,8 @@
 
 namespace cypresswall::simulation {
 
-/// All back ends; not part of any process, and run on true time.
+/// All emulated back ends, by address. They belong to no process, and their clock is the run's true
+/// time.
 class SimulatedServices {
  public:
   explicit SimulatedServices(Simulation& simulation) : simulation_(simulation) {}
@@ -23,9 +24,9 @@
   /// \return null if no back end has the address.
   emulation::EmulatedService* find(const common::Address& address) const;
   NetworkEndpoint endpointOf(const common::Address& address) const;
-  /// \return number of executions of calls with `key`, over all back ends.
+  /// \return how often all back ends together executed calls with the idempotency key `key`.
   std::uint32_t executionsOfKey(const std::string& key) const;
-  /// \return number of executions of calls of `request_id`, over all back ends.
+  /// \return how often all back ends together executed calls of the request `request_id`.
   std::uint32_t executionsOfRequest(const std::string& request_id) const;
   const std::map<common::Address, std::unique_ptr<emulation::EmulatedService>>& all() const {
     return services_;
@@ -48,7 +49,7 @@
   std::map<common::Address, std::unique_ptr<emulation::EmulatedService>> services_;
 };
 
-/// The client of one process.
+/// The client through which one process calls back ends.
 class SimulatedServiceClient final : public services::ServiceClient {
  public:
   SimulatedServiceClient(Simulation& simulation, SimulatedProcess& process,
--- a/src/cypresswall/simulation/simulated_stream.cpp
+++ b/src/cypresswall/simulation/simulated_stream.cpp
@@ -13,7 +13,8 @@
 
 }  // namespace
 
-/// Both directions of one connection. It stays alive until neither side needs it.
+/// Both directions of one connection between a process and an engine. Stays alive until neither the
+/// process's side nor the engine's side needs it.
 class SimulatedStream::Connection final : public emulation::StreamObserver,
                                           public std::enable_shared_from_this<Connection> {
  public:
@@ -89,7 +90,7 @@
       fail(engines::StreamFailure::kNotSent);
       return;
     }
-    // The engine holds a non-owning reference to its observer.
+    // The engine holds only a non-owning reference to this object, its observer.
     engines_.retain(shared_from_this());
     engine_side_ended_ = false;
     const bool pass_through = request_.pass_through != nullptr;
@@ -107,8 +108,8 @@
       receiveLater(Event{Event::Kind::kHead, 0, address_, {}, {}, {}});
     }
     if (closed_) {
-      // The process has closed the connection before the request arrived; the close arrives after
-      // the request.
+      // The process closed the connection before the request arrived. The engine learns of the
+      // close only after the request.
       later(path_.requestDelay(), [](Connection& self) { self.handlePeerClose(); });
     } else if (path_.occurs(engines_.faults.stream_start_broken, FaultKind::kStreamBroken)) {
       breakConnection();
@@ -119,7 +120,8 @@
     if (engine_side_ended_) {
       return;
     }
-    // In a cut, the engine detects the loss of its client only when its writes fail.
+    // While the link is cut, the close does not arrive. The engine detects the loss of its client
+    // only when its writes fail.
     if (path_.requestCut()) {
       later(break_detection_time_, [](Connection& self) { self.cancelOnEngine(); });
       return;
@@ -140,7 +142,8 @@
 
   void endEngineSide() {
     engine_side_ended_ = true;
-    // Deferred, since the engine may still be inside a call to this object.
+    // The connection is released in a later event, since the engine may still be inside a call to
+    // this object.
     later(common::Duration{0}, [](Connection& self) { self.engines_.release(&self); });
   }
 
@@ -242,7 +245,8 @@
   engines::StreamHandler* handler_;
   common::Duration break_detection_time_;
   std::deque<Event> incoming_;
-  /// Rate limit in the engine's response, until the first event has been delivered.
+  /// Rate limit that the engine advertises in its response; reset when the first event has been
+  /// delivered.
   std::optional<common::RateLimitNotice> rate_limit_;
   bool engine_side_ended_ = true;
   bool closed_ = false;
--- a/src/cypresswall/simulation/simulated_stream.h
+++ b/src/cypresswall/simulation/simulated_stream.h
@@ -1,6 +1,6 @@
-/// Stream between a simulated process and an emulated engine. Tokens arrive in order, grouped by
-/// the engine's steps, and cuts break the stream. A passed-through answer has a header "engine"
-/// that holds the engine's address.
+/// Stream between a simulated process and an emulated engine. Tokens arrive in order; those of one
+/// step of the engine arrive together. A cut between the two breaks the stream. The head of a
+/// passed-through answer has a header "engine" with the engine's address.
 #pragma once
 
 #include <deque>
@@ -16,7 +16,7 @@
 
 class SimulatedEngines;
 
-/// The process's side; destroying it closes the connection.
+/// The process's side of the stream; destroying this object closes the connection.
 class SimulatedStream final : public engines::Stream {
  public:
   static std::unique_ptr<SimulatedStream> start(const ExternalPath& path, SimulatedEngines& engines,
--- a/src/cypresswall/simulation/simulation.cpp
+++ b/src/cypresswall/simulation/simulation.cpp
@@ -36,8 +36,8 @@
     }
   }
   const std::uint64_t seed = deriveSeed("process", processes_.size());
-  // A later process at the same address has a higher incarnation, as with incarnations derived from
-  // time.
+  // A later process at the same address has a higher incarnation, as in the daemon, which derives
+  // incarnations from the time.
   const std::uint64_t incarnation =
       ((processes_.size() + 1) << 32U) | (deriveSeed("incarnation", processes_.size()) >> 32U);
   ProcessSettings settings{common::NodeId{address, incarnation}, zone, clock, seed, log};
--- a/src/cypresswall/simulation/simulation.h
+++ b/src/cypresswall/simulation/simulation.h
@@ -1,5 +1,5 @@
-/// One simulated run: time, network, processes and fault counts. It is deterministic: the same seed
-/// and the same calls give the same event digest.
+/// One simulated run: time, network, processes and fault counts. A run is deterministic: the same
+/// seed and the same calls give the same event digest.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,14 @@
 class Simulation {
  public:
   explicit Simulation(std::uint64_t seed, NetworkSettings network = {});
-  /// Destroys all processes before the objects that they use.
+  /// Destroys all processes before the other members, which the processes use.
   ~Simulation();
   Simulation(const Simulation&) = delete;
   Simulation& operator=(const Simulation&) = delete;
 
-  /// Starts a process with a new incarnation. A process still alive at the address is killed first.
-  /// \return the process, valid until the run ends, even after its death.
+  /// Starts a process with a new incarnation. If a process at the address is still alive, it is
+  /// killed first.
+  /// \return the process, valid until the run ends, even after the process was killed.
   SimulatedProcess& start(const common::Address& address, const common::ZoneName& zone,
                           ClockSettings clock = {}, common::LogSink* log = nullptr);
   /// Kills a process and counts the fault.
@@ -41,11 +42,11 @@
   SimulatedNetwork& network() { return network_; }
   FaultCounters& faults() { return faults_; }
   EventDigest& digest() { return digest_; }
-  /// Random numbers for the driver of the run; processes have their own.
+  /// Random numbers for the code that drives the run; each process has its own random numbers.
   common::RandomSource& random() { return random_; }
-  /// \return every process ever started, in order.
+  /// \return all processes started so far, dead ones included, in the order of their start.
   const std::vector<std::unique_ptr<SimulatedProcess>>& processes() const { return processes_; }
-  /// \return a seed for `purpose` derived from the run's seed.
+  /// \return a seed derived from the run's seed; different for each `purpose` and `number`.
   std::uint64_t deriveSeed(std::string_view purpose, std::uint64_t number = 0) const;
 
  private:
--- a/src/cypresswall/simulation/virtual_time.h
+++ b/src/cypresswall/simulation/virtual_time.h
@@ -1,5 +1,5 @@
-/// True time of a simulated run and its event queue. Simultaneous events run in the order in which
-/// they were scheduled, so that a run can be replayed.
+/// True time of a simulated run, and the queue of its events. Events at the same time run in the
+/// order in which they were scheduled, so that a run can be replayed.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +22,12 @@
 
   /// Runs the next event. \return false if the queue is empty.
   bool step();
-  /// Runs all events up to and including `until`, then sets the time to it.
+  /// Runs all events due at or before `until`, then sets the time to `until`.
   void runUntil(common::MonotonicTime until);
   void runFor(common::Duration duration) { runUntil(now_ + duration); }
-  /// Runs until `condition` holds, checked after each event, or `limit` has elapsed.
-  /// \return whether the condition held.
+  /// Runs events until `condition` holds, which is checked after each event, or until `limit` has
+  /// elapsed.
+  /// \return true if the condition held.
   bool runUntilTrue(const std::function<bool()>& condition, common::Duration limit);
 
   /// \return number of events run so far.
