--- a/src/cypresswall/emulation/answer.cpp
+++ b/src/cypresswall/emulation/answer.cpp
@@ -13,7 +13,7 @@
     "ba", "be", "bi", "bo", "da", "de", "di", "do", "ka", "ke", "ki", "ko", "la", "le", "li", "lo",
     "ma", "me", "mi", "mo", "na", "ne", "ni", "no", "ra", "re", "ri", "ro", "ta", "te", "ti", "to"};
 
-/// All words of two syllables, each with a leading space.
+/// \return all words that consist of two of the syllables, each with a leading space.
 std::vector<std::string> makeWords() {
   std::vector<std::string> words;
   words.reserve(kSyllables.size() * kSyllables.size());
--- a/src/cypresswall/emulation/answer.h
+++ b/src/cypresswall/emulation/answer.h
@@ -1,5 +1,5 @@
-/// Answers of emulated engines. An answer is a pure function of the request, so a test can check it
-/// byte by byte, whichever engines computed it.
+/// Answers of emulated engines. An answer depends only on the request and the model, so that a test
+/// can check every byte of it, whichever engines computed it.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,8 @@
 
 namespace cypresswall::emulation {
 
-/// Determines one answer; equal requests to equal models have equal seeds.
+/// Number that determines an answer. Equal requests to the same model version and adapter have
+/// equal seeds.
 using AnswerSeed = std::uint64_t;
 
 /// \param content_hash PromptShape::content_hash of the prompt
@@ -20,8 +21,8 @@
 ///   exits.
 const std::string& expectedToken(AnswerSeed seed, std::uint32_t index);
 
-/// \return number of tokens in the whole answer, between `minimum_share` of `maximum_tokens` and
-///   `maximum_tokens`, at least 1.
+/// \return the number of tokens in the whole answer: from `minimum_share` times `maximum_tokens` to
+///   `maximum_tokens`, but at least 1.
 std::uint32_t expectedLength(AnswerSeed seed, std::uint32_t maximum_tokens, double minimum_share);
 
 /// \return the first `length` tokens as one text.
--- a/src/cypresswall/emulation/engine.cpp
+++ b/src/cypresswall/emulation/engine.cpp
@@ -8,7 +8,7 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Number of consecutive streams over which EngineFaults::failures_per_ten_streams counts.
+/// Number of consecutive streams of which EngineFaults::failures_per_ten_streams break.
 constexpr std::uint64_t kStreamsPerFailureGroup = 10;
 
 }  // namespace
@@ -172,7 +172,8 @@
   stream->stage = Stage::kWaiting;
   waiting_[{-static_cast<int>(stream->request.priority), stream->arrival}] = stream;
   if (!step_running_) {
-    // Deferred to the next event, so that streams that arrive together are batched.
+    // The step begins in a separate event, so that streams that arrive at the same time are in one
+    // batch.
     step_running_ = true;
     step_timer_ = scheduler_.schedule(common::Duration{0}, [this] { beginStep(); });
   }
@@ -253,8 +254,8 @@
     return;
   }
   const common::MonotonicTime now = clock_.now();
-  // One report per interval is enough for load that fluctuates within it; changes of state are
-  // always recorded.
+  // While streams run, one report per interval is enough. The load of an engine that becomes idle
+  // or is changing is always recorded.
   if (load_history_.startsInterval(now) || streams_.empty() || change_) {
     load_history_.record(now, currentLoad());
     load_history_.dropBefore(now - faults_.load_lag);
--- a/src/cypresswall/emulation/engine.h
+++ b/src/cypresswall/emulation/engine.h
@@ -1,6 +1,6 @@
-/// Emulated model engine: continuous batching with a prefill and decode cost model, a prefix cache,
-/// fenced orders, changes that make it unavailable, and faults. It does no I/O and schedules one
-/// event per step of the engine, however many streams run.
+/// Emulated model engine: continuous batching with a cost model of prefill and decode, a prefix
+/// cache, fenced orders, changes during which the engine is unavailable, and faults. The emulation
+/// does no I/O and schedules one event per step of the engine, however many streams run.
 #pragma once
 
 #include <cstdint>
@@ -26,8 +26,8 @@
 
 namespace cypresswall::emulation {
 
-/// Receives the output of one stream. The last call is either onFinished or onBroken. There are no
-/// calls before startStream() has returned or after cancelStream().
+/// Receives the output of one stream. The last call is either onFinished or onBroken. The engine
+/// makes no calls before startStream() has returned or after cancelStream().
 class StreamObserver {
  public:
   virtual ~StreamObserver() = default;
@@ -38,7 +38,7 @@
   virtual void onBroken() = 0;
 };
 
-/// KV cache of one computed prompt, for transfer to another engine.
+/// Size of the KV cache of one computed prompt, for transfer to another engine.
 struct KvExport {
   std::uint32_t tokens = 0;
   std::uint64_t bytes = 0;
@@ -56,7 +56,7 @@
 
 enum class StartResult : std::uint8_t {
   kStarted,
-  kRefused,      ///< not run; `message` holds the reason
+  kRefused,      ///< the stream was not started; `message` holds the reason
   kUnreachable,  ///< the engine is down
 };
 
@@ -82,22 +82,26 @@
   void cancelStream(const std::string& stream_id, std::uint32_t attempt);
   /// \return nothing if the engine is down.
   std::optional<engines::OrderReply> handleOrder(const engines::EngineOrder& order);
-  /// \return the load report, delayed by the configured lag; nullopt if the engine is down.
+  /// \return the load report, which describes the state EngineFaults::load_lag ago; nullopt if the
+  ///   engine is down.
   std::optional<engines::EngineLoad> load() const;
   /// \return nothing if the engine is down.
   std::optional<engines::CacheEvents> cacheEvents(std::uint64_t after) const;
-  /// Returns the KV cache retained for `stream_id` and drops it.
+  /// Drops the KV cache retained for `stream_id`.
+  /// \return the size of that cache; nullopt if the engine holds none
   std::optional<KvExport> exportKv(const std::string& stream_id);
 
-  /// Breaks all streams and stays down for the restart time, then starts a new incarnation.
-  /// Configured faults are kept.
+  /// Breaks all streams. The engine stays down for EngineSettings::restart_time, and then starts
+  /// with a new incarnation. Faults set with setFaults() remain set.
   void crash();
   void setFaults(const EngineFaults& faults);
   const EngineFaults& faults() const { return faults_; }
-  /// Calls `listener` after each step that produced tokens, so that they can be sent together.
+  /// Calls `listener` after each step that produced tokens, so that all tokens of a step can be
+  /// sent together.
   void onStepEnd(std::function<void()> listener) { step_listener_ = std::move(listener); }
 
-  /// The current load, without lag. For tests and offline planners only.
+  /// \return the load now, unaffected by EngineFaults::load_lag. For tests and offline planners
+  ///   only.
   engines::EngineLoad currentLoad() const;
   bool down() const { return down_; }
   std::uint64_t incarnation() const { return incarnation_; }
@@ -109,7 +113,7 @@
   enum class Stage : std::uint8_t { kImporting, kWaiting, kPrefill, kDecode, kEnded };
   struct ActiveStream;
   using StreamKey = std::pair<std::string, std::uint32_t>;
-  /// Ordered by priority, then by arrival.
+  /// Priority and arrival number: waiting streams are ordered by priority, then by arrival.
   using WaitingKey = std::pair<int, std::uint64_t>;
   using StreamPointer = std::shared_ptr<ActiveStream>;
   struct RetainedKv {
@@ -184,7 +188,8 @@
   std::map<StreamKey, StreamPointer> streams_;
   std::map<WaitingKey, StreamPointer> waiting_;
   std::vector<StreamPointer> running_;
-  /// Ended streams that callers further up the stack may still reference.
+  /// Ended streams, kept until removeEnded() because functions further up the call stack may still
+  /// reference them.
   std::vector<StreamPointer> ended_;
   std::uint64_t arrivals_ = 0;
   std::map<std::string, RetainedKv> retained_kv_;
@@ -194,7 +199,8 @@
   bool delivering_ = false;
   std::uint32_t decode_steps_ = 0;
   std::vector<PrefillChunk> chunks_;
-  /// Expires with the engine; callbacks check it before they use the engine.
+  /// Callbacks hold a weak pointer to this member. It expires with the engine, and they check this
+  /// before they use the engine.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cypresswall/emulation/engine_ledger.h
+++ b/src/cypresswall/emulation/engine_ledger.h
@@ -1,4 +1,4 @@
-/// History of what an emulated engine did, against which tests check guarantees.
+/// History of what an emulated engine did. Tests use it to check the guarantees of the system.
 #pragma once
 
 #include <cstdint>
@@ -43,7 +43,7 @@
 struct OrderEntry {
   engines::EngineOrder order;
   engines::OrderVerdict verdict = engines::OrderVerdict::kAccepted;
-  /// Incarnation of the engine that received it.
+  /// The engine's incarnation when it received the order.
   std::uint64_t incarnation = 0;
   common::MonotonicTime at;
 };
--- a/src/cypresswall/emulation/engine_settings.h
+++ b/src/cypresswall/emulation/engine_settings.h
@@ -12,13 +12,13 @@
 
 namespace cypresswall::emulation {
 
-/// Cost model. One step of an engine computes a chunk of the waiting prompts and one token of each
-/// running stream; its duration is the sum of both.
+/// Cost model of an engine. One step computes a chunk of the waiting prompts and one token of each
+/// running stream; the duration of the step is the sum of the times for both.
 struct EngineSpeed {
   double prefill_tokens_per_second = 16000;
-  /// Fraction of the prefill speed that remains while the same steps also generate output.
+  /// Prefill speed in steps that also generate output, as a fraction of prefill_tokens_per_second.
   double mixed_prefill_efficiency = 0.8;
-  /// Fraction of the prefill speed available to an engine in the role "decode".
+  /// Prefill speed of an engine in the role "decode", as a fraction of its speed in other roles.
   double decode_role_prefill_efficiency = 0.5;
   common::Duration decode_step_base = std::chrono::milliseconds(12);
   common::Duration decode_step_per_stream = std::chrono::microseconds(400);
@@ -26,8 +26,8 @@
   std::uint32_t chunk_tokens = 512;
   /// Maximum number of prompt tokens in a step without output.
   std::uint32_t pure_prefill_chunk_tokens = 8192;
-  /// Steps combined into one event while there is no other work. Higher values make runs cheaper,
-  /// but tokens are then emitted in groups.
+  /// Number of steps that are combined into one event while the engine only decodes. Higher values
+  /// make simulated runs cheaper, but the engine then emits its tokens in groups.
   std::uint32_t steps_per_event = 1;
   /// Transfer rate of KV cache between engines.
   double kv_bytes_per_second = 5e9;
@@ -54,35 +54,37 @@
   common::Duration restart_time = std::chrono::seconds(5);
   /// How long the KV cache of a "prefill" stream is retained for export.
   common::Duration kv_retention_time = std::chrono::seconds(30);
-  /// Minimum length of an answer as a fraction of the requested maximum; 1 gives every answer the
-  /// maximum length.
+  /// Minimum length of an answer as a fraction of the maximum that the request sets. With 1, every
+  /// answer has the maximum length.
   double minimum_answer_share = 1.0;
   /// Incarnation before the first restart.
   std::uint64_t incarnation = 1;
-  /// Maximum number of entries in each list of the ledger; later ones are only counted.
+  /// Maximum number of entries in each list of the ledger; further streams and orders are only
+  /// counted.
   std::size_t ledger_limit = 1'000'000;
 };
 
 /// Faults that can be changed while an engine runs.
 struct EngineFaults {
-  /// Crash halfway through the next change; reset once it has occurred.
+  /// If true, the engine crashes halfway through the next change that makes it unavailable. Reset
+  /// when that change begins.
   bool crash_in_next_change = false;
-  /// Age of the state that load reports describe.
+  /// Age of the state that a load report describes when it is read.
   common::Duration load_lag{0};
   CacheEventFaults cache_events;
-  /// Break the next stream that has emitted this many tokens; zero for none, reset once it has
-  /// occurred.
+  /// The next stream to reach this number of emitted tokens breaks; zero breaks none. Reset to zero
+  /// once a stream has broken.
   std::uint32_t break_stream_after_tokens = 0;
-  /// Refuse new streams.
+  /// If true, the engine refuses new streams.
   bool refuse = false;
-  /// Of ten consecutive streams, how many break before their first token, although load reports
-  /// look healthy.
+  /// Number of streams out of ten consecutive ones that break before their first token. Load
+  /// reports show no sign of this fault.
   std::uint32_t failures_per_ten_streams = 0;
   /// The engine crashes instead of emitting the first token of a stream with this
   /// PromptShape::content_hash; zero for none.
   std::uint64_t crash_on_content_hash = 0;
-  /// Requests per second that the engine advertises in its answers as its limit over all nodes; it
-  /// does not enforce the limit.
+  /// Limit on the requests per second of all nodes together that the engine advertises in its
+  /// answers but does not enforce; none if not set.
   std::optional<double> rate_limit = {};
 };
 
--- a/src/cypresswall/emulation/engine_steps.cpp
+++ b/src/cypresswall/emulation/engine_steps.cpp
@@ -41,7 +41,8 @@
   } else {
     const std::uint32_t cached_pieces = cache_.touchLongestPrefix(request.shape.pieces);
     stream->cached_tokens = cached_pieces * common::kTokensPerCachePiece;
-    // The last prompt token is always computed, because it yields the first output token.
+    // The last prompt token is always computed, even if it is cached, because computing it yields
+    // the first output token.
     const std::uint32_t usable = needed == 0 ? 0 : needed - 1;
     stream->prefill_remaining = needed - std::min(stream->cached_tokens, usable);
     ledger_.prompt_tokens += request.shape.tokens;
@@ -108,7 +109,8 @@
     step_listener_();
   }
   recordLoad();
-  // The listener or an observer may have crashed the engine, which cancels further steps.
+  // If the listener or an observer crashed the engine in a call above, step_running_ is false and
+  // no further step begins.
   if (step_running_) {
     beginStep();
   }
@@ -216,7 +218,7 @@
   stream.stage = Stage::kEnded;
   stream.prefill_remaining = 0;
   const auto own = streams_.find({stream.request.stream_id, stream.request.attempt});
-  // Retained until removeEnded(), since callers further up the stack still use the object.
+  // The stream is kept until removeEnded(), since functions further up the call stack still use it.
   ended_.push_back(own->second);
   streams_.erase(own);
 }
--- a/src/cypresswall/emulation/machine_list.h
+++ b/src/cypresswall/emulation/machine_list.h
@@ -1,4 +1,4 @@
-/// Emulation of the platform's machine list, including its propagation lag.
+/// Emulation of the platform's machine list, in which changes become visible only after a lag.
 #pragma once
 
 #include <deque>
@@ -19,14 +19,14 @@
 
   void fetch(const common::ZoneName& zone, object_store::MachineListCallback callback) override;
 
-  /// Adds or replaces a machine; readers see it after the lag.
+  /// Adds or replaces a machine. Readers see the change after the lag.
   void set(object_store::Machine machine);
-  /// Adds or replaces a machine, visible to readers immediately.
+  /// Adds or replaces a machine. Readers see the change immediately.
   void setWithoutLag(object_store::Machine machine);
   void setLag(common::Duration lag) { lag_ = lag; }
   void setDown(bool down) { down_ = down; }
-  /// \return the machines currently visible to readers, ordered by name; of all zones if `zone` is
-  ///   empty.
+  /// \return the machines of `zone` as readers see them now, ordered by name; the machines of all
+  ///   zones if `zone` is empty.
   std::vector<object_store::Machine> visible(const common::ZoneName& zone) const;
 
  private:
--- a/src/cypresswall/emulation/object_store.cpp
+++ b/src/cypresswall/emulation/object_store.cpp
@@ -168,7 +168,7 @@
   scheduler_.cancel(found->second.timer);
   const auto callback = std::move(found->second.callback);
   watches_.erase(found);
-  // As a separate event, since the callback may write again.
+  // The callback runs in a separate event, since it may write to the store again.
   scheduler_.schedule(faults_.delay / 2,
                       [callback, result = std::move(result)] { callback(result); });
 }
--- a/src/cypresswall/emulation/object_store.h
+++ b/src/cypresswall/emulation/object_store.h
@@ -1,5 +1,5 @@
-/// Emulation of the platform's object API and its faults: outages, latency, responses lost after a
-/// write took effect, gaps in watches, and a restore to an older state.
+/// Emulation of the platform's object API and its faults: outages, latency, lost responses to
+/// writes, changes that a watch omits, and a restore to an older state.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,14 @@
   bool down = false;
   /// Time from call to response; a write takes effect after half of it.
   common::Duration delay{0};
-  /// Number of writes whose responses will be lost, whether they took effect or failed.
+  /// Number of the next writes whose responses are lost, whether the writes take effect or fail.
   std::uint32_t lose_next_answers = 0;
-  /// The next watch response with changes omits all but the newest, or the only change; reset once
-  /// it has occurred.
+  /// If true, the next watch response with changes omits all changes but the newest, or the only
+  /// change if there is just one. Reset after that response.
   bool watch_gap = false;
 };
 
-/// One write that the store received while it was up.
+/// One write that the store received while it was not down.
 struct ObjectWriteEntry {
   object_store::ObjectWrite write;
   bool took_effect = false;
@@ -63,21 +63,22 @@
              object_store::StoreCallback<object_store::ObjectListing> callback) override {
     watchFor(prefix, revision, kWatchTime, std::move(callback));
   }
-  /// Like watch(), for a chosen time.
+  /// Like watch(), but waits for a change for at most `wait` instead of kWatchTime.
   void watchFor(const std::string& prefix, std::uint64_t revision, common::Duration wait,
                 object_store::StoreCallback<object_store::ObjectListing> callback);
 
-  /// Pending watches fail at once when the store goes down.
+  /// Sets the faults. If the store goes down, pending watches fail at once.
   void setFaults(const ObjectStoreFaults& faults);
   const ObjectStoreFaults& faults() const { return faults_; }
-  /// Reverts to the state at `revision`, like a store restored from a backup. Watches that are
-  /// ahead of it fail with kCompacted.
+  /// Reverts the store to its state at `revision`, like a restore from a backup. Pending watches
+  /// that started from a later revision fail with kCompacted.
   void restoreToRevision(std::uint64_t revision);
 
   std::uint64_t revision() const { return revision_; }
   /// \return revision of the last write of `key`, zero if there is none.
   std::uint64_t revisionOf(const std::string& key) const;
-  /// \return the current object, unaffected by faults; version 0 if there is none.
+  /// \return the object now stored under `key`, unaffected by faults; its version is 0 if there is
+  ///   none.
   object_store::StoredObject peek(const std::string& key) const;
   const ObjectStoreLedger& ledger() const { return ledger_; }
 
@@ -93,8 +94,8 @@
     object_store::StoreCallback<object_store::ObjectListing> callback;
   };
 
-  /// Runs `effect` after half of the delay, unless the store is down, and passes its result to
-  /// `callback` after the other half.
+  /// Unless the store is down, runs `effect` after half of ObjectStoreFaults::delay, and passes its
+  /// result to `callback` after the other half.
   template <typename Value, typename Effect>
   void serve(object_store::StoreCallback<Value> callback, Effect effect);
   object_store::StoreResult<object_store::StoredObject> write(
@@ -113,7 +114,7 @@
   ObjectStoreLedger ledger_;
   std::uint64_t revision_ = 0;
   std::map<std::string, Versioned> objects_;
-  /// All writes in order, used to restore an older state.
+  /// All writes that took effect, in order; used to restore an older state.
   std::vector<Versioned> history_;
   std::uint64_t next_watch_ = 1;
   std::map<std::uint64_t, PendingWatch> watches_;
--- a/src/cypresswall/emulation/order_fence.h
+++ b/src/cypresswall/emulation/order_fence.h
@@ -1,4 +1,5 @@
-/// Fencing of orders to an emulated engine: decides which orders are accepted.
+/// Decides which orders an emulated engine accepts, so that orders from a former holder of the
+/// zone's lease are rejected.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +18,11 @@
 };
 
 /// Keeps the highest epoch and the last accepted order, and returns a verdict on each order as
-/// specified in docs/protocols.md. An order to raise the fence is never refused as busy.
+/// specified in docs/protocols.md. An order to raise the fence (the highest epoch) is accepted even
+/// if the engine is busy.
 class OrderFence {
  public:
-  /// Returns the verdict on `order`; an accepted order becomes the last order.
+  /// Returns the verdict on `order`. An accepted order is recorded as the last accepted one.
   engines::OrderVerdict evaluate(const engines::EngineOrder& order, const FenceContext& situation);
 
   const common::Epoch& highestEpoch() const { return highest_epoch_; }
--- a/src/cypresswall/emulation/prefix_cache.cpp
+++ b/src/cypresswall/emulation/prefix_cache.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Events retained for readers; a reader that is further behind sees a gap.
+/// Number of events retained for readers. A reader that lags by more events sees a gap in the
+/// sequence numbers.
 constexpr std::size_t kRetainedEvents = 4096;
 /// Maximum number of events in one batch.
 constexpr std::size_t kMaximumBatchEvents = 1024;
--- a/src/cypresswall/emulation/prefix_cache.h
+++ b/src/cypresswall/emulation/prefix_cache.h
@@ -1,5 +1,5 @@
-/// Bounded prefix cache of an emulated engine: pieces of KV cache with LRU eviction, and the cache
-/// events that the engine publishes.
+/// Prefix cache of an emulated engine. It holds a limited number of pieces of KV cache, of which
+/// the least recently used are evicted, and publishes an event for each change.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,32 @@
 
 /// Faults in the delivery of cache events to readers.
 struct CacheEventFaults {
-  /// Time until an event becomes readable.
+  /// Time from an event until readers can see it.
   common::Duration delay{0};
-  /// Fraction of events that are never published, 0 to 1.
+  /// Fraction of events that are never published, from 0 to 1.
   double loss = 0;
 };
 
 class PrefixCache {
  public:
-  /// \param capacity number of pieces
+  /// \param capacity maximum number of cached pieces
   PrefixCache(std::uint32_t capacity, const common::Clock& clock, common::RandomSource& random);
 
-  /// Counts the leading pieces that are cached and marks them as recently used.
+  /// Marks the cached pieces at the start of `pieces`, up to the first one that is not cached, as
+  /// recently used.
+  /// \return the number of pieces marked
   std::uint32_t touchLongestPrefix(const std::vector<common::PieceHash>& pieces);
   /// Stores pieces and evicts the least recently used ones when the cache is full.
   void store(const std::vector<common::PieceHash>& pieces);
-  /// Evicts all pieces and publishes the events.
+  /// Evicts all pieces and publishes an event for each.
   void clear();
-  /// Discards all state, including events and their sequence numbers, like a process restart.
+  /// Discards all state, including events and their sequence numbers, as a restart of the engine
+  /// does.
   void forget();
 
   void setEventFaults(const CacheEventFaults& faults) { event_faults_ = faults; }
-  /// Fills in `events` and `last_sequence` of a batch after sequence number `after`.
+  /// \return a batch of the events after sequence number `after`, in which only `events` and
+  ///   `last_sequence` are set.
   engines::CacheEvents eventsAfter(std::uint64_t after) const;
 
   std::uint32_t size() const { return static_cast<std::uint32_t>(entries_.size()); }
--- a/src/cypresswall/emulation/service.cpp
+++ b/src/cypresswall/emulation/service.cpp
@@ -5,7 +5,8 @@
 namespace cypresswall::emulation {
 namespace {
 
-/// Decrements the number of calls that a fault still applies to. \return whether any were left.
+/// Decrements the number of calls to which a fault still applies, unless it is zero.
+/// \return true if the fault applies to this call
 bool consumeOne(std::uint32_t& remaining) {
   if (remaining == 0) {
     return false;
--- a/src/cypresswall/emulation/service.h
+++ b/src/cypresswall/emulation/service.h
@@ -1,5 +1,5 @@
-/// Emulation of a plain HTTP back end (portal, booking). It executes every call, including those
-/// with a repeated key, and records every execution in a ledger.
+/// Emulation of a plain HTTP back end, such as a portal or a booking service. The back end executes
+/// every call, even one whose idempotency key it has seen before, and counts the executions.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 namespace cypresswall::emulation {
 
 struct ServiceFaults {
-  /// Number of calls to refuse with "not run".
+  /// Number of the next calls that the service refuses, stating that it did not run them.
   std::uint32_t refuse_next = 0;
-  /// Number of calls to break before execution.
+  /// Number of the next calls whose connection breaks before the service executes them.
   std::uint32_t break_before_run = 0;
-  /// Number of calls to execute whose response is then lost.
+  /// Number of the next calls that the service executes, but whose response is lost.
   std::uint32_t break_after_run = 0;
-  /// Time from execution to response.
+  /// Additional time from execution to response.
   common::Duration delay{0};
-  /// Requests per second that the service advertises in its responses as its limit over all nodes;
-  /// it does not enforce the limit.
+  /// Limit on the requests per second of all nodes together that the service advertises in its
+  /// responses but does not enforce; none if not set.
   std::optional<double> rate_limit = {};
 };
 
 struct EmulatedServiceCall {
   std::string request_id;
-  /// Value of Idempotency-Key, empty if there is none.
+  /// Value of the header Idempotency-Key; empty if the call has none.
   std::string key;
   std::string method;
   std::string path;
@@ -46,7 +46,7 @@
   std::optional<double> rate_limit = {};
 };
 
-/// Executions of one request, identified by request identifier and key.
+/// Executions of all calls with the same request identifier and idempotency key.
 struct ServiceExecutionEntry {
   std::string request_id;
   std::string key;
@@ -68,13 +68,14 @@
   const ServiceFaults& faults() const { return faults_; }
   /// \return the executions, ordered by request identifier and key.
   std::vector<ServiceExecutionEntry> executions() const;
-  /// \return number of executions of calls with `key`, over all request identifiers.
+  /// \return how often calls with the idempotency key `key` were executed, whatever their request
+  ///   identifiers.
   std::uint32_t executionsOfKey(const std::string& key) const;
-  /// \return number of executions of calls of `request_id`.
+  /// \return how often calls of the request `request_id` were executed.
   std::uint32_t executionsOfRequest(const std::string& request_id) const;
 
-  /// \return the response body for `call`. It identifies the call, so that a response to another
-  ///   call is detected.
+  /// \return the body of the response to `call`. The body identifies the call, so that tests detect
+  ///   a response that belongs to another call.
   std::string expectedBody(const EmulatedServiceCall& call) const;
 
  private:
--- a/src/cypresswall/emulation/weight_source.h
+++ b/src/cypresswall/emulation/weight_source.h
@@ -13,7 +13,7 @@
 struct WeightTransfer {
   bool complete = false;
   std::uint64_t bytes = 0;
-  /// Time after which to retry if the transfer was refused because of load.
+  /// If the source refused the transfer because of its load: time after which to retry.
   common::Duration retry_after{0};
 };
 
--- a/src/cypresswall/emulation/weight_store.h
+++ b/src/cypresswall/emulation/weight_store.h
@@ -1,4 +1,4 @@
-/// Emulation of the platform's rate-limited weight store.
+/// Emulation of the platform's weight store, which limits its total transfer rate.
 #pragma once
 
 #include <deque>
@@ -11,15 +11,15 @@
 namespace cypresswall::emulation {
 
 struct WeightStoreSettings {
-  /// Bytes per second over all transfers.
+  /// Total rate of all transfers.
   double bytes_per_second = 8e9;
   /// Maximum number of transfers in progress or queued; further ones are refused.
   std::size_t maximum_transfers = 16;
-  /// Size of weights for which setSize() was not called.
+  /// Size of the weights at each URI for which setSize() was not called.
   std::uint64_t default_bytes = 16'000'000'000;
 };
 
-/// Serves transfers sequentially at the full rate.
+/// Serves one transfer after the other, each at the full rate.
 class EmulatedWeightStore final : public WeightSource {
  public:
   EmulatedWeightStore(WeightStoreSettings settings, const common::Clock& clock,
