--- a/apps/cypressctl/console.cpp
+++ b/apps/cypressctl/console.cpp
@@ -19,7 +19,8 @@
 
 constexpr int kHistoryLength = 1000;
 
-/// Candidates of the current completion; global because readline callbacks take no user data.
+/// Words that the completion in progress offers; global because readline callbacks take no user
+/// data.
 std::vector<std::string>& candidates() {
   static std::vector<std::string> words;
   return words;
--- a/apps/cypressctl/console.h
+++ b/apps/cypressctl/console.h
@@ -6,7 +6,8 @@
 
 namespace cypresswall::cypressctl {
 
-/// Reads commands until end of input, "exit" or "quit", and passes each to `run`.
+/// Reads commands from the terminal until the end of the input, "exit" or "quit", and passes each
+/// command to `run`.
 void runConsole(const std::function<void(const std::string& command)>& run);
 
 }  // namespace cypresswall::cypressctl
--- a/apps/cypressctl/main.cpp
+++ b/apps/cypressctl/main.cpp
@@ -40,7 +40,7 @@
 using operators::CommandRequest;
 using operators::ExitCode;
 
-/// An unreadable file or invalid flags.
+/// Thrown for an unreadable file or invalid flags.
 class UsageError : public common::Error {
  public:
   using common::Error::Error;
@@ -83,7 +83,8 @@
   return text.str();
 }
 
-/// Joins shell arguments to a command; quotes those that would not be parsed as one word.
+/// Joins shell arguments to one command, and quotes the arguments that the command parser would not
+/// read as one word. A single argument is taken as the whole command.
 std::string joinWords(const std::vector<std::string>& words) {
   if (words.size() == 1) {
     return words.front();
@@ -110,7 +111,7 @@
   return request;
 }
 
-/// Attaches the fleet file's text to an `apply` command.
+/// If the command is `apply`, reads the fleet file that it names and adds the text to the request.
 void attachFile(CommandRequest& request) {
   try {
     const auto command = operators::parseCommand(request.command);
@@ -138,7 +139,8 @@
   return code;
 }
 
-/// Runs a command and prints errors other than error responses.
+/// Runs a command. Also prints errors that prevented a response; error responses are printed like
+/// other responses.
 ExitCode runAndReportErrors(const std::string& command, operators::OutputFormat format) {
   try {
     return runCommand(command, format);
@@ -154,7 +156,8 @@
   }
 }
 
-/// Runs the commands in a file up to the first failure; skips empty lines and # comments.
+/// Runs the commands in a file, one per line, up to the first that fails. Skips empty lines and
+/// comments, which start with #.
 ExitCode runScript(const std::string& path, operators::OutputFormat format) {
   std::istringstream lines(readFile(path));
   for (std::string line; std::getline(lines, line);) {
--- a/apps/cypresswall-bench/main.cpp
+++ b/apps/cypresswall-bench/main.cpp
@@ -106,8 +106,8 @@
   return settings;
 }
 
-/// \return true if no response was truncated, altered or of unknown outcome, and few requests were
-/// refused.
+/// \return true if, for each target, no response was truncated, altered or of unknown outcome, and
+///   only few requests were refused: at least kMinimumCompletedFraction were completed.
 bool allComplete(const std::vector<bench::TargetReport>& reports) {
   constexpr double kMinimumCompletedFraction = 0.9;
   for (const bench::TargetReport& report : reports) {
--- a/apps/cypresswalld/daemon.cpp
+++ b/apps/cypresswalld/daemon.cpp
@@ -14,7 +14,7 @@
 using common::LogLevel;
 
 constexpr int kExitForced = 1;
-/// Maximum time after the drain for sending the remaining responses and messages.
+/// Maximum time for sending the remaining responses and messages after the node has stopped.
 constexpr auto kFlushTimeout = std::chrono::seconds(2);
 constexpr auto kFlushCheckInterval = std::chrono::milliseconds(10);
 
@@ -24,7 +24,8 @@
   return (static_cast<std::uint64_t>(device()) << kHalfBits) | device();
 }
 
-/// Increases with each restart on the same address: microseconds since 1970.
+/// \return the incarnation number of this process: microseconds since 1970, so that the number
+///   increases with each restart on the same address.
 std::uint64_t newIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<std::uint64_t>(
--- a/apps/cypresswalld/daemon.h
+++ b/apps/cypresswalld/daemon.h
@@ -23,25 +23,27 @@
 
 class Daemon {
  public:
-  /// Reloads the settings on SIGHUP. Throws settings::SettingsError if they are invalid.
+  /// Called on SIGHUP to read the settings again. Throws settings::SettingsError if they are
+  /// invalid.
   using Reload = std::function<settings::DaemonSettings()>;
 
-  /// Listens on all addresses. \throws runtime::TransportError, http::ListenError
+  /// Opens the listening sockets of all configured addresses.
+  /// \throws runtime::TransportError, http::ListenError if that fails
   Daemon(settings::DaemonSettings settings, Reload reload,
          const surroundings::PlatformAdapterFactory& make_platform_adapter);
   ~Daemon();
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Runs until the shutdown is complete. \return the exit code of the program
+  /// Runs the event loop until the shutdown is complete. \return the exit code of the program
   int run();
 
  private:
   api::ProcessContext processContext();
   http::ServerSettings serverSettings();
   http::ServerSettings managementServerSettings();
-  /// Adds the health, metrics and operator paths to the management server, or to the gateway's
-  /// routes if there is no such server.
+  /// Adds the health, metrics and operator paths to the routes of the management server, or to
+  /// those of the gateway server if the settings configure no management server.
   void mountManagementPaths();
   void startServers();
   Readiness readiness() const;
@@ -49,11 +51,11 @@
   void handleSignal(int signal);
   void reload();
   void applyReloadable(const settings::DaemonSettings& settings);
-  /// Reports the node as not ready at once, and accepts requests for the lame-duck period, in which
-  /// load balancers notice it.
+  /// Begins a planned stop: reports the node as not ready, but still accepts requests for
+  /// DaemonSettings::stop_lame_duck, so that load balancers can notice before stopNode() is called.
   void beginStop();
   void stopNode();
-  /// Ends the event loop once all responses and messages are sent, or at `limit`.
+  /// Ends the event loop once all responses and messages are sent, but at `limit` at the latest.
   void finishStop(common::MonotonicTime limit);
 
   settings::DaemonSettings settings_;
--- a/apps/cypresswalld/health.h
+++ b/apps/cypresswalld/health.h
@@ -9,10 +9,10 @@
 
 namespace cypresswall::daemon {
 
-/// Whether load balancers should send requests to this node.
+/// Whether load balancers should send requests to this node, and if not, why.
 enum class Readiness : std::uint8_t { kReady, kNoConfiguration, kDraining };
 
-/// Adds the paths to `routes`. \pre `counters` outlives the routes
+/// Adds handlers for the three paths to `routes`. \pre `counters` outlives the routes
 void mountHealth(gateway::HttpRoutes& routes, std::function<Readiness()> readiness,
                  common::CounterRegistry& counters);
 
--- a/apps/cypresswalld/main.cpp
+++ b/apps/cypresswalld/main.cpp
@@ -22,7 +22,8 @@
 DEFINE_bool(print_settings_table, false, "print the table of docs/settings.md and exit");
 
 namespace GFLAGS_NAMESPACE {
-/// Called by gflags on an invalid command line; not declared in its public headers.
+/// Function that gflags calls to exit on an invalid command line. The public headers of gflags do
+/// not declare this variable.
 extern void (*gflags_exitfunc)(int);
 }  // namespace GFLAGS_NAMESPACE
 
@@ -68,9 +69,9 @@
   }
 }
 
-/// Ends the process without running static destructors: log4cplus joins its threads there, which an
-/// ending process need not wait for. In production that join never returned, so that each shutdown
-/// lasted until the platform sent SIGKILL.
+/// Ends the process without running static destructors. In one of them, log4cplus joins its
+/// threads, for which an ending process need not wait. In production the join never returned, so
+/// that each shutdown lasted until the platform sent SIGKILL.
 [[noreturn]] void endProcess(int exit_code) {
 #ifdef __SANITIZE_ADDRESS__
   __lsan_do_leak_check();
