--- a/src/cypresswall/execution/request_journal.h
+++ b/src/cypresswall/execution/request_journal.h
@@ -52,7 +52,7 @@
 /// Keeps the records of all running requests and of the most recently ended ones.
 class RequestJournal {
  public:
-  /// \param kept_ended maximum number of ended requests whose records are kept
+  /// \param maximum_ended maximum number of ended requests whose records are kept
   explicit RequestJournal(std::size_t maximum_ended) : maximum_ended_(maximum_ended) {}
 
   /// \return the record of a request that has started; the caller updates it until it calls end()
